--- a/lab/rehearsal.cpp
+++ b/lab/rehearsal.cpp
@@ -56,9 +56,10 @@
 
 // The end of a rehearsal, on either ground.
 int finish(const standin::Play& day, const standin::Outcome& out, const Wish& wish, std::size_t clean,
-           std::size_t placers, std::ostream& to) {
-    const Findings found(day, out);
+           std::size_t placers, std::optional<std::uint64_t> digest, std::ostream& to) {
+    const Findings found(day, out, digest);
     to << '\n' << found.table();
+    if (digest) to << "digest " << found.digest() << '\n';
     show_breaches(day, out, to);
     if (out.still_waiting) to << "still waiting at the end: " << out.still_waiting << '\n';
     if (clean != placers)
@@ -169,10 +170,10 @@
     if (!wish.sockets) {
         const auto began = std::chrono::steady_clock::now();
         play_plan(plan, wish.planner, progress,
-                  [&](standin::Play& day, const standin::Outcome& out, std::uint64_t) {
+                  [&](standin::Play& day, const standin::Outcome& out, std::uint64_t digest) {
                       const double took =
                           std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-                      result = finish(day, out, wish, plan.placers, plan.placers, to);
+                      result = finish(day, out, wish, plan.placers, plan.placers, digest, to);
                       to << "virtual time: " << plan.length / kSecond << " s in " << took << " s\n";
                   });
         return result;
@@ -194,7 +195,7 @@
     SocketsGround ground(loop, wish.program, dir, plan.placers);
     standin::Play day(plan, ground, progress);
     const std::string wrong = day.start([&](const standin::Outcome& out) {
-        result = finish(day, out, wish, ground.end_all(), plan.placers, to);
+        result = finish(day, out, wish, ground.end_all(), plan.placers, std::nullopt, to);
         loop.stop();
     });
     if (!wrong.empty()) {
--- a/lab/report.cpp
+++ b/lab/report.cpp
@@ -38,12 +38,19 @@
 
 }  // namespace
 
-Findings::Findings(const standin::Play& play, const standin::Outcome& out)
-    : play_(play), plan_(play.plan()), outcome_(out) {
+Findings::Findings(const standin::Play& play, const standin::Outcome& out, std::optional<std::uint64_t> digest)
+    : play_(play), plan_(play.plan()), outcome_(out), digest_(digest) {
     read();
     for (const Expect& e : plan_.expects) checked_.push_back(check(e));
 }
 
+std::string Findings::digest() const {
+    if (!digest_) return "";
+    char text[17];
+    std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(*digest_));
+    return text;
+}
+
 bool Findings::met() const {
     return std::all_of(checked_.begin(), checked_.end(), [](const Checked& c) { return c.met; });
 }
@@ -307,6 +314,7 @@
     j["placers"] = plan_.placers;
     j["nodes"] = plan_.nodes;
     j["length_s"] = seconds(plan_.length);
+    if (digest_) j["digest"] = digest();
     ordered_json& rules = j["rules"];
     rules["kept"] = outcome_.verdict.kept();
     rules["lost"] = outcome_.verdict.count(Breach::lost);
--- a/lab/report.h
+++ b/lab/report.h
@@ -1,7 +1,9 @@
 // What a played scenario came to: worked out from what the stand-ins saw, and held against what the scenario
 // expects.
 #pragma once
+#include <cstdint>
 #include <map>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -39,12 +41,15 @@
 
 class Findings {
 public:
-    Findings(const standin::Play&, const standin::Outcome&);
+    // `digest`: of all bytes that were delivered, where the run was in virtual time.
+    Findings(const standin::Play&, const standin::Outcome&, std::optional<std::uint64_t> digest = {});
 
     const std::vector<NodeRow>& nodes() const { return nodes_; }
     const std::vector<DrainRow>& drains() const { return drains_; }
     const std::vector<Checked>& checked() const { return checked_; }
     bool met() const;
+    // The digest as sixteen hex digits; empty where there is none.
+    std::string digest() const;
     // Share of the service that was wanted in [from, to), of a group or of all (-1); below 0: none was
     // wanted.
     double service(int group, Nanos from, Nanos to) const;
@@ -61,6 +66,7 @@
     const standin::Play& play_;
     const standin::Plan& plan_;
     standin::Outcome outcome_;
+    std::optional<std::uint64_t> digest_;
     std::map<std::string, Course> courses_;
     std::vector<NodeRow> nodes_;
     std::vector<DrainRow> drains_;
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -191,4 +191,8 @@
     CHECK(lab::rehearse(w, to, err) == 0);
     CHECK(to.str().find("what was seen of node-2") != std::string::npos);
     CHECK(to.str().find("rules kept") != std::string::npos);
+    // Of all bytes delivered: sixteen hex digits on a line of their own.
+    const std::size_t digest = to.str().find("\ndigest ");
+    REQUIRE(digest != std::string::npos);
+    CHECK(to.str().substr(digest + 8).find_first_not_of("0123456789abcdef") == 16);
 }
