--- /dev/null
+++ b/tests/compatibility_test.cpp
@@ -0,0 +1,516 @@
+// What users and other programs rely on stays as it was: bytes of each message of both protocols, keys and
+// forms of each file, sub-commands and options, variables, the deploy file. The expected texts under
+// fixtures/ were written by 23b611a; a change of one of them is a change for users.
+#include <google/protobuf/descriptor.h>
+#include <google/protobuf/message.h>
+#include <sys/wait.h>
+
+#include <catch2/catch.hpp>
+#include <cstdio>
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <iterator>
+#include <sstream>
+
+#include "config/placer_file.h"
+#include "config/toml.h"
+#include "migrate/migrate.h"
+#include "net/net.h"
+#include "platform/briefing.h"
+#include "proto/list.pb.h"
+#include "proto/node.pb.h"
+#include "proto/owner.pb.h"
+#include "scale.h"
+#include "signalling/message.h"
+#include "standin/day.h"
+#include "terms/terms.h"
+
+using namespace whinpost;
+namespace fs = std::filesystem;
+
+namespace {
+
+std::string read_file(const fs::path& path) {
+    std::ifstream in(path, std::ios::binary);
+    INFO(path);
+    REQUIRE(in);
+    return {std::istreambuf_iterator<char>(in), {}};
+}
+
+fs::path fixture(const std::string& name) { return fs::path(WHINPOST_SOURCE) / "tests" / "fixtures" / name; }
+
+// The text is also left in the build folder, where it can be compared as a whole.
+void check_unchanged(const std::string& name, const std::string& actual) {
+    std::ofstream(fs::path(WHINPOST_BINARY) / ("actual-" + name), std::ios::binary) << actual;
+    std::istringstream expected(read_file(fixture(name))), found(actual);
+    std::string expected_line, found_line;
+    std::size_t lines = 0;
+    while (std::getline(expected, expected_line)) {
+        ++lines;
+        REQUIRE(std::getline(found, found_line));
+        CHECK(found_line == expected_line);
+    }
+    CHECK_FALSE(std::getline(found, found_line));
+    CHECK(lines > 0);
+}
+
+std::string hex(std::string_view bytes) {
+    std::string out;
+    for (const char c : bytes) {
+        out += "0123456789abcdef"[static_cast<unsigned char>(c) >> 4];
+        out += "0123456789abcdef"[static_cast<unsigned char>(c) & 15];
+    }
+    return out;
+}
+
+std::string bytes_of(const std::string& hex_digits) {
+    std::string out;
+    for (std::size_t i = 0; i + 1 < hex_digits.size(); i += 2)
+        out += static_cast<char>(std::stoi(hex_digits.substr(i, 2), nullptr, 16));
+    return out;
+}
+
+// ---- protobuf
+
+using google::protobuf::FieldDescriptor;
+using google::protobuf::Message;
+
+void fill(Message& message);
+
+void fill_field(Message& message, const FieldDescriptor& field) {
+    const auto& reflection = *message.GetReflection();
+    const int n = field.number();
+    if (field.is_repeated()) {
+        fill(*reflection.AddMessage(&message, &field));
+        fill(*reflection.AddMessage(&message, &field));
+        return;
+    }
+    switch (field.cpp_type()) {
+        case FieldDescriptor::CPPTYPE_UINT64:
+            return reflection.SetUInt64(&message, &field, 1000u + static_cast<unsigned>(n));
+        case FieldDescriptor::CPPTYPE_UINT32:
+            return reflection.SetUInt32(&message, &field, 200u + static_cast<unsigned>(n));
+        case FieldDescriptor::CPPTYPE_INT64:
+            return reflection.SetInt64(&message, &field, 5'000'000'000 + n);
+        case FieldDescriptor::CPPTYPE_DOUBLE:
+            return reflection.SetDouble(&message, &field, n + 0.25);
+        case FieldDescriptor::CPPTYPE_BOOL:
+            return reflection.SetBool(&message, &field, true);
+        case FieldDescriptor::CPPTYPE_STRING:
+            return reflection.SetString(&message, &field, "text-" + std::to_string(n));
+        case FieldDescriptor::CPPTYPE_ENUM: {
+            const auto& values = *field.enum_type();
+            return reflection.SetEnum(&message, &field, values.value(values.value_count() - 1));
+        }
+        case FieldDescriptor::CPPTYPE_MESSAGE:
+            return fill(*reflection.MutableMessage(&message, &field));
+        default:
+            FAIL("a field of a type that no message had");
+    }
+}
+
+void fill(Message& message) {
+    const auto& descriptor = *message.GetDescriptor();
+    for (int i = 0; i < descriptor.field_count(); ++i) fill_field(message, *descriptor.field(i));
+}
+
+// One line for each message that an envelope may carry, every field set: its number there, and its bytes.
+template <class Envelope>
+std::string messages_in(const std::string& name) {
+    std::string out;
+    const auto& descriptor = *Envelope::descriptor();
+    for (int i = 0; i < descriptor.field_count(); ++i) {
+        Envelope envelope;
+        fill_field(envelope, *descriptor.field(i));
+        std::string frame;
+        net::append_frame(frame, envelope);
+        out += name + " " + std::to_string(descriptor.field(i)->number()) + " " + hex(frame) + "\n";
+    }
+    return out;
+}
+
+// Every value that each enumeration may take on the wire.
+void numbers_of(const google::protobuf::EnumDescriptor& of, std::string& out) {
+    for (int i = 0; i < of.value_count(); ++i) out += " " + std::to_string(of.value(i)->number());
+}
+
+std::string enumerations() {
+    std::string out = "enumerations";
+    for (const auto* file : {v1::FromNode::descriptor()->file(), v1::FromOwner::descriptor()->file(),
+                             v1::FromList::descriptor()->file(), v1::Report::descriptor()->file()}) {
+        for (int i = 0; i < file->enum_type_count(); ++i) numbers_of(*file->enum_type(i), out);
+        for (int i = 0; i < file->message_type_count(); ++i)
+            for (int k = 0; k < file->message_type(i)->enum_type_count(); ++k)
+                numbers_of(*file->message_type(i)->enum_type(k), out);
+    }
+    return out + "\n";
+}
+
+// ---- values read from files, one a line
+
+class Values {
+public:
+    template <class T>
+    Values& add(const std::string& name, const T& value) {
+        out_ << name << " = " << value << '\n';
+        return *this;
+    }
+    std::string text() const { return out_.str(); }
+
+private:
+    std::ostringstream out_;
+};
+
+void add_groups(Values& values, const std::vector<QueueGroup>& groups) {
+    for (std::size_t i = 0; i < groups.size(); ++i) {
+        const QueueGroup& g = groups[i];
+        const std::string at = "group " + std::to_string(i) + " ";
+        values.add(at + "effect", static_cast<int>(g.effect))
+            .add(at + "repeats dropped by", static_cast<int>(g.repeats_dropped_by))
+            .add(at + "repeat window", g.repeat_window)
+            .add(at + "start target", g.start_target)
+            .add(at + "importance", g.importance)
+            .add(at + "start worth", g.start_worth_s)
+            .add(at + "full service utilization", g.calm)
+            .add(at + "degradation range", g.fade)
+            .add(at + "kind", g.kind)
+            .add(at + "spread", static_cast<int>(g.spread))
+            .add(at + "most", g.most)
+            .add(at + "priority", g.priority);
+    }
+}
+
+void add_acceptance(Values& values, const Acceptance& a) {
+    values.add("cores multiple", a.cores_multiple)
+        .add("memory multiple", a.memory_multiple)
+        .add("reports use", a.reports_use)
+        .add("can probe", a.can_probe)
+        .add("yes on running", a.yes_on_running)
+        .add("preempts", a.preempts)
+        .add("notes pressure", a.notes_pressure);
+}
+
+void add_slow_start(Values& values, const ColdTerms& c) {
+    values.add("cold from", c.from)
+        .add("warm after", c.warm_after)
+        .add("multiple", c.multiple)
+        .add("window", c.window)
+        .add("always borne", c.always_borne)
+        .add("placers", c.placers)
+        .add("me", c.me);
+}
+
+void add_prices(Values& values, const Prices& p) {
+    values.add("machines in use", p.machines_in_use)
+        .add("moves", p.moves)
+        .add("waste", p.waste)
+        .add("probes", p.probes)
+        .add("across zones", p.across_zones)
+        .add("list lines", p.list_lines)
+        .add("refused", p.refused);
+}
+
+void add_kinds(Values& values, const std::vector<MachineKind>& kinds) {
+    for (const MachineKind& k : kinds) values.add("kind cores", k.cores).add("kind memory", k.memory);
+}
+
+// ---- programs
+
+struct Ran {
+    int status = -1;
+    std::string said;
+};
+
+Ran run(const std::string& command) {
+    Ran out;
+    FILE* pipe = popen((command + " 2>&1").c_str(), "r");
+    REQUIRE(pipe);
+    char buffer[4096];
+    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.said.append(buffer, n);
+    const int status = pclose(pipe);
+    out.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
+    return out;
+}
+
+// The names in a help text: options, sub-commands and positional arguments stand first on an indented line.
+std::string names_in_help(const std::string& program, const std::string& called, const std::string& words) {
+    const Ran ran = run(program + " " + words + " --help");
+    CHECK(ran.status == 0);
+    std::istringstream lines(ran.said);
+    std::string out, line;
+    while (std::getline(lines, line)) {
+        if (line.size() < 3 || line.compare(0, 2, "  ") != 0 || line[2] == ' ') continue;
+        std::string name = line.substr(2, line.find("  ", 2) - 2);
+        if (const std::size_t at = name.find(WHINPOST_BINARY); at != std::string::npos)
+            name.replace(at, std::string(WHINPOST_BINARY).size(), "BUILD");
+        out += called + " " + words + ": " + name + "\n";
+    }
+    return out;
+}
+
+}  // namespace
+
+TEST_CASE("each message of the own protocol has the bytes it had") {
+    check_unchanged("messages.txt",
+                    messages_in<v1::ToNode>("to_node") + messages_in<v1::FromNode>("from_node") +
+                        messages_in<v1::ToOwner>("to_owner") + messages_in<v1::FromOwner>("from_owner") +
+                        messages_in<v1::ToList>("to_list") + messages_in<v1::FromList>("from_list") +
+                        enumerations());
+}
+
+TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
+    using signalling::Type;
+    std::string out;
+    for (const Type type : {Type::set_up, Type::progress, Type::answer, Type::release, Type::release_heard,
+                            Type::note, Type::move, Type::test, Type::tested}) {
+        signalling::Message m;
+        m.type = type;
+        m.task = 0x0102030405060708;
+        m.group = "group";
+        m.wait = "wait";
+        m.retry = "retry";
+        m.name = "name";
+        m.figures = "figures";
+        m.stay_away = "stay_away";
+        m.notes = "notes";
+        m.report = "report";
+        m.figure = "figure";
+        m.key = "key";
+        m.description = "description";
+        m.cause = 42;
+        std::string bytes;
+        signalling::append(bytes, m);
+        out += std::to_string(static_cast<int>(type)) + " " + hex(bytes) + "\n";
+        signalling::Message again;
+        std::size_t used = 0;
+        REQUIRE(signalling::read(bytes, again, used) == signalling::Read::whole);
+        std::string written;
+        signalling::append(written, again);
+        CHECK(hex(written) == hex(bytes));
+    }
+    for (const int cause : {signalling::kOk, signalling::kGivenUp, signalling::kCancelled, signalling::kFull,
+                            signalling::kReset, signalling::kTryLater, signalling::kError,
+                            signalling::kNeverLeft, signalling::kPassed, signalling::kFailed})
+        out += "cause " + std::to_string(cause) + "\n";
+    check_unchanged("platform-messages.txt", out);
+}
+
+TEST_CASE("a placer's configuration with every key is read as it was") {
+    config::Document file = config::Document::read(fixture("placer.toml").string());
+    CHECK(config::check(file).empty());
+    config::Document again = config::Document::read(fixture("placer.toml").string());
+    config::Table root = again.root();
+    Values values;
+    const config::Named named = config::placer(root);
+    values.add("name", named.name).add("listen", named.listen).add("zone", named.zone);
+    values.add("zones", named.zones).add("seed", named.seed);
+    const config::ListAt list = config::list_at(root);
+    values.add("list", list.address).add("on request", list.terms.on_request);
+    values.add("ask every", list.terms.ask_every);
+    const config::Saying saying = config::saying(root);
+    values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.form));
+    const auto kinds = config::machine_kinds(root);
+    add_kinds(values, kinds);
+    std::vector<QueueGroup> groups;
+    for (const config::Group& g : config::queue_groups(root, kinds.size())) {
+        values.add("group", g.name);
+        groups.push_back(g.terms);
+    }
+    add_groups(values, groups);
+    add_acceptance(values, config::acceptance(root));
+    add_slow_start(values, config::cold_terms(root));
+    const LaunchTerms launches = config::launch_terms(root);
+    values.add("launches most", launches.most).add("can stop", launches.can_stop);
+    add_prices(values, config::prices(root));
+    const intake::Limits limits = config::intake_limits(root);
+    values.add("waiting", limits.waiting).add("waiting an owner", limits.waiting_an_owner);
+    values.add("a second", limits.a_second).add("owners", limits.owners);
+    const link::Terms links = config::link_terms(root);
+    values.add("dial time out", links.dial_time_out).add("greet time out", links.greet_time_out);
+    values.add("silent after", links.silent_after).add("first pause", links.first_pause);
+    values.add("longest pause", links.longest_pause).add("drain grace", links.drain_grace);
+    const config::Dialling dialling = config::dialling(root);
+    values.add("dials at once", dialling.at_once).add("dials a second", dialling.a_second);
+    check_unchanged("placer-values.txt", values.text());
+}
+
+TEST_CASE("a shape replaces what it replaced") {
+    const migrate::File old{"old.toml", read_file(fixture("placer.toml"))};
+    const migrate::File shape{"shape.toml", read_file(fixture("shape.toml"))};
+    const migrate::Counterpart c = migrate::counterpart(old, shape, "new.toml");
+    CHECK(c.problems.empty());
+    std::string out = c.text;
+    for (const std::string& line : c.carried) out += "carried " + line + "\n";
+    for (const std::string& line : c.replaced) out += "replaced " + line + "\n";
+    for (const std::string& line : c.left) out += "left " + line + "\n";
+    check_unchanged("migrated.txt", out);
+}
+
+TEST_CASE("the platform's file with every key is read as it was") {
+    const platform::Briefing file =
+        platform::Briefing::parse(read_file(fixture("platform.json")), "platform.json");
+    Values values;
+    values.add("listen", file.listen()).add("bus", file.bus()).add("seed", file.seed());
+    values.add("sockets", file.sockets()).add("offset", file.offset());
+    for (const std::string& event : file.known()) values.add("known", event);
+    const terms::Paths& settings = file.settings();
+    for (const std::string& name : terms::group_names(settings)) values.add("group", name);
+    add_groups(values, terms::queue_groups(settings));
+    add_kinds(values, terms::machine_kinds(settings));
+    add_acceptance(values, terms::acceptance(settings));
+    add_slow_start(values, terms::cold_terms(settings));
+    const ListTerms list = terms::list_terms(settings);
+    values.add("on request", list.on_request).add("ask every", list.ask_every);
+    const LaunchTerms launches = terms::launch_terms(settings);
+    values.add("launches most", launches.most).add("can stop", launches.can_stop);
+    add_prices(values, terms::prices(settings));
+    values.add("zone", terms::zone(settings));
+    for (const auto name : settings.list("flavors")) values.add("flavor", name);
+    for (const auto name : settings.list("zones")) values.add("zone", name);
+    values.add("dial timeout", settings.micros("limits.dial_timeout_us"));
+    values.add("idle", settings.micros("limits.conn_idle_us"));
+    check_unchanged("platform-values.txt", values.text());
+}
+
+TEST_CASE("a scenario with every fault and expectation, and a day, are read as they were") {
+    const std::string name = GENERATE("scenario", "day");
+    std::vector<std::string> problems;
+    const standin::Plan plan =
+        standin::parse_plan(read_file(fixture(name + ".toml")), name + ".toml", problems);
+    INFO((problems.empty() ? "" : problems[0]));
+    REQUIRE(problems.empty());
+    Values values;
+    values.add("name", plan.name).add("length", plan.length).add("seed", plan.seed);
+    values.add("placers", plan.placers).add("owners", plan.owners).add("nodes", plan.nodes);
+    for (const std::string& zone : plan.zones) values.add("zone", zone);
+    values.add("cells in zone", plan.cells_in_zone).add("pushes", plan.list_pushes);
+    values.add("late", plan.list_late).add("lean", plan.lean).add("slack", plan.slack);
+    values.add("drain grace", plan.drain_grace).add("list age", plan.old_list.age);
+    values.add("list lasts", plan.old_list.lasts).add("ghosts", plan.old_list.ghosts);
+    values.add("missing", plan.old_list.missing).add("least", plan.network.least);
+    values.add("spread", plan.network.spread).add("late", plan.network.late);
+    values.add("late share", plan.network.late_share).add("launches", plan.launches.most);
+    const standin::NodeTerms& node = plan.node;
+    values.add("judge", node.judge).add("line", node.line).add("starts", node.starts);
+    values.add("start", node.start).add("without program", node.without_program);
+    values.add("program kept", node.program_kept).add("gives turns", node.gives_turns);
+    values.add("drawn starts", node.drawn_starts).add("reports", node.reports);
+    values.add("sends away every", node.sends_away_every).add("report every", node.report_every);
+    for (const standin::GroupTerms& g : plan.groups) values.add("group", g.name);
+    for (const standin::Load& load : plan.loads) {
+        values.add("load group", load.group).add("a second", load.a_second).add("services", load.services);
+        values.add("batch", load.batch).add("queue timeout", load.queue_timeout);
+        values.add("life least", load.life_least).add("life most", load.life_most);
+        for (const double cores : load.cores) values.add("cores", cores);
+        for (const double memory : load.memory) values.add("memory", memory);
+    }
+    for (const standin::Fault& fault : plan.faults) {
+        values.add("fault", static_cast<int>(fault.what)).add("at", fault.at).add("lasts", fault.lasts);
+        for (const std::size_t i : fault.nodes) values.add("fault node", i);
+        values.add("which", fault.which).add("size", fault.size).add("tell", fault.tell);
+        values.add("fault group", fault.group).add("in", fault.in).add("out", fault.out);
+    }
+    for (const standin::Expect& expect : plan.expects) {
+        values.add("expect", standin::words(expect.of)).add("expect group", expect.group);
+        values.add("from", expect.from).add("to", expect.to).add("at least", expect.at_least);
+        values.add("bound", expect.bound).add("share", expect.share);
+    }
+    check_unchanged(name + "-values.txt",
+                    values.text() + standin::placer_file(plan, 1, "10.0.0.1:1", "10.0.0.2:2"));
+}
+
+TEST_CASE("a raw file of capacity points is read and written as it was") {
+    const bench::ScaleRecord record = bench::read_record(fixture("capacity.json").string());
+    check_unchanged("capacity-table.txt", bench::table(record));
+    check_unchanged("capacity.json", bench::to_json(record));
+}
+
+TEST_CASE("a fuzz corpus as it was written is read whole") {
+    std::size_t files = 0;
+    for (const auto& entry : fs::recursive_directory_iterator(fixture("corpus"))) {
+        if (!entry.is_regular_file()) continue;
+        ++files;
+        INFO(entry.path());
+        const std::string folder = entry.path().parent_path().filename().string();
+        std::string bytes = bytes_of(read_file(entry.path()));
+        bool bad = false;
+        std::size_t done = 0;
+        if (folder == "platform") {
+            const int from = bytes[0];
+            bytes.erase(0, 1);
+            if (from == 3) {
+                CHECK_NOTHROW(platform::Briefing::parse(bytes, "corpus"));
+                continue;
+            }
+            if (from == 2) continue;  // an event of discovery: read_event has tests of its own
+            done = signalling::messages(bytes, bad, [](const signalling::Message&) { return true; });
+        } else {
+            done = net::frames(bytes, net::kLongestFrame, bad, [&folder](std::string_view frame) {
+                v1::FromOwner owner;
+                v1::FromNode node;
+                v1::FromList list;
+                Message& message = folder == "owner_door"  ? static_cast<Message&>(owner)
+                                   : folder == "node_door" ? static_cast<Message&>(node)
+                                                           : static_cast<Message&>(list);
+                CHECK(message.ParseFromArray(frame.data(), static_cast<int>(frame.size())));
+                std::string again;
+                CHECK(message.SerializeToString(&again));
+                CHECK(hex(again) == hex(frame));
+                return true;
+            });
+        }
+        CHECK_FALSE(bad);
+        CHECK(done == bytes.size());
+    }
+    CHECK(files == 15);
+}
+
+TEST_CASE("programs have the sub-commands and options they had") {
+    const std::string apps = std::string(WHINPOST_BINARY) + "/apps/";
+    std::string out;
+    for (const char* words : {"", "run", "check", "rehearse", "migrate", "platform"})
+        out += names_in_help(apps + "whinpost", "whinpost", words);
+    for (const char* words : {"", "play", "rehearse"})
+        out += names_in_help(apps + "whinpost-standins", "emulator", words);
+    check_unchanged("options.txt", out);
+}
+
+TEST_CASE("the platform's variables are named where they are missing") {
+    const std::string program = std::string(WHINPOST_BINARY) + "/apps/whinpost platform";
+    const std::string bare = "env -u GW_CONFIG -u GW_LISTEN -u GW_NAME ";
+    std::string set;
+    for (const std::string name : {"GW_CONFIG", "GW_LISTEN", "GW_NAME"}) {
+        const Ran ran = run(bare + set + program);
+        CHECK(ran.status == 1);
+        CHECK(ran.said == "whinpost platform: " + name + ": is not set\n");
+        set += name + "=x ";
+    }
+    const Ran ran = run(bare + set + program);
+    CHECK(ran.status == 1);
+    CHECK(ran.said == "whinpost platform: x: can't be read\n");
+}
+
+TEST_CASE("the deploy file has the keys and forms that its readers expect, and names files that are there") {
+    const toml::table deploy = toml::parse(read_file(fs::path(WHINPOST_SOURCE) / "deploy" / "balancer.toml"));
+    std::string keys;
+    for (auto&& [key, value] : deploy) keys += std::string(key.str()) + " ";
+    CHECK(keys == "build node packages policy run sim ");
+    CHECK(deploy["run"].value_or("") == std::string("exec build/apps/whinpost platform"));
+    CHECK(deploy["sim"].value_or("") == std::string("exec build/whinpost_drill"));
+    CHECK(deploy["build"].value_or(std::string()).find("--target whinpost_program whinpost_drill") !=
+          std::string::npos);
+    for (const char* key : {"policy", "node"}) {
+        const toml::array* paths = deploy[key].as_array();
+        REQUIRE(paths);
+        CHECK_FALSE(paths->empty());
+        for (const toml::node& path : *paths) {
+            const std::string name = path.value_or(std::string());
+            INFO(key << " " << name);
+            CHECK(fs::exists(fs::path(WHINPOST_SOURCE) / name));
+        }
+    }
+    const toml::array* packages = deploy["packages"].as_array();
+    REQUIRE(packages);
+    for (const toml::node& package : *packages) CHECK(package.is_string());
+}
