--- a/apps/standins_main.cpp
+++ b/apps/emulator_main.cpp
@@ -7,9 +7,9 @@
 #include <fstream>
 #include <iostream>
 
-#include "lab/draw.h"
-#include "lab/rehearsal.h"
-#include "lab/scenarios.h"
+#include "simulation/bundled_scenarios.h"
+#include "simulation/rehearsal.h"
+#include "simulation/scenario_generator.h"
 
 namespace {
 
@@ -27,18 +27,19 @@
 }
 
 int list() {
-    for (const lab::Scenario& s : lab::scenarios()) std::cout << s.name << "\n    " << about(s.text) << '\n';
+    for (const simulation::BundledScenario& s : simulation::scenarios())
+        std::cout << s.name << "\n    " << about(s.text) << '\n';
     return 0;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"whinpost-standins: stand-ins for nodes, list service and owners, with real placers"};
+    CLI::App app{"whinpost-emulator: stand-ins for nodes, list service and owners, with real placers"};
     app.require_subcommand(1);
     const std::string beside = (std::filesystem::path(argv[0]).parent_path() / "whinpost").string();
 
-    lab::Wish day;
+    simulation::RehearsalOptions day;
     day.sockets = true;
     day.program = beside;
     CLI::App* play = app.add_subcommand("play", "Play a scripted day on loopback and check the rules");
@@ -47,7 +48,7 @@
     play->add_option("--dir", day.out, "Where placers' files and logs go; a new one under /tmp if not given");
     play->add_option("--seed", day.seed, "Another seed than the script's");
 
-    lab::Wish wish;
+    simulation::RehearsalOptions wish;
     wish.program = beside;
     std::string on = "virtual";
     bool listing = false, big = false;
@@ -81,14 +82,14 @@
     CLI11_PARSE(app, argc, argv);
     google::protobuf::SetLogHandler(nullptr);
     try {
-        if (play->parsed()) return lab::rehearse(day, std::cout, std::cerr);
+        if (play->parsed()) return simulation::run_rehearsal(day, std::cout, std::cerr);
         if (listing) return list();
         wish.sockets = on == "sockets";
         if (rehearse->count("--draw")) {
             if (!wish.out.empty()) std::filesystem::create_directories(wish.out);
             wish.scenario = (wish.out.empty() ? "" : wish.out + "/") + std::string("drawn-") +
                             std::to_string(drawn) + ".toml";
-            std::ofstream(wish.scenario) << lab::draw(drawn, big);
+            std::ofstream(wish.scenario) << simulation::generate_scenario(drawn, big);
             std::cout << "kept as " << wish.scenario << '\n';
         }
         if (wish.scenario.empty()) {
@@ -96,9 +97,9 @@
                          "--draw one\n";
             return 2;
         }
-        return lab::rehearse(wish, std::cout, std::cerr);
+        return simulation::run_rehearsal(wish, std::cout, std::cerr);
     } catch (const std::exception& e) {
-        std::cerr << "whinpost-standins: " << e.what() << '\n';
+        std::cerr << "whinpost-emulator: " << e.what() << '\n';
         return 2;
     }
 }
--- a/apps/migrate.cpp
+++ b/apps/migrate.cpp
@@ -15,8 +15,8 @@
 
 namespace {
 
-bool read(const std::string& path, whinpost::migrate::File& into) {
-    const std::optional<std::string> text = config::text_of(path);
+bool read(const std::string& path, whinpost::migrate::NamedText& into) {
+    const std::optional<std::string> text = config::read_text_file(path);
     if (text) into = {path, *text};
     else std::cerr << path << ":0: file: can't be read\n";
     return text.has_value();
@@ -50,10 +50,11 @@
 
 int migrate(const std::string& old_path, const std::string& shape_path, const std::string& new_path,
             bool dry_run) {
-    whinpost::migrate::File old, shape;
+    whinpost::migrate::NamedText old, shape;
     const bool old_read = read(old_path, old), shape_read = read(shape_path, shape);  // both are told of
     if (!old_read || !shape_read) return 2;
-    const whinpost::migrate::Counterpart c = whinpost::migrate::counterpart(old, shape, new_path);
+    const whinpost::migrate::MigrationResult c =
+        whinpost::migrate::migrate_configuration(old, shape, new_path);
     for (const std::string& p : c.problems) std::cerr << p << '\n';
     if (!c.problems.empty()) return 2;
     std::error_code none;
--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -7,18 +7,18 @@
 #include <string>
 
 #include "ledger/ledger.h"
-#include "net/event_loop.h"
-#include "planner/planner.h"
-#include "platform/briefing.h"
-#include "platform/front.h"
-#include "terms/terms.h"
+#include "net/libevent_loop.h"
+#include "planner/local_planner.h"
+#include "platform/bootstrap_config.h"
+#include "platform/platform_server.h"
+#include "settings/settings.h"
 
 namespace whinpost::apps {
 namespace {
 
 std::string variable(const char* name) {
     const char* v = std::getenv(name);
-    if (!v || !*v) throw platform::Wrong(std::string(name) + ": is not set");
+    if (!v || !*v) throw platform::BootstrapError(std::string(name) + ": is not set");
     return v;
 }
 std::vector<std::string> texts(const std::vector<std::string_view>& in) { return {in.begin(), in.end()}; }
@@ -27,30 +27,30 @@
     const std::string path = variable("GW_CONFIG");
     const std::string listen = variable("GW_LISTEN");
     variable("GW_NAME");
-    const log::Log log(level, log::Form::text);
-    net::EventLoop loop;
-    std::optional<platform::Briefing> told = platform::Briefing::read(path);
-    const terms::Paths& settings = told->settings();
-    const auto groups = terms::queue_groups(settings);
-    const auto kinds = terms::machine_kinds(settings);
-    const LaunchTerms launches = terms::launch_terms(settings);
-    const ColdTerms cold = terms::cold_terms(settings);
+    const log::Logger log(level, log::Format::text);
+    net::LibeventLoop loop;
+    std::optional<platform::BootstrapConfig> told = platform::BootstrapConfig::read(path);
+    const settings::Settings& settings = told->settings();
+    const auto groups = settings::queue_groups(settings);
+    const auto kinds = settings::worker_kinds(settings);
+    const RetrySettings launches = settings::retry_settings(settings);
+    const SlowStartSettings cold = settings::slow_start_settings(settings);
     const auto kind_names = texts(settings.list("flavors"));
     if (kind_names.size() != kinds.size())
         settings.wrong("flavors", "does not match family_info.cpu_of_kind");
     ledger::Ledger ledger(groups, launches, cold);
-    platform::Front front(loop, log, ledger, terms::group_names(settings), kinds, kind_names,
-                          texts(settings.list("zones")), settings.micros("limits.dial_timeout_us"),
-                          settings.micros("limits.conn_idle_us"), told->sockets(), told->seed());
-    planner::Planner planner(front, told->seed(), terms::zone(settings), groups, kinds,
-                             terms::acceptance(settings), cold, terms::list_terms(settings), launches,
-                             terms::prices(settings));
+    platform::PlatformServer front(loop, log, ledger, settings::group_names(settings), kinds, kind_names,
+                                   texts(settings.list("zones")), settings.micros("limits.dial_timeout_us"),
+                                   settings.micros("limits.conn_idle_us"), told->sockets(), told->seed());
+    planner::LocalPlanner planner(
+        front, told->seed(), settings::zone(settings), groups, kinds, settings::worker_acceptance(settings),
+        cold, settings::discovery_settings(settings), launches, settings::prices(settings));
     front.plan_with(planner);
     for (const std::string& e : told->known()) front.bus().known(e);
     // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
     loop.on_signal(SIGHUP, [&] {
         try {
-            front.bus().moved(platform::Briefing::read(path).bus());
+            front.bus().moved(platform::BootstrapConfig::read(path).bus());
             log(log::Level::info, "read_again", {{"file", path}});
         } catch (const std::exception& e) {
             log(log::Level::error, "read_again_failed", {{"why", e.what()}});
@@ -60,7 +60,7 @@
     loop.on_signal(SIGTERM, end);
     loop.on_signal(SIGINT, end);
     const std::string wrong = front.listen(listen);
-    if (!wrong.empty()) throw platform::Wrong("GW_LISTEN: " + listen + ": " + wrong);
+    if (!wrong.empty()) throw platform::BootstrapError("GW_LISTEN: " + listen + ": " + wrong);
     front.bus().follow(told->bus(), told->offset());
     told.reset();
     log(log::Level::info, "serving", {{"listen", listen}});
--- a/apps/platform.h
+++ b/apps/platform.h
@@ -1,6 +1,6 @@
 // `whinpost platform`: one placer on the platform's protocol, as its variables and its file say.
 #pragma once
-#include "log/log.h"
+#include "log/logger.h"
 
 namespace whinpost::apps {
 
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -12,9 +12,9 @@
 #include <string>
 #include <vector>
 
-#include "embedded.h"
+#include "embedded_placer.h"
 #include "migrate.h"
-#include "net/event_loop.h"
+#include "net/libevent_loop.h"
 #include "platform.h"
 
 namespace {
@@ -30,12 +30,12 @@
 }
 
 int run(const std::string& path) {
-    net::EventLoop loop;
+    net::LibeventLoop loop;
     config::Document file = config::Document::read(path);
     std::vector<std::string> problems;
     std::random_device chance;
     const auto draw = [&chance] { return (static_cast<std::uint64_t>(chance()) << 32 | chance()) | 1; };
-    const auto placer = apps::Embedded::make(loop, file, draw(), draw(), problems);
+    const auto placer = apps::EmbeddedPlacer::make(loop, file, draw(), draw(), problems);
     for (const std::string& p : problems) std::cerr << p << '\n';
     if (!placer) return 1;
     const std::string wrong = placer->start();
@@ -56,7 +56,7 @@
 
 // The stand-ins are a program of their own, beside this one, and never linked into it.
 int rehearse(const char* self, std::vector<std::string> args) {
-    const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-standins").string();
+    const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-emulator").string();
     args.insert(args.begin(), {program, "rehearse"});
     std::vector<char*> words;
     for (std::string& a : args) words.push_back(a.data());
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -21,10 +21,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "net/event_loop.h"
-#include "proto/list.pb.h"
-#include "proto/node.pb.h"
-#include "proto/owner.pb.h"
+#include "net/libevent_loop.h"
+#include "proto/client.pb.h"
+#include "proto/discovery.pb.h"
+#include "proto/worker.pb.h"
 
 namespace {
 
@@ -62,14 +62,14 @@
 template <class Message>
 void send(net::Stream& s, std::string& frame, const Message& m) {
     frame.clear();
-    net::append_frame(frame, m);
+    net::encode_frame(frame, m);
     s.write(frame);
 }
 
-struct LightNode final : net::StreamUser {
+struct LightNode final : net::StreamHandler {
     LightNode(Rig& r, std::string n) : rig(r), name(std::move(n)) {}
     std::size_t received(std::string_view) override;
-    void closed(net::Closed) override { stream.reset(); }
+    void closed(net::CloseReason) override { stream.reset(); }
     Rig& rig;
     std::string name, address, frame;
     std::unique_ptr<net::Listener> listener;
@@ -77,26 +77,26 @@
     std::uint64_t read = 0;
 };
 
-struct ListEnd final : net::StreamUser {
+struct ListEnd final : net::StreamHandler {
     explicit ListEnd(Rig& r) : rig(r) {}
     std::size_t received(std::string_view) override;
-    void closed(net::Closed) override { stream.reset(); }
+    void closed(net::CloseReason) override { stream.reset(); }
     Rig& rig;
     std::unique_ptr<net::Stream> stream;
 };
 
-struct OwnerEnd final : net::StreamUser {
+struct OwnerEnd final : net::StreamHandler {
     explicit OwnerEnd(Rig& r) : rig(r) {}
     void connected() override;
     std::size_t received(std::string_view) override;
-    void closed(net::Closed) override;
+    void closed(net::CloseReason) override;
     Rig& rig;
     std::unique_ptr<net::Stream> stream;
     bool up = false;
 };
 
 struct Rig {
-    net::EventLoop loop;
+    net::LibeventLoop loop;
     double rate = 97, life_s = 1;
     Nanos length = 10 * kSecond, warm = 2 * kSecond;
     std::vector<std::unique_ptr<LightNode>> nodes;
@@ -150,7 +150,7 @@
 std::size_t LightNode::received(std::string_view in) {
     bool too_long = false;
     const std::uint64_t before = read;
-    const std::size_t done = net::frames(in, 1 << 20, too_long, [this](std::string_view f) {
+    const std::size_t done = net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
         v1::ToNode m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
         v1::FromNode out;
@@ -192,7 +192,7 @@
 
 std::size_t ListEnd::received(std::string_view in) {
     bool too_long = false;
-    return net::frames(in, 1 << 20, too_long, [this](std::string_view f) {
+    return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
         v1::ToList m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size())) || !m.has_hello()) return true;
         v1::FromList out;
@@ -222,7 +222,7 @@
     m.mutable_hello()->set_name("load");
     send(*stream, rig.frame, m);
 }
-void OwnerEnd::closed(net::Closed) {
+void OwnerEnd::closed(net::CloseReason) {
     stream.reset();
     if (!up) {  // the placer is not there yet
         rig.pulse = rig.loop.timer([this] { rig.pump(); });
@@ -231,7 +231,7 @@
 }
 std::size_t OwnerEnd::received(std::string_view in) {
     bool too_long = false;
-    return net::frames(in, 1 << 20, too_long, [this](std::string_view f) {
+    return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
         v1::ToOwner m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
         if (m.has_hello()) {
--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "ledger/ledger.h"
-#include "net/net.h"
-#include "proto/node.pb.h"
-#include "wheel/wheel.h"
+#include "net/stream.h"
+#include "proto/worker.pb.h"
+#include "timer_wheel/timer_wheel.h"
 
 namespace {
 
 using namespace whinpost;
 
-struct Deadline final : wheel::Timer {
+struct Deadline final : timer_wheel::Timer {
     void due(Nanos) override { ++fired; }
     int fired = 0;
 };
@@ -34,7 +34,7 @@
 void wheel_moves(benchmark::State& state) {
     const auto n = static_cast<std::size_t>(state.range(0));
     const auto span = spans();
-    wheel::Wheel w(0);
+    timer_wheel::TimerWheel w(0);
     std::vector<Deadline> all(n);
     for (std::size_t i = 0; i < n; ++i) w.arm(all[i], span[i % 4096]);
     std::size_t i = 0;
@@ -95,18 +95,18 @@
 // One container's course through the ledger, with so many others open.
 void ledger_course(benchmark::State& state) {
     ledger::Ledger led({QueueGroup{}}, {4, true}, {});
-    ledger::Node& n = led.meet("n");
-    led.listed(0, n, {0, 0, 0, 8, 16, Stage::serving, 0});
-    Asked a;
+    ledger::WorkerRecord& n = led.meet("n");
+    led.listed(0, n, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
+    ResourceRequest a;
     a.time_left = 5 * kSecond;
     for (std::int64_t i = 0; i < state.range(0); ++i) led.take(0, "waiting", 1, a);
     for (auto _ : state) {
         ledger::Refusal why{};
-        ledger::Record& r = led.take(0, "c", 1, a);
-        ledger::Launch& l = *led.launch(0, r, n, kSecond, why);
+        ledger::TaskRecord& r = led.take(0, "c", 1, a);
+        ledger::Attempt& l = *led.launch(0, r, n, kSecond, why);
         led.accepted(0, l);
         led.runs(0, l);
-        led.ended(0, l, Ending::served);
+        led.ended(0, l, AttemptOutcome::served);
         led.forget(r);
     }
 }
@@ -124,10 +124,10 @@
         l.set_memory(1);
         l.set_ask(123456);
         frame.clear();
-        net::append_frame(frame, m);
+        net::encode_frame(frame, m);
         v1::ToNode back;
         bool too_long = false;
-        net::frames(frame, 1 << 20, too_long, [&back](std::string_view f) {
+        net::decode_frames(frame, 1 << 20, too_long, [&back](std::string_view f) {
             return back.ParseFromArray(f.data(), static_cast<int>(f.size()));
         });
         benchmark::DoNotOptimize(back);
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -8,8 +8,8 @@
 #include <string>
 #include <vector>
 
-#include "platform_rig.h"
-#include "quiet_planner.h"
+#include "support/platform_rig.h"
+#include "support/quiet_planner.h"
 
 namespace {
 
@@ -28,7 +28,7 @@
 // Says anything that a planner may say, of tasks that it was told of and of others.
 class RandomPlanner final : public QuietPlanner {
 public:
-    RandomPlanner(platform::Front& front, std::size_t hosts, std::uint64_t seed)
+    RandomPlanner(platform::PlatformServer& front, std::size_t hosts, std::uint64_t seed)
         : front_(front), hosts_(hosts), chance_(static_cast<std::ranlux24_base::result_type>(seed)) {}
     void round(Nanos now) override {
         for (int i = 0; i < 3; ++i) say_something(taken.empty() ? 1 : taken[roll(taken.size())]);
@@ -37,9 +37,9 @@
 
 private:
     std::size_t roll(std::size_t n) { return chance_() % n; }
-    void say_something(planner::ContainerNumber task) {
+    void say_something(planner::TaskNumber task) {
         const std::size_t what = roll(40);
-        const auto host = static_cast<planner::NodeNumber>(roll(hosts_));
+        const auto host = static_cast<planner::WorkerNumber>(roll(hosts_));
         if (what == 0) front_.defer(task, static_cast<Nanos>(roll(500)) * kMillisecond);
         else if (what == 1) front_.kill(task);
         else if (what == 2) front_.move(task);
@@ -47,7 +47,7 @@
         else if (what < 8) front_.probe(host);
         else if (what < 30) front_.bind(task, host, static_cast<Nanos>(50 + roll(3000)) * kMillisecond);
     }
-    platform::Front& front_;
+    platform::PlatformServer& front_;
     const std::size_t hosts_;
     std::ranlux24_base chance_;
 };
@@ -132,32 +132,32 @@
                 ++i;
                 continue;
             }
-            const std::uint8_t causes[] = {signalling::kOk, signalling::kOk, signalling::kReset,
-                                           signalling::kError};
+            const std::uint8_t causes[] = {platform_codec::kOk, platform_codec::kOk, platform_codec::kReset,
+                                           platform_codec::kError};
             host.last().release(running[i], causes[roll(4)], luck(20) ? "evicted" : "");
             running.erase(running.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
     void host_hears(PlatformRig::HostAt& host, Line& line, const Line::Got& message) {
-        if (message.type == Type::test) {
+        if (message.type == MessageType::test) {
             Message reply;
-            reply.type = Type::tested;
+            reply.type = MessageType::tested;
             reply.task = message.task;
-            reply.cause = luck(90) ? signalling::kPassed : signalling::kFailed;
+            reply.cause = luck(90) ? platform_codec::kPassed : platform_codec::kFailed;
             const std::string report = "x0:" + std::to_string(roll(16)) + ";x1:" + std::to_string(roll(32)) +
                                        ";busy:0." + std::to_string(roll(10));
             if (luck(80)) reply.report = report;
             line.say(reply);
             return;
         }
-        if (message.type != Type::set_up || luck(4)) return;
+        if (message.type != MessageType::set_up || luck(4)) return;
         const std::size_t kind = roll(20);
-        if (kind == 0) return line.release(message.task, signalling::kFull, "no_cores");
-        if (kind == 1) return line.release(message.task, signalling::kFull, "queue_full");
-        if (kind == 2) return line.release(message.task, signalling::kError);
-        if (kind == 3) return line.release(message.task, signalling::kFull, "not_here");
-        if (kind == 4) return line.release(message.task, signalling::kReset, "sent_away");
+        if (kind == 0) return line.release(message.task, platform_codec::kFull, "no_cores");
+        if (kind == 1) return line.release(message.task, platform_codec::kFull, "queue_full");
+        if (kind == 2) return line.release(message.task, platform_codec::kError);
+        if (kind == 3) return line.release(message.task, platform_codec::kFull, "not_here");
+        if (kind == 4) return line.release(message.task, platform_codec::kReset, "sent_away");
         if (kind == 5) return note(line, message.task);
         if (kind == 6) return answer_and_end(line, message.task);
         if (kind == 7 && luck(20)) return line.answer(message.task, "");
@@ -168,9 +168,9 @@
     // It has run to its end before its answer was written: both in one message.
     void answer_and_end(Line& line, std::uint64_t task) {
         Message m;
-        m.type = Type::release;
+        m.type = MessageType::release;
         m.task = task;
-        m.cause = signalling::kOk;
+        m.cause = platform_codec::kOk;
         m.description = "ran";
         line.say(m);
     }
@@ -179,7 +179,7 @@
         const char* kinds[] = {"runs", "cores", "memory", "served", "pressure"};
         const std::string figure = "0." + std::to_string(1 + roll(9));
         Message m;
-        m.type = Type::note;
+        m.type = MessageType::note;
         m.task = task;
         m.notes = kinds[roll(5)];
         if (luck(95)) m.figure = figure;
@@ -188,9 +188,10 @@
 
     void client_releases() {
         auto& client = *clients_[roll(clients_.size())];
-        if (luck(60)) client.release(next_id_ - std::min<std::uint64_t>(next_id_, roll(12)), signalling::kOk);
+        if (luck(60))
+            client.release(next_id_ - std::min<std::uint64_t>(next_id_, roll(12)), platform_codec::kOk);
         Message m;
-        m.type = luck(50) ? Type::test : Type::release_heard;
+        m.type = luck(50) ? MessageType::test : MessageType::release_heard;
         m.task = roll(next_id_);
         m.cause = 0;
         client.say(m);
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -15,15 +15,15 @@
 #include <utility>
 
 #include "ledger/ledger.h"
-#include "planner/planner.h"
-#include "whinpost/mark.h"
+#include "planner/local_planner.h"
+#include "whinpost/stable_hash.h"
 
 namespace whinpost::bench {
 namespace {
 
 using Json = nlohmann::json;
 
-constexpr MachineKind kWorkerSize{16, 32};
+constexpr WorkerKind kWorkerSize{16, 32};
 constexpr double kTaskCores = 1, kTaskMemory = 1;
 constexpr Nanos kQueueTimeout = 4 * kSecond, kTaskLife = 2 * kSecond;
 constexpr Nanos kStep = 20 * kMillisecond;  // between two moments of the hollow world
@@ -54,18 +54,19 @@
 }
 
 // One placer among hollow workers that accept and run whatever they get, and hollow clients.
-class HollowWorld final : public planner::Bindings {
+class HollowWorld final : public planner::PlannerHandler {
 public:
     explicit HollowWorld(const ScaleSizes& s)
         : sizes_(s), cold_{0.25, 10 * kSecond, 3, 2 * kSecond, 40, s.placers, 0},
           ledger_(queue_groups(s.queue_groups), {4, true}, cold_),
           planner_(*this, 5, 0, queue_groups(s.queue_groups), {kWorkerSize},
-                   Acceptance{2.5, 1.5, false, false, true, false, true}, cold_, {}, {4, true},
+                   WorkerAcceptance{2.5, 1.5, false, false, true, false, true}, cold_, {}, {4, true},
                    Prices{0.02}) {}
 
     void list_all(bool full) {
         for (int i = 0; i < sizes_.workers; ++i) {
-            Listed l{i % sizes_.zones, i / 40, 0, kWorkerSize.cores, kWorkerSize.memory, Stage::serving, 0};
+            EndpointState l{i % sizes_.zones,       i / 40, 0, kWorkerSize.cores, kWorkerSize.memory,
+                            EndpointPhase::serving, 0};
             if (full) l.free_cores = -1.5 * kWorkerSize.cores;
             listed_.push_back(l);
             nodes_.push_back(&ledger_.meet("worker-" + std::to_string(i)));
@@ -78,9 +79,9 @@
         for (int i = 0; i < count; ++i) {
             const auto on = static_cast<std::size_t>(i % sizes_.workers);
             const std::uint64_t service = service_of(i);
-            const Asked a = asked(i);
-            const ledger::Record& r = ledger_.take_over(now_, "recovered", service, a, *nodes_[on]);
-            planner_.take_over(now_, r.number, service, a, static_cast<planner::NodeNumber>(on));
+            const ResourceRequest a = asked(i);
+            const ledger::TaskRecord& r = ledger_.take_over(now_, "recovered", service, a, *nodes_[on]);
+            planner_.take_over(now_, r.number, service, a, static_cast<planner::WorkerNumber>(on));
         }
     }
     // One event that tells these workers as they are in `listed()`, and the round after it.
@@ -96,7 +97,7 @@
         for (int i = 0; i < count; ++i) {
             const int n = asks_++;
             const std::uint64_t service = service_of(n);
-            const ledger::Record& r = ledger_.take(now_, "task", service, asked(n));
+            const ledger::TaskRecord& r = ledger_.take(now_, "task", service, asked(n));
             planner_.take(now_, r.number, service, asked(n));
         }
     }
@@ -108,25 +109,23 @@
     void pass(Nanos by) {
         now_ += by;
         while (!running_.empty() && running_.front().first <= now_) {
-            end(running_.front().second, Ending::served);
+            end(running_.front().second, AttemptOutcome::served);
             running_.pop_front();
         }
     }
-    std::vector<Listed>& listed() { return listed_; }
+    std::vector<EndpointState>& listed() { return listed_; }
     int asks() const { return asks_; }
     int answered() const { return answered_; }
     double longest_s() const { return longest_; }
     void forget_longest() { longest_ = 0; }
     Nanos now() const { return now_; }
 
-    void bind(planner::ContainerNumber n, planner::NodeNumber to, Nanos) override {
-        bound_.push_back({n, to});
-    }
-    void defer(planner::ContainerNumber n, Nanos) override { answer(n); }
-    void kill(planner::ContainerNumber n) override { answer(n); }
-    void move(planner::ContainerNumber) override {}
-    void stop_waiting(planner::ContainerNumber, int) override {}
-    void probe(planner::NodeNumber) override {}
+    void bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos) override { bound_.push_back({n, to}); }
+    void defer(planner::TaskNumber n, Nanos) override { answer(n); }
+    void kill(planner::TaskNumber n) override { answer(n); }
+    void move(planner::TaskNumber) override {}
+    void stop_waiting(planner::TaskNumber, int) override {}
+    void probe(planner::WorkerNumber) override {}
     void follow_list() override {}
     void fetch_list() override {}
     void wake(Nanos) override {}
@@ -134,10 +133,10 @@
 
 private:
     std::uint64_t service_of(int n) const {
-        return mark_of("service-" + std::to_string(n % sizes_.services));
+        return stable_hash("service-" + std::to_string(n % sizes_.services));
     }
-    Asked asked(int n) const {
-        Asked a;
+    ResourceRequest asked(int n) const {
+        ResourceRequest a;
         a.cores = kTaskCores;
         a.memory = kTaskMemory;
         a.group = n % sizes_.queue_groups;
@@ -147,7 +146,7 @@
     void tell(int i) {
         const auto at = static_cast<std::size_t>(i);
         ledger_.listed(now_, *nodes_[at], listed_[at]);
-        planner_.node(now_, static_cast<planner::NodeNumber>(i), nodes_[at]->mark, listed_[at]);
+        planner_.node(now_, static_cast<planner::WorkerNumber>(i), nodes_[at]->mark, listed_[at]);
     }
     template <class F>
     void timed(F what) {
@@ -155,8 +154,8 @@
         what();
         longest_ = std::max(longest_, processor_seconds() - before);
     }
-    void answer(planner::ContainerNumber n) {
-        ledger::Record* r = ledger_.find(n);
+    void answer(planner::TaskNumber n) {
+        ledger::TaskRecord* r = ledger_.find(n);
         if (!r) return;
         answered_ += now_ <= r->until;
         ledger_.give(now_, *r, ledger_.honest(*r));
@@ -165,10 +164,10 @@
     void carry_out() {
         for (const auto& [n, to] : std::exchange(bound_, {})) {
             ledger::Refusal why{};
-            ledger::Record* r = ledger_.find(n);
-            ledger::Launch* l = r ? ledger_.launch(now_, *r, *nodes_[to], kSecond, why) : nullptr;
+            ledger::TaskRecord* r = ledger_.find(n);
+            ledger::Attempt* l = r ? ledger_.launch(now_, *r, *nodes_[to], kSecond, why) : nullptr;
             if (!l) {
-                planner_.ended(now_, n, 0, Ending::unsent, Reason::untold, false, {});
+                planner_.ended(now_, n, 0, AttemptOutcome::unsent, OutcomeReason::untold, false, {});
                 continue;
             }
             answered_ += now_ <= r->until;
@@ -177,22 +176,22 @@
             running_.push_back({now_ + kTaskLife, n});
         }
     }
-    void end(planner::ContainerNumber n, Ending how) {
-        ledger::Record* r = ledger_.find(n);
+    void end(planner::TaskNumber n, AttemptOutcome how) {
+        ledger::TaskRecord* r = ledger_.find(n);
         if (r->out) ledger_.ended(now_, *r->out, how);
-        planner_.ended(now_, n, 0, how, Reason::untold, true, {});
+        planner_.ended(now_, n, 0, how, OutcomeReason::untold, true, {});
         ledger_.forget(*r);
     }
 
     const ScaleSizes sizes_;
-    const ColdTerms cold_;
+    const SlowStartSettings cold_;
     ledger::Ledger ledger_;
-    planner::Planner planner_;
+    planner::LocalPlanner planner_;
     Nanos now_ = 1'000'000 * kSecond;
-    std::vector<Listed> listed_;
-    std::vector<ledger::Node*> nodes_;
-    std::vector<std::pair<planner::ContainerNumber, planner::NodeNumber>> bound_;
-    std::deque<std::pair<Nanos, planner::ContainerNumber>> running_;
+    std::vector<EndpointState> listed_;
+    std::vector<ledger::WorkerRecord*> nodes_;
+    std::vector<std::pair<planner::TaskNumber, planner::WorkerNumber>> bound_;
+    std::deque<std::pair<Nanos, planner::TaskNumber>> running_;
     int asks_ = 0, answered_ = 0;
     double longest_ = 0;
 };
@@ -211,7 +210,7 @@
             std::vector<int> told;
             for (int k = 0; k < 3; ++k) {
                 const int i = static_cast<int>(chance() % static_cast<unsigned>(s.workers));
-                Listed& l = w.listed()[static_cast<std::size_t>(i)];
+                EndpointState& l = w.listed()[static_cast<std::size_t>(i)];
                 l.free_cores += chance() % 2 ? 1e-3 : -1e-3;  // told anew, and nothing is decided by it
                 told.push_back(i);
             }
@@ -237,7 +236,7 @@
         w.list_all(false);
         std::vector<int> zone;
         for (int i = 0; i < s.workers; i += s.zones) zone.push_back(i);
-        for (const int i : zone) w.listed()[static_cast<std::size_t>(i)].stage = Stage::gone;
+        for (const int i : zone) w.listed()[static_cast<std::size_t>(i)].stage = EndpointPhase::gone;
         const double before = processor_seconds();
         if (at_once) w.event(zone);
         else
@@ -292,7 +291,7 @@
     f.state_event_ms = 1e3 * each(20, [&](int i) {
                            const int worker = i / 2 % s.workers;
                            w.listed()[static_cast<std::size_t>(worker)].stage =
-                               i % 2 ? Stage::serving : Stage::draining;
+                               i % 2 ? EndpointPhase::serving : EndpointPhase::draining;
                            w.pass(kMillisecond);
                            w.event({worker});
                        });
--- a/bench/scale.h
+++ b/bench/scale.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
 namespace whinpost::bench {
 
--- a/bench/emulator.cpp
+++ b/bench/virtual_time.cpp
@@ -6,12 +6,12 @@
 #include <chrono>
 #include <iostream>
 
-#include "lab/rehearsal.h"
-#include "lab/sim_ground.h"
+#include "simulation/rehearsal.h"
+#include "simulation/simulated_environment.h"
 
 int main(int argc, char** argv) {
     using namespace whinpost;
-    CLI::App app{"whinpost_emulator: how fast virtual time runs"};
+    CLI::App app{"whinpost_virtual_time: how fast virtual time runs"};
     std::string path;
     std::size_t nodes = 0, placers = 0;
     double seconds = 0, rate = 1;
@@ -23,20 +23,20 @@
     CLI11_PARSE(app, argc, argv);
     std::vector<std::string> problems;
     std::string problem;
-    const std::string text = lab::scenario_text(path, problem);
+    const std::string text = simulation::load_scenario(path, problem);
     if (!problem.empty()) problems.push_back(problem);
-    standin::Plan plan;
-    if (problems.empty()) plan = standin::parse_plan(text, path, problems, placers, nodes);
+    emulator::Scenario plan;
+    if (problems.empty()) plan = emulator::parse_scenario(text, path, problems, placers, nodes);
     for (const std::string& p : problems) std::cerr << p << '\n';
     if (!problems.empty()) return 2;
     if (seconds > 0) plan.length = static_cast<Nanos>(seconds * 1e9);
-    for (standin::Load& l : plan.loads) l.a_second *= rate;
-    lab::World world(plan.seed, lab::delays_of(plan));
-    lab::SimGround ground(world, plan.placers, plan.zones);
-    standin::Play day(plan, ground, [](const std::string&) {});
+    for (emulator::LoadProfile& l : plan.loads) l.a_second *= rate;
+    simulation::SimulatedNetwork world(plan.seed, simulation::network_delays(plan));
+    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
+    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
     const Nanos from = world.now();
     const auto began = std::chrono::steady_clock::now();
-    const standin::Outcome out = lab::play(world, day);
+    const emulator::RunResult out = simulation::run_to_end(world, day);
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
     const double simulated = static_cast<double>(world.now() - from) / 1e9;
     rusage used{};
--- a/demo.sh
+++ b/demo.sh
@@ -6,5 +6,5 @@
 ./setup.sh
 cmake -G Ninja -B build-demo -DCMAKE_BUILD_TYPE=Release -DWHINPOST_PROGRAM=ON >build-demo.log 2>&1 ||
     { cat build-demo.log; exit 2; }
-cmake --build build-demo --target whinpost_program whinpost-standins | tail -n 1
-exec build-demo/apps/whinpost-standins play "${1:-standin/days/bad-day.toml}"
+cmake --build build-demo --target whinpost_program whinpost-emulator | tail -n 1
+exec build-demo/apps/whinpost-emulator play "${1:-emulator/days/bad-day.toml}"
--- a/standin/list_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -1,14 +1,14 @@
-#include "standin/list_service.h"
+#include "emulator/discovery_service.h"
 
 #include <algorithm>
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-struct ListService::Session final : net::StreamUser {
-    Session(ListService& s, std::unique_ptr<net::Stream> st) : service(s), stream(std::move(st)) {}
+struct DiscoveryService::Session final : net::StreamHandler {
+    Session(DiscoveryService& s, std::unique_ptr<net::Stream> st) : service(s), stream(std::move(st)) {}
     std::size_t received(std::string_view in) override {
         bool too_long = false;
-        return net::frames(in, 1 << 16, too_long, [this](std::string_view f) {
+        return net::decode_frames(in, 1 << 16, too_long, [this](std::string_view f) {
             v1::ToList m;
             if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
             if (m.has_hello()) {
@@ -29,7 +29,7 @@
             return true;
         });
     }
-    void closed(net::Closed) override {
+    void closed(net::CloseReason) override {
         stream.reset();
         auto& all = service.sessions_;
         const auto it =
@@ -38,18 +38,19 @@
         all.erase(it);
         service.sweep_->arm(service.loop_.now());
     }
-    ListService& service;
+    DiscoveryService& service;
     std::unique_ptr<net::Stream> stream;
     std::string placer;
     bool follows = false;
 };
 
-ListService::ListService(net::Loop& l, Seen& s, bool push, Nanos late, std::uint64_t incarnation)
+DiscoveryService::DiscoveryService(net::EventLoop& l, EventLog& s, bool push, Nanos late,
+                                   std::uint64_t incarnation)
     : loop_(l), seen_(s), push_(push), late_(late), incarnation_(incarnation),
       flush_(l.timer([this] { flush(); })), sweep_(l.timer([this] { left_.clear(); })) {}
-ListService::~ListService() = default;
+DiscoveryService::~DiscoveryService() = default;
 
-std::string ListService::listen(const std::string& address) {
+std::string DiscoveryService::listen(const std::string& address) {
     std::string error;
     listener_ = loop_.listen(
         address,
@@ -63,31 +64,31 @@
     return listener_ ? "" : error;
 }
 
-v1::Entry ListService::aged(const Known& k) const {
+v1::Entry DiscoveryService::aged(const Known& k) const {
     v1::Entry e = k.entry;
     e.set_up_for(k.started ? std::max<Nanos>(1, loop_.now() - k.started) : 0);
     return e;
 }
 
-void ListService::send(Session& s, const v1::FromList& m) {
+void DiscoveryService::send(Session& s, const v1::FromList& m) {
     if (!s.stream) return;
     std::string frame;
-    net::append_frame(frame, m);
+    net::encode_frame(frame, m);
     s.stream->write(frame);
     if (!m.has_entries()) return;
     for (const v1::Entry& e : m.entries().entries()) {
-        Line l;
+        RecordedEvent l;
         l.at = loop_.now();
-        l.what = e.stage() == v1::Entry::SERVING    ? What::list_serving
-                 : e.stage() == v1::Entry::DRAINING ? What::list_draining
-                                                    : What::list_gone;
+        l.what = e.stage() == v1::Entry::SERVING    ? EventKind::list_serving
+                 : e.stage() == v1::Entry::DRAINING ? EventKind::list_draining
+                                                    : EventKind::list_gone;
         l.placer = s.placer;
         l.node = e.node();
         seen_.add(std::move(l));
     }
 }
 
-void ListService::tell(Session& s, const std::vector<std::string>& changed, bool whole) {
+void DiscoveryService::tell(Session& s, const std::vector<std::string>& changed, bool whole) {
     v1::FromList m;
     if (old_since_) {
         m = old_view_;
@@ -109,13 +110,13 @@
     send(s, m);
 }
 
-void ListService::put(const v1::Entry& e, Nanos started) {
+void DiscoveryService::put(const v1::Entry& e, Nanos started) {
     known_[e.node()] = {e, started};
     changes_.emplace_back(loop_.now() + late_, e.node());
     flush_->arm(changes_.front().first);
 }
 
-void ListService::remove(const std::string& node) {
+void DiscoveryService::remove(const std::string& node) {
     const auto it = known_.find(node);
     if (it == known_.end()) return;
     it->second.entry.set_stage(v1::Entry::GONE);
@@ -123,7 +124,7 @@
     flush_->arm(changes_.front().first);
 }
 
-void ListService::flush() {
+void DiscoveryService::flush() {
     if (still_ || old_since_) {
         flush_->arm(loop_.now() + 100 * kMillisecond);
         return;
@@ -141,7 +142,7 @@
         if (s->follows) tell(*s, due, false);
 }
 
-void ListService::down(bool on) {
+void DiscoveryService::down(bool on) {
     if (!on) {
         listen(address_);
         return;
@@ -155,19 +156,19 @@
     sweep_->arm(loop_.now());
 }
 
-void ListService::go_backwards() {
+void DiscoveryService::go_backwards() {
     if (old_.empty()) return;
     for (const auto& s : sessions_) {
         // Not through send(): the checker is not to take what is old for what is so.
         if (!s->stream) continue;
         std::string frame;
-        net::append_frame(frame, old_.front());
+        net::encode_frame(frame, old_.front());
         s->stream->write(frame);
     }
 }
 
-void ListService::be_old(Nanos age, const std::vector<v1::Entry>& ghosts,
-                         const std::vector<std::string>& unknown) {
+void DiscoveryService::be_old(Nanos age, const std::vector<v1::Entry>& ghosts,
+                              const std::vector<std::string>& unknown) {
     old_since_ = loop_.now() - age;
     old_view_.mutable_entries()->set_whole(true);
     for (const auto& [name, k] : known_)
@@ -176,21 +177,21 @@
     for (const v1::Entry& e : ghosts) *old_view_.mutable_entries()->add_entries() = e;
 }
 
-void ListService::end_old() {
+void DiscoveryService::end_old() {
     old_since_ = 0;
     ++number_;
     for (const auto& s : sessions_)
         if (s->follows) tell(*s, {}, true);
 }
 
-void ListService::name_none() {
+void DiscoveryService::name_none() {
     v1::FromList m;
     m.mutable_entries()->set_whole(true);
     m.mutable_entries()->set_number(++number_);
     for (const auto& s : sessions_) send(*s, m);
 }
 
-void ListService::name_twice(const std::string& node, const v1::Entry& other) {
+void DiscoveryService::name_twice(const std::string& node, const v1::Entry& other) {
     v1::FromList m;
     m.mutable_entries()->set_number(++number_);
     *m.mutable_entries()->add_entries() = other;
@@ -198,4 +199,4 @@
     for (const auto& s : sessions_) send(*s, m);
 }
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/list_service.h
+++ b/emulator/discovery_service.h
@@ -6,16 +6,16 @@
 #include <string>
 #include <vector>
 
-#include "net/net.h"
-#include "proto/list.pb.h"
-#include "standin/seen.h"
+#include "emulator/event_log.h"
+#include "net/stream.h"
+#include "proto/discovery.pb.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-class ListService {
+class DiscoveryService {
 public:
-    ListService(net::Loop&, Seen&, bool push, Nanos late, std::uint64_t incarnation);
-    ~ListService();
+    DiscoveryService(net::EventLoop&, EventLog&, bool push, Nanos late, std::uint64_t incarnation);
+    ~DiscoveryService();
     std::string listen(const std::string& address);
     std::string address() const { return address_; }
 
@@ -43,8 +43,8 @@
     v1::Entry aged(const Known&) const;
     void send(Session&, const v1::FromList&);
 
-    net::Loop& loop_;
-    Seen& seen_;
+    net::EventLoop& loop_;
+    EventLog& seen_;
     bool push_, still_ = false;
     Nanos old_since_ = 0;  // not 0: the time of the view that is told
     v1::FromList old_view_;
@@ -59,4 +59,4 @@
     std::unique_ptr<net::Timer> flush_, sweep_;
 };
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/owner.cpp
+++ b/emulator/emulated_client.cpp
@@ -1,8 +1,8 @@
-#include "standin/owner.h"
+#include "emulator/emulated_client.h"
 
 #include <algorithm>
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
 namespace {
 // How long owners wait before they ask again of themselves; a deferral may ask for more.
@@ -12,18 +12,18 @@
 constexpr Nanos kRedial = 200 * kMillisecond;
 }  // namespace
 
-struct Owner::Task {
-    Ask ask;
+struct EmulatedClient::Task {
+    TaskRequest ask;
     Nanos due = 0, until = 0;  // of its first coming
     std::uint64_t id = 0;      // of the present offer, 0: none
     Session* at = nullptr;
     std::string node;  // where it is placed
     bool started = false, first = true, may_run = false;
-    std::unique_ptr<Later> later;
+    std::unique_ptr<ScheduledCall> later;
 };
 
-struct Owner::Session final : net::StreamUser {
-    Session(Owner& o, std::string a, std::size_t n) : owner(o), address(std::move(a)), number(n) {}
+struct EmulatedClient::Session final : net::StreamHandler {
+    Session(EmulatedClient& o, std::string a, std::size_t n) : owner(o), address(std::move(a)), number(n) {}
     void dial() {
         greeted = false;
         stream = owner.fleet_.loop.dial(address, *this);
@@ -37,21 +37,21 @@
     }
     std::size_t received(std::string_view in) override {
         bool too_long = false;
-        return net::frames(in, 1 << 20, too_long, [this](std::string_view f) {
+        return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
             v1::ToOwner m;
             if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
             owner.heard(*this, m);
             return stream != nullptr;
         });
     }
-    void closed(net::Closed) override { owner.lost(*this); }
+    void closed(net::CloseReason) override { owner.lost(*this); }
     void send(const v1::FromOwner& m) {
         if (!stream) return;
         std::string frame;
-        net::append_frame(frame, m);
+        net::encode_frame(frame, m);
         stream->write(frame);
     }
-    Owner& owner;
+    EmulatedClient& owner;
     std::string address;
     std::size_t number;
     std::unique_ptr<net::Stream> stream;
@@ -59,24 +59,25 @@
     bool greeted = false, away = false;
     std::map<std::uint64_t, Task*> open;
     std::vector<Task*> orphans;  // placed there when the connection was lost
-    std::unique_ptr<Later> redial;
+    std::unique_ptr<ScheduledCall> redial;
 };
 
-Owner::Owner(Fleet& f, std::string name, std::vector<std::string> placers, double lean)
+EmulatedClient::EmulatedClient(EmulatedFleet& f, std::string name, std::vector<std::string> placers,
+                               double lean)
     : fleet_(f), name_(std::move(name)), counts_(f.groups.size()), lean_(lean) {
     for (std::size_t i = 0; i < placers.size(); ++i)
         sessions_.push_back(std::make_unique<Session>(*this, placers[i], i));
 }
-Owner::~Owner() = default;
+EmulatedClient::~EmulatedClient() = default;
 
-void Owner::connect() {
+void EmulatedClient::connect() {
     for (const auto& s : sessions_) s->dial();
 }
 
-bool Owner::connected(std::size_t placer) const { return sessions_[placer]->greeted; }
+bool EmulatedClient::connected(std::size_t placer) const { return sessions_[placer]->greeted; }
 
-Line Owner::line(What w, const Session& s, const Task& t) const {
-    Line l;
+RecordedEvent EmulatedClient::line(EventKind w, const Session& s, const Task& t) const {
+    RecordedEvent l;
     l.at = fleet_.loop.now();
     l.what = w;
     l.placer = s.placer;
@@ -87,7 +88,7 @@
     return l;
 }
 
-void Owner::ask(const Ask& a) {
+void EmulatedClient::ask(const TaskRequest& a) {
     auto& t = tasks_[a.container];
     t = std::make_unique<Task>();
     t->ask = a;
@@ -98,19 +99,19 @@
     send(*t, false);
 }
 
-void Owner::wants(std::vector<double>& by_group) const {
+void EmulatedClient::wants(std::vector<double>& by_group) const {
     for (const auto& [container, t] : tasks_)
         if (t->node.empty()) by_group[static_cast<std::size_t>(t->ask.group)] += 1;
 }
 
-void Owner::send_later(Task& t, Nanos after) {
-    t.later = std::make_unique<Later>([this, &t] { send(t, true); });
+void EmulatedClient::send_later(Task& t, Nanos after) {
+    t.later = std::make_unique<ScheduledCall>([this, &t] { send(t, true); });
     fleet_.arm(*t.later, fleet_.loop.now() + after);
 }
 
-void Owner::send(Task& t, bool again) {
+void EmulatedClient::send(Task& t, bool again) {
     const Nanos now = fleet_.loop.now();
-    GroupCount& c = counts_[static_cast<std::size_t>(t.ask.group)];
+    QueueGroupCounts& c = counts_[static_cast<std::size_t>(t.ask.group)];
     if (t.first && now >= t.until) {  // its queue timeout: the owner has given up
         ++c.never;
         --waiting_;
@@ -141,13 +142,13 @@
     o.set_time_left(t.until - now);
     o.set_life_left(t.ask.life);
     o.set_came_again(again);
-    Line l = line(What::offered, *s, t);
+    RecordedEvent l = line(EventKind::offered, *s, t);
     l.ask = t.id;
     fleet_.seen.add(l);
     s->send(m);
 }
 
-void Owner::heard(Session& s, const v1::ToOwner& m) {
+void EmulatedClient::heard(Session& s, const v1::ToOwner& m) {
     const Nanos now = fleet_.loop.now();
     if (m.has_hello()) {
         s.placer = m.hello().name() + "#" + std::to_string(m.hello().incarnation());
@@ -159,8 +160,8 @@
         const auto it = s.open.find(id);
         return it == s.open.end() ? nullptr : it->second;
     };
-    const auto note = [&](What w, Task& t, std::string text = "") {
-        Line l = line(w, s, t);
+    const auto note = [&](EventKind w, Task& t, std::string text = "") {
+        RecordedEvent l = line(w, s, t);
         l.ask = t.id;
         l.text = std::move(text);
         fleet_.seen.add(std::move(l));
@@ -172,13 +173,13 @@
         t.node.clear();
     };
     if (m.has_taken()) {
-        if (Task* t = find(m.taken().id())) note(What::taken, *t);
+        if (Task* t = find(m.taken().id())) note(EventKind::taken, *t);
     } else if (m.has_placed()) {
         Task* t = find(m.placed().id());
         if (!t) return;
-        note(What::placed, *t, m.placed().node());
+        note(EventKind::placed, *t, m.placed().node());
         t->node = m.placed().node();
-        GroupCount& c = counts_[static_cast<std::size_t>(t->ask.group)];
+        QueueGroupCounts& c = counts_[static_cast<std::size_t>(t->ask.group)];
         if (t->first) {
             ++c.placed;
             --waiting_;
@@ -189,14 +190,14 @@
     } else if (m.has_deferred()) {
         Task* t = find(m.deferred().id());
         if (!t) return;
-        note(What::deferred, *t, m.deferred().why());
+        note(EventKind::deferred, *t, m.deferred().why());
         ++counts_[static_cast<std::size_t>(t->ask.group)].deferred;
         over(*t);
         send_later(*t, std::max<Nanos>(m.deferred().stay_away(), kAgain));
     } else if (m.has_killed()) {
         Task* t = find(m.killed().id());
         if (!t) return;
-        note(What::killed, *t, m.killed().why());
+        note(EventKind::killed, *t, m.killed().why());
         ++counts_[static_cast<std::size_t>(t->ask.group)].killed;
         // It may run. What does no harm twice is asked for again; the rest waits to be found.
         if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].terms.effect == Effect::idempotent) {
@@ -204,7 +205,7 @@
             send_later(*t, kAgain);
         } else {
             t->may_run = true;
-            t->later = std::make_unique<Later>([this, t] {
+            t->later = std::make_unique<ScheduledCall>([this, t] {
                 if (t->at) t->at->open.erase(t->id);
                 if (t->first) --waiting_;
                 ++counts_[static_cast<std::size_t>(t->ask.group)].never;
@@ -227,7 +228,7 @@
     } else if (m.has_over()) {
         Task* t = find(m.over().id());
         if (!t) return;
-        note(What::over, *t, v1::Over::How_Name(m.over().how()));
+        note(EventKind::over, *t, v1::Over::How_Name(m.over().how()));
         over(*t);
         if (m.over().how() == v1::Over::SERVED || m.over().how() == v1::Over::STOPPED) {
             tasks_.erase(t->ask.container);
@@ -247,14 +248,14 @@
 
 // The placer is gone, or only the connection. What had been placed runs on and is handed to the placer when
 // it is back; what waited is asked for again where that does no harm.
-void Owner::lost(Session& s) {
+void EmulatedClient::lost(Session& s) {
     const bool was = s.greeted;
     s.stream.reset();
     s.greeted = false;
     if (was) {
-        Line l;
+        RecordedEvent l;
         l.at = fleet_.loop.now();
-        l.what = What::placer_lost;
+        l.what = EventKind::placer_lost;
         l.placer = s.placer;
         fleet_.seen.add(l);
     }
@@ -280,11 +281,11 @@
         }
     }
     if (s.away) return;
-    s.redial = std::make_unique<Later>([&s] { s.dial(); });
+    s.redial = std::make_unique<ScheduledCall>([&s] { s.dial(); });
     fleet_.arm(*s.redial, fleet_.loop.now() + kRedial);
 }
 
-void Owner::hand_over(Session& s) {
+void EmulatedClient::hand_over(Session& s) {
     std::vector<Task*> now_theirs;
     now_theirs.swap(s.orphans);
     for (Task* t : now_theirs) {
@@ -302,7 +303,7 @@
         o.set_time_left(t->ask.queue_timeout);
         o.set_life_left(t->ask.life);
         m.mutable_hand_over()->set_node(t->node);
-        Line l = line(What::handed_over, s, *t);
+        RecordedEvent l = line(EventKind::handed_over, s, *t);
         l.ask = t->id;
         l.node = t->node;
         fleet_.seen.add(l);
@@ -310,7 +311,7 @@
     }
 }
 
-void Owner::withdraw_some(std::size_t count) {
+void EmulatedClient::withdraw_some(std::size_t count) {
     for (const auto& s : sessions_)
         for (auto it = s->open.begin(); it != s->open.end() && count > 0;) {
             Task& t = *it->second;
@@ -321,7 +322,7 @@
             v1::FromOwner m;
             m.mutable_withdraw()->set_id(t.id);
             s->send(m);
-            Line l = line(What::withdrawn, *s, t);
+            RecordedEvent l = line(EventKind::withdrawn, *s, t);
             l.ask = t.id;
             fleet_.seen.add(l);
             it = s->open.erase(it);
@@ -331,19 +332,19 @@
         }
 }
 
-void Owner::leave(std::size_t placer) {
+void EmulatedClient::leave(std::size_t placer) {
     Session& s = *sessions_[placer];
     s.away = left_ = true;
     s.stream.reset();
     lost(s);
 }
 
-void Owner::half_message(std::size_t placer) {
+void EmulatedClient::half_message(std::size_t placer) {
     if (sessions_[placer]->stream) sessions_[placer]->stream->write(std::string("\0\0\1\0\x0a", 5));
 }
 
-void Owner::read(std::size_t placer, bool on) {
+void EmulatedClient::read(std::size_t placer, bool on) {
     if (sessions_[placer]->stream) sessions_[placer]->stream->read(on);
 }
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/owner.h
+++ b/emulator/emulated_client.h
@@ -8,33 +8,33 @@
 #include <string>
 #include <vector>
 
-#include "net/net.h"
-#include "proto/owner.pb.h"
-#include "standin/node.h"
-#include "standin/seen.h"
-#include "wheel/wheel.h"
+#include "emulator/emulated_worker.h"
+#include "emulator/event_log.h"
+#include "net/stream.h"
+#include "proto/client.pb.h"
+#include "timer_wheel/timer_wheel.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-struct Ask {
+struct TaskRequest {
     std::string container, service;
     int group = 0;
     double cores = 1, memory = 1;
     Nanos queue_timeout = 5 * kSecond, life = 10 * kSecond;
 };
 
-struct GroupCount {
+struct QueueGroupCounts {
     std::uint64_t asked = 0, placed = 0, deferred = 0, killed = 0, in_time = 0, again = 0, never = 0;
 };
 
-class Owner {
+class EmulatedClient {
 public:
     // One of several that share the placers in turn.
     // `lean`: the share of asks that goes to the first, whatever its turn.
-    Owner(Fleet&, std::string name, std::vector<std::string> placers, double lean = 0);
-    ~Owner();
+    EmulatedClient(EmulatedFleet&, std::string name, std::vector<std::string> placers, double lean = 0);
+    ~EmulatedClient();
     void connect();
-    void ask(const Ask&);  // due now: the start target runs from here
+    void ask(const TaskRequest&);  // due now: the start target runs from here
     void withdraw_some(std::size_t count);
     void leave(std::size_t placer);         // closes its connection with all that waits there
     void half_message(std::size_t placer);  // sends half of one, and nothing more, ever
@@ -43,7 +43,7 @@
     std::size_t waiting() const { return waiting_; }
     // Adds, by queue group, how many wait for a place: for the first time, or lost and wanted again.
     void wants(std::vector<double>&) const;
-    const std::vector<GroupCount>& counts() const { return counts_; }
+    const std::vector<QueueGroupCounts>& counts() const { return counts_; }
     bool connected(std::size_t placer) const;
 
 private:
@@ -54,17 +54,17 @@
     void heard(Session&, const v1::ToOwner&);
     void lost(Session&);
     void hand_over(Session&);
-    Line line(What, const Session&, const Task&) const;
+    RecordedEvent line(EventKind, const Session&, const Task&) const;
 
-    Fleet& fleet_;
+    EmulatedFleet& fleet_;
     std::string name_;
     std::vector<std::unique_ptr<Session>> sessions_;
     std::map<std::string, std::unique_ptr<Task>> tasks_;
-    std::vector<GroupCount> counts_;
+    std::vector<QueueGroupCounts> counts_;
     std::uint64_t next_id_ = 1;
     double lean_;
     bool left_ = false;
     std::size_t turn_ = 0, waiting_ = 0;
 };
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/node.cpp
+++ b/emulator/emulated_worker.cpp
@@ -1,26 +1,29 @@
-#include "standin/node.h"
+#include "emulator/emulated_worker.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "whinpost/mark.h"
+#include "whinpost/stable_hash.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
 // ---------------------------------------------------------------- the fleet
 
-Fleet::Fleet(net::Loop& l, Seen& s, std::vector<GroupTerms> g, std::uint64_t seed)
+EmulatedFleet::EmulatedFleet(net::EventLoop& l, EventLog& s, std::vector<NamedQueueGroup> g,
+                             std::uint64_t seed)
     : loop(l), seen(s), groups(std::move(g)), chance(static_cast<std::ranlux24_base::result_type>(seed)),
       swell(groups.size(), 1.0), wheel_(l.now()), tick_(l.timer([this] { turn(); })) {}
 
-double Fleet::drawn() { return -std::log((static_cast<double>(chance() % 1'048'576) + 1) / 1'048'577); }
+double EmulatedFleet::drawn() {
+    return -std::log((static_cast<double>(chance() % 1'048'576) + 1) / 1'048'577);
+}
 
-void Fleet::arm(wheel::Timer& t, Nanos at) {
+void EmulatedFleet::arm(timer_wheel::Timer& t, Nanos at) {
     wheel_.arm(t, at);
     if (!tick_at_ || at < tick_at_) tick_->arm(tick_at_ = at);
 }
 
-void Fleet::turn() {
+void EmulatedFleet::turn() {
     tick_at_ = 0;
     wheel_.turn(loop.now());
     const Nanos next = wheel_.next();
@@ -28,14 +31,14 @@
 }
 
 namespace {
-std::string mark_key(const QueueGroup& g, const std::string& container, int zone, int cell,
-                     const std::string& node) {
+std::string worker_hash(const QueueGroup& g, const std::string& container, int zone, int cell,
+                        const std::string& node) {
     switch (g.repeats_dropped_by) {
-        case Place::zone:
+        case FailureDomain::zone:
             return "zone" + std::to_string(zone) + "/" + container;
-        case Place::cell:
+        case FailureDomain::cell:
             return "cell" + std::to_string(cell) + "/" + container;
-        case Place::machine:
+        case FailureDomain::machine:
             return node + "/" + container;
         default:
             return "all/" + container;
@@ -43,21 +46,21 @@
 }
 }  // namespace
 
-bool Fleet::repeat(Nanos now, int group, const std::string& container, int zone, int cell) {
+bool EmulatedFleet::repeat(Nanos now, int group, const std::string& container, int zone, int cell) {
     const QueueGroup& g = groups[static_cast<std::size_t>(group)].terms;
     if (g.effect != Effect::fingerprinted) return false;
-    const auto it = marks_.find(mark_key(g, container, zone, cell, ""));
+    const auto it = marks_.find(worker_hash(g, container, zone, cell, ""));
     return it != marks_.end() && now - it->second < g.repeat_window;
 }
 
-void Fleet::mark(Nanos now, int group, const std::string& container, int zone, int cell) {
+void EmulatedFleet::mark(Nanos now, int group, const std::string& container, int zone, int cell) {
     const QueueGroup& g = groups[static_cast<std::size_t>(group)].terms;
-    if (g.effect == Effect::fingerprinted) marks_[mark_key(g, container, zone, cell, "")] = now;
+    if (g.effect == Effect::fingerprinted) marks_[worker_hash(g, container, zone, cell, "")] = now;
 }
 
 // ---------------------------------------------------------------- one node
 
-struct Node::Asked {
+struct EmulatedWorker::Asked {
     std::string placer;  // name#incarnation
     std::string name;
     std::uint64_t incarnation = 0;
@@ -66,7 +69,7 @@
     bool is_probe = false, stopped = false;
 };
 
-struct Node::Container {
+struct EmulatedWorker::Container {
     std::string placer, name;
     std::uint64_t incarnation = 0;
     v1::Launch launch;
@@ -74,16 +77,17 @@
     bool mute = false;  // no word of it finds its way, but in a greeting
     Nanos accepted = 0;
     double use = 1;  // of what was asked
-    std::unique_ptr<Later> starts, ends;
+    std::unique_ptr<ScheduledCall> starts, ends;
 };
 
-struct Node::Session final : net::StreamUser {
-    Session(Node& n, std::unique_ptr<net::Stream> s) : node(n), stream(std::move(s)), turns(n.giver_) {
+struct EmulatedWorker::Session final : net::StreamHandler {
+    Session(EmulatedWorker& n, std::unique_ptr<net::Stream> s)
+        : node(n), stream(std::move(s)), turns(n.giver_) {
         turns.tag = this;
     }
     std::size_t received(std::string_view in) override {
         bool too_long = false;
-        const std::size_t done = net::frames(in, 1 << 16, too_long, [this](std::string_view f) {
+        const std::size_t done = net::decode_frames(in, 1 << 16, too_long, [this](std::string_view f) {
             v1::ToNode m;
             if (gone || !m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
             return message(m);
@@ -97,51 +101,52 @@
         }
         return done;
     }
-    void closed(net::Closed) override { node.leave(*this); }
+    void closed(net::CloseReason) override { node.leave(*this); }
     void send(const v1::FromNode& m) {
         if (!stream || node.faults_.silent) return;
         if (node.faults_.holds_back()) return unsaid.push_back(m);
         std::string frame;
-        net::append_frame(frame, m);
+        net::encode_frame(frame, m);
         stream->write(frame);
     }
     bool message(const v1::ToNode& m);
 
-    Node& node;
+    EmulatedWorker& node;
     std::unique_ptr<net::Stream> stream;
     std::string placer, name;
     std::uint64_t incarnation = 0, launches = 0;
-    turns::Holder turns;
+    slow_start::TokenHolder turns;
     bool gone = false, unacknowledged = false;
     std::vector<v1::FromNode> unsaid;  // held back: see Faults
 };
 
-Node::Node(Fleet& f, net::Loop& on, std::string name, int zone, int cell, NodeTerms t,
-           std::uint64_t incarnation, Nanos started)
+EmulatedWorker::EmulatedWorker(EmulatedFleet& f, net::EventLoop& on, std::string name, int zone, int cell,
+                               EmulatedWorkerSettings t, std::uint64_t incarnation, Nanos started)
     : fleet_(f), on_(on), name_(std::move(name)), zone_(zone), cell_(cell), terms_(t),
       incarnation_(incarnation), started_(started),
-      born_(f.loop.now() - static_cast<Nanos>(mark_of(name_) % 1000 + 1) * kSecond),
-      giver_(*this, t.fall_window), judging_(std::make_unique<Later>([this] { judged(); })),
-      noting_(std::make_unique<Later>([this] { notes(); })),
-      sending_away_(std::make_unique<Later>([this] { send_one_away(); })),
-      sweeping_(std::make_unique<Later>([this] { left_.clear(); })), giving_(std::make_unique<Later>([this] {
+      born_(f.loop.now() - static_cast<Nanos>(stable_hash(name_) % 1000 + 1) * kSecond),
+      giver_(*this, t.fall_window), judging_(std::make_unique<ScheduledCall>([this] { judged(); })),
+      noting_(std::make_unique<ScheduledCall>([this] { notes(); })),
+      sending_away_(std::make_unique<ScheduledCall>([this] { send_one_away(); })),
+      sweeping_(std::make_unique<ScheduledCall>([this] { left_.clear(); })),
+      giving_(std::make_unique<ScheduledCall>([this] {
           if (!faults_.paused && !faults_.silent) giver_.bears(fleet_.loop.now(), bears(fleet_.loop.now()));
           if (pace(fleet_.loop.now()) < 1) wake(fleet_.loop.now() + 100 * kMillisecond);
       })) {
     fleet_.arm(*noting_, fleet_.loop.now() + terms_.note_every);
 }
 
-Node::~Node() = default;
+EmulatedWorker::~EmulatedWorker() = default;
 
-std::string Node::listen(const std::string& address) {
+std::string EmulatedWorker::listen(const std::string& address) {
     std::string error;
     listener_ = on_.listen(
         address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); }, error);
     return listener_ ? "" : error;
 }
 
-Line Node::line(What w, const std::string& placer, const std::string& container) {
-    Line l;
+RecordedEvent EmulatedWorker::line(EventKind w, const std::string& placer, const std::string& container) {
+    RecordedEvent l;
     l.at = fleet_.loop.now();
     l.what = w;
     l.placer = placer;
@@ -150,7 +155,7 @@
     return l;
 }
 
-void Node::accept(std::unique_ptr<net::Stream> s) {
+void EmulatedWorker::accept(std::unique_ptr<net::Stream> s) {
     net::Stream& stream = *s;
     sessions_.push_back(std::make_unique<Session>(*this, std::move(s)));
     if (!faults_.hears()) stream.read(false);
@@ -158,11 +163,11 @@
     if (!faults_.hears()) stream.read(false);
 }
 
-void Node::leave(Session& s) {
+void EmulatedWorker::leave(Session& s) {
     if (s.gone) return;
     s.gone = true;
     s.stream.reset();
-    if (!s.placer.empty()) fleet_.seen.add(line(What::link_lost, s.placer, ""));
+    if (!s.placer.empty()) fleet_.seen.add(line(EventKind::link_lost, s.placer, ""));
     const auto it =
         std::find_if(sessions_.begin(), sessions_.end(), [&s](const auto& p) { return p.get() == &s; });
     left_.push_back(std::move(*it));
@@ -170,7 +175,7 @@
     fleet_.arm(*sweeping_, fleet_.loop.now() + kMillisecond);
 }
 
-bool Node::Session::message(const v1::ToNode& m) {
+bool EmulatedWorker::Session::message(const v1::ToNode& m) {
     if (m.has_hello()) {
         name = m.hello().name();
         incarnation = m.hello().incarnation();
@@ -208,7 +213,7 @@
             if (c->name == name && c->incarnation == incarnation)
                 name_it(c->launch.launch(), !node.terms_.yes_on_running || c->running, c->running);
         send(holding);
-        if (node.draining_) node.fleet_.seen.add(node.line(What::drain_said, placer, ""));
+        if (node.draining_) node.fleet_.seen.add(node.line(EventKind::drain_said, placer, ""));
         return true;
     }
     if (m.has_turns()) {
@@ -222,7 +227,7 @@
         ++launches;
         unacknowledged = true;
         ++node.launches_;
-        Line l = node.line(What::launch, placer, m.launch().container());
+        RecordedEvent l = node.line(EventKind::launch, placer, m.launch().container());
         l.service = m.launch().service();
         l.group = static_cast<int>(m.launch().group());
         l.ask = m.launch().ask();
@@ -262,7 +267,7 @@
         node.line_.push_back(std::move(a));
         node.judge_next();
     } else if (m.has_stop()) {
-        Line l = node.line(What::stop, placer, "");
+        RecordedEvent l = node.line(EventKind::stop, placer, "");
         l.launch = m.stop().launch();
         node.fleet_.seen.add(l);
         for (const auto& a : node.line_)
@@ -303,7 +308,7 @@
 }
 
 // Says it to the placer's incarnation if that is connected. Ends are kept for its next greeting.
-void Node::say(const std::string& placer, std::uint64_t incarnation, v1::FromNode m, Nanos more) {
+void EmulatedWorker::say(const std::string& placer, std::uint64_t incarnation, v1::FromNode m, Nanos more) {
     const auto now_say = [this, placer, incarnation, m] {
         // What is held back goes to whoever is connected by then.
         if (faults_.holds_back())
@@ -315,8 +320,8 @@
             }
     };
     if (more <= 0) return now_say();
-    auto later = std::make_unique<Later>(nullptr);
-    Later* self = later.get();
+    auto later = std::make_unique<ScheduledCall>(nullptr);
+    ScheduledCall* self = later.get();
     later->then = [this, now_say, self] {
         now_say();
         std::erase_if(late_, [self](const auto& p) { return p.get() == self; });
@@ -325,19 +330,19 @@
     late_.push_back(std::move(later));
 }
 
-void Node::remember(const std::string& placer, std::uint64_t incarnation, const v1::FromNode& m,
-                    const std::string& container) {
+void EmulatedWorker::remember(const std::string& placer, std::uint64_t incarnation, const v1::FromNode& m,
+                              const std::string& container) {
     ends_.push_back({placer, incarnation, fleet_.loop.now(), m, container});
     while (fleet_.loop.now() - ends_.front().at > terms_.remembers) ends_.pop_front();
 }
 
-void Node::refuse(const Asked& a, v1::Reason why) {
+void EmulatedWorker::refuse(const Asked& a, v1::Reason why) {
     v1::FromNode m;
     m.mutable_ended()->set_launch(a.launch.launch());
     m.mutable_ended()->set_how(v1::Ended::REFUSED);
     m.mutable_ended()->set_reason(why);
     *m.mutable_ended()->mutable_report() = report();
-    Line l = line(What::refused, a.placer, a.launch.container());
+    RecordedEvent l = line(EventKind::refused, a.placer, a.launch.container());
     l.launch = a.launch.launch();
     l.ask = a.launch.ask();
     fleet_.seen.add(l);
@@ -347,7 +352,7 @@
 
 // ---------------------------------------------------------------- taking
 
-double Node::pace(Nanos now) const {
+double EmulatedWorker::pace(Nanos now) const {
     if (!started_) return 1;
     const double part = static_cast<double>(now - started_) / static_cast<double>(terms_.warm_after);
     return part >= 1 ? 1 : terms_.cold_from + (1 - terms_.cold_from) * std::max(0.0, part);
@@ -355,7 +360,7 @@
 
 // While cold: every offer that reaches it counts, refused ones too; over what it bears within a window, it
 // falls over.
-void Node::pressure(Session& from) {
+void EmulatedWorker::pressure(Session& from) {
     const Nanos now = fleet_.loop.now();
     giver_.offer(now, from.turns);
     if (fallen_ || pace(now) >= 1) return;
@@ -363,13 +368,13 @@
     offers_.push_back(now);
     if (static_cast<double>(offers_.size()) <= bears(now)) return;
     fallen_ = true;
-    fleet_.seen.add(line(What::fell, "", ""));
+    fleet_.seen.add(line(EventKind::fell, "", ""));
     listener_.reset();
     line_.clear();
     drop_connections();
 }
 
-double Node::bears(Nanos now) const {
+double EmulatedWorker::bears(Nanos now) const {
     if (pace(now) >= 1) return 1e6;
     const double a_second =
         terms_.starts / (static_cast<double>(terms_.start) / 1e9 * terms_.without_program);
@@ -377,18 +382,18 @@
                                              static_cast<double>(terms_.fall_window) / 1e9);
 }
 
-void Node::give(turns::Holder& h, std::uint64_t number, int turns) {
+void EmulatedWorker::give(slow_start::TokenHolder& h, std::uint64_t number, int turns) {
     v1::FromNode m;
     m.mutable_given()->set_number(number);
     m.mutable_given()->set_turns(static_cast<std::uint32_t>(turns));
     static_cast<Session*>(h.tag)->send(m);
 }
 
-void Node::wake(Nanos at) {
+void EmulatedWorker::wake(Nanos at) {
     if (!giving_->armed() || at < giving_->at()) fleet_.arm(*giving_, at);
 }
 
-void Node::judge_next() {
+void EmulatedWorker::judge_next() {
     if (judging_now_ || line_.empty()) return;
     judging_now_ = true;
     const auto took =
@@ -396,7 +401,7 @@
     fleet_.arm(*judging_, fleet_.loop.now() + took);
 }
 
-void Node::judged() {
+void EmulatedWorker::judged() {
     judging_now_ = false;
     if (line_.empty()) return;
     if (faults_.silent || faults_.paused) {  // it stands still: nothing in its line moves
@@ -410,7 +415,7 @@
     judge_next();
 }
 
-bool Node::make_room(const Asked& a) {
+bool EmulatedWorker::make_room(const Asked& a) {
     const auto fits = [&] {
         return asked_cores_ + a.launch.cores() <= terms_.cores * terms_.cores_multiple &&
                asked_memory_ + a.launch.memory() <= terms_.memory * terms_.memory_multiple;
@@ -435,7 +440,7 @@
     return true;
 }
 
-void Node::judge(Asked& a) {
+void EmulatedWorker::judge(Asked& a) {
     const Nanos now = fleet_.loop.now();
     if (a.is_probe) {
         v1::FromNode m;
@@ -460,7 +465,7 @@
         v1::FromNode m;
         m.mutable_ended()->set_launch(a.launch.launch());
         m.mutable_ended()->set_how(v1::Ended::ERROR);
-        Line l = line(What::ended, a.placer, a.launch.container());
+        RecordedEvent l = line(EventKind::ended, a.placer, a.launch.container());
         l.launch = a.launch.launch();
         l.ask = a.launch.ask();
         l.text = "error";
@@ -477,11 +482,11 @@
     c->launch = a.launch;
     c->accepted = now;
     // Containers use more or less than they asked: by the container, the same each time it comes.
-    c->use = 0.35 + 0.5 * static_cast<double>(mark_of(a.launch.container()) % 997) / 997;
+    c->use = 0.35 + 0.5 * static_cast<double>(stable_hash(a.launch.container()) % 997) / 997;
     asked_cores_ += a.launch.cores();
     asked_memory_ += a.launch.memory();
     const bool lost = fleet_.luck(faults_.lose_answers);
-    Line l = line(What::accepted, a.placer, a.launch.container());
+    RecordedEvent l = line(EventKind::accepted, a.placer, a.launch.container());
     l.launch = a.launch.launch();
     l.ask = a.launch.ask();
     l.text = lost ? "and the yes was lost" : "";
@@ -497,7 +502,7 @@
     begin_starts();
 }
 
-void Node::begin_starts() {
+void EmulatedWorker::begin_starts() {
     const Nanos now = fleet_.loop.now();
     while (starting_ < terms_.starts && !to_start_.empty()) {
         Container& c = *to_start_.front();
@@ -511,7 +516,7 @@
                             faults_.slow * (terms_.drawn_starts ? fleet_.drawn() : 1);
         ++starting_;
         c.starting = true;
-        c.starts = std::make_unique<Later>([this, &c] {
+        c.starts = std::make_unique<ScheduledCall>([this, &c] {
             if (faults_.paused) return fleet_.arm(*c.starts, fleet_.loop.now() + 50 * kMillisecond);
             --starting_;
             c.starting = false;
@@ -522,9 +527,9 @@
     }
 }
 
-void Node::running(Container& c) {
+void EmulatedWorker::running(Container& c) {
     c.running = true;
-    Line l = line(What::started, c.placer, c.launch.container());
+    RecordedEvent l = line(EventKind::started, c.placer, c.launch.container());
     l.launch = c.launch.launch();
     l.group = static_cast<int>(c.launch.group());
     fleet_.seen.add(l);
@@ -536,7 +541,7 @@
     m.mutable_running()->set_launch(c.launch.launch());
     if (!c.mute) say(c.name, c.incarnation, m, faults_.late_yes);
     const Nanos life = c.launch.life_left() > 0 ? c.launch.life_left() : 10 * kSecond;
-    c.ends = std::make_unique<Later>([this, &c] {
+    c.ends = std::make_unique<ScheduledCall>([this, &c] {
         if (faults_.paused) return fleet_.arm(*c.ends, fleet_.loop.now() + 50 * kMillisecond);
         end(c, v1::Ended::SERVED, v1::UNTOLD);
     });
@@ -544,14 +549,15 @@
     use();
 }
 
-void Node::end(Container& c, v1::Ended::How how, v1::Reason why) {
+void EmulatedWorker::end(Container& c, v1::Ended::How how, v1::Reason why) {
     const Nanos now = fleet_.loop.now();
     asked_cores_ -= c.launch.cores();
     asked_memory_ -= c.launch.memory();
     if (c.starting) --starting_;
     std::erase(to_start_, &c);
     if (c.running) programs_[c.launch.service()] = now;
-    Line l = line(c.running ? What::finished : What::ended, c.placer, c.launch.container());
+    RecordedEvent l =
+        line(c.running ? EventKind::finished : EventKind::ended, c.placer, c.launch.container());
     l.launch = c.launch.launch();
     l.ask = c.launch.ask();
     l.text = v1::Ended::How_Name(how);
@@ -572,7 +578,7 @@
 
 // ---------------------------------------------------------------- what it tells
 
-void Node::use() {
+void EmulatedWorker::use() {
     used_cores_ = faults_.other_cores;
     used_memory_ = 0;
     for (const auto& c : containers_)
@@ -583,7 +589,7 @@
         }
 }
 
-v1::Report Node::report() {
+v1::Report EmulatedWorker::report() {
     if (!terms_.reports) return {};
     const Nanos now = fleet_.loop.now();
     if (now - reported_ >= terms_.report_every) {
@@ -596,7 +602,7 @@
     return report_;
 }
 
-void Node::notes() {
+void EmulatedWorker::notes() {
     fleet_.arm(*noting_, fleet_.loop.now() + terms_.note_every);
     if (faults_.silent || faults_.paused) return;
     use();
@@ -636,7 +642,7 @@
 
 // ---------------------------------------------------------------- what happens to it
 
-void Node::drain(bool tell) {
+void EmulatedWorker::drain(bool tell) {
     draining_ = true;
     if (terms_.sends_away_every) fleet_.arm(*sending_away_, fleet_.loop.now() + terms_.sends_away_every);
     if (!tell) return;
@@ -644,21 +650,21 @@
         v1::FromNode m;
         m.mutable_draining();
         s->send(m);
-        if (!faults_.silent) fleet_.seen.add(line(What::drain_said, s->placer, ""));
+        if (!faults_.silent) fleet_.seen.add(line(EventKind::drain_said, s->placer, ""));
     }
 }
 
-void Node::send_one_away() {
+void EmulatedWorker::send_one_away() {
     if (containers_.empty() || fallen_) return;
     end(*containers_.front(), v1::Ended::RESET, v1::SENT_AWAY);
     fleet_.arm(*sending_away_, fleet_.loop.now() + terms_.sends_away_every);
 }
 
-void Node::send_all_away() {
+void EmulatedWorker::send_all_away() {
     while (!containers_.empty()) end(*containers_.front(), v1::Ended::RESET, v1::SENT_AWAY);
 }
 
-void Node::set(const Faults& f) {
+void EmulatedWorker::set(const ActiveFaults& f) {
     const bool was = faults_.hears();
     faults_ = f;
     use();
@@ -668,7 +674,7 @@
         if (s->stream) s->stream->read(!was);
 }
 
-void Node::release_says() {
+void EmulatedWorker::release_says() {
     for (const auto& s : sessions_) {
         std::vector<v1::FromNode> held;
         held.swap(s->unsaid);
@@ -680,13 +686,13 @@
 }
 
 // Crowded cores give each container less than it would use; by the queue group's own curve.
-double Node::share(int group) const {
+double EmulatedWorker::share(int group) const {
     const QueueGroup& g = fleet_.groups[static_cast<std::size_t>(group)].terms;
     const double busy = used_cores_ * faults_.slow / terms_.cores;
     return std::clamp(1 - (busy - g.calm) / std::max(g.fade, 0.01), 0.05, 1.0);
 }
 
-void Node::serves(std::vector<double>& running, std::vector<double>& served) const {
+void EmulatedWorker::serves(std::vector<double>& running, std::vector<double>& served) const {
     for (const auto& c : containers_) {
         if (!c->running || faults_.paused) continue;
         running[c->launch.group()] += 1;
@@ -695,20 +701,22 @@
 }
 
 // Its placer has given it up by now.
-bool Node::too_late(const Asked& a) const {
+bool EmulatedWorker::too_late(const Asked& a) const {
     return a.launch.not_after() > 0 && clock() > a.launch.not_after();
 }
 
-bool Node::over_rate(int group) {
+bool EmulatedWorker::over_rate(int group) {
     if (group != faults_.rate_group) return false;
     const Nanos now = fleet_.loop.now();
     while (!taken_of_group_.empty() && now - taken_of_group_.front() >= kSecond) taken_of_group_.pop_front();
     return static_cast<double>(taken_of_group_.size()) >= faults_.rate;
 }
 
-void Node::trouble(bool on) { fleet_.seen.add(line(on ? What::node_trouble : What::node_well, "", "")); }
+void EmulatedWorker::trouble(bool on) {
+    fleet_.seen.add(line(on ? EventKind::node_trouble : EventKind::node_well, "", ""));
+}
 
-void Node::drop_connections() {
+void EmulatedWorker::drop_connections() {
     while (!sessions_.empty()) {
         Session& s = *sessions_.back();
         if (s.stream) s.stream->abort();
@@ -716,4 +724,4 @@
     }
 }
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/node.h
+++ b/emulator/emulated_worker.h
@@ -12,15 +12,15 @@
 #include <utility>
 #include <vector>
 
-#include "net/net.h"
-#include "proto/node.pb.h"
-#include "standin/seen.h"
-#include "turns/giver.h"
-#include "wheel/wheel.h"
+#include "emulator/event_log.h"
+#include "net/stream.h"
+#include "proto/worker.pb.h"
+#include "slow_start/token_issuer.h"
+#include "timer_wheel/timer_wheel.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-struct NodeTerms {
+struct EmulatedWorkerSettings {
     double cores = 16, memory = 32;
     double cores_multiple = 2.5, memory_multiple = 1.5;
     bool yes_on_running = false, preempts = false, reports_use = false;
@@ -45,7 +45,7 @@
 };
 
 // The faults that a script can lay on a node. Shares are chances for each launch.
-struct Faults {
+struct ActiveFaults {
     double slow = 1;          // times slower, while it still answers
     double refuse = 0;        // refuses without a reason
     double fail_starts = 0;   // answers with an error
@@ -64,24 +64,24 @@
     bool holds_back() const { return mute || paused; }  // what it says
 };
 
-struct GroupTerms {
+struct NamedQueueGroup {
     std::string name;
     QueueGroup terms;
 };
 
 // What the nodes of a fleet share: the record, the marks by which repeats are known, and one wheel.
-class Fleet {
+class EmulatedFleet {
 public:
-    Fleet(net::Loop&, Seen&, std::vector<GroupTerms>, std::uint64_t seed);
-    net::Loop& loop;
-    Seen& seen;
-    std::vector<GroupTerms> groups;
+    EmulatedFleet(net::EventLoop&, EventLog&, std::vector<NamedQueueGroup>, std::uint64_t seed);
+    net::EventLoop& loop;
+    EventLog& seen;
+    std::vector<NamedQueueGroup> groups;
     std::ranlux24_base chance;
     std::vector<double> swell;  // what containers of a queue group use, times their usual
 
     double drawn();  // exponential, with mean 1
     bool luck(double share) { return share > 0 && static_cast<double>(chance() % 4096) < share * 4096; }
-    void arm(wheel::Timer&, Nanos at);
+    void arm(timer_wheel::Timer&, Nanos at);
     // Fingerprinted containers: whether a copy stands, or stood within the window, in the group of places of
     // this node.
     bool repeat(Nanos now, int group, const std::string& container, int zone, int cell);
@@ -89,16 +89,16 @@
 
 private:
     void turn();
-    wheel::Wheel wheel_;
+    timer_wheel::TimerWheel wheel_;
     std::unique_ptr<net::Timer> tick_;
     Nanos tick_at_ = 0;
     std::map<std::string, Nanos> marks_;
 };
 
 // A call at a later time; gone with what it belongs to, which the call itself may destroy.
-class Later final : public wheel::Timer {
+class ScheduledCall final : public timer_wheel::Timer {
 public:
-    explicit Later(std::function<void()> f) : then(std::move(f)) {}
+    explicit ScheduledCall(std::function<void()> f) : then(std::move(f)) {}
     void due(Nanos) override {
         const auto f = then;
         f();
@@ -106,12 +106,12 @@
     std::function<void()> then;
 };
 
-class Node : private turns::GiverPort {
+class EmulatedWorker : private slow_start::TokenIssuerHandler {
 public:
     // It listens on `on`; its own time runs on the fleet's loop, so a test may cut one host from the others.
-    Node(Fleet&, net::Loop& on, std::string name, int zone, int cell, NodeTerms, std::uint64_t incarnation,
-         Nanos warm_since);
-    ~Node() override;
+    EmulatedWorker(EmulatedFleet&, net::EventLoop& on, std::string name, int zone, int cell,
+                   EmulatedWorkerSettings, std::uint64_t incarnation, Nanos warm_since);
+    ~EmulatedWorker() override;
     // Empty, or why it can't listen.
     std::string listen(const std::string& address);
     std::string address() const { return listener_ ? listener_->address() : ""; }
@@ -133,10 +133,10 @@
     std::uint64_t launches() const { return launches_; }
 
     void send_one_away();
-    void drain(bool tell);    // accepts nothing more; `tell` says so on its connections
-    void send_all_away();     // as a draining node that clears itself
-    void set(const Faults&);  // in force from now on
-    const Faults& faults() const { return faults_; }
+    void drain(bool tell);          // accepts nothing more; `tell` says so on its connections
+    void send_all_away();           // as a draining node that clears itself
+    void set(const ActiveFaults&);  // in force from now on
+    const ActiveFaults& faults() const { return faults_; }
     void trouble(bool on);    // only recorded: the script has laid something on it from outside
     void drop_connections();  // broken off, as by a reset on the way; new ones are taken
 
@@ -159,7 +159,7 @@
     void notes();
     void pressure(Session&);
     double bears(Nanos now) const;
-    void give(turns::Holder&, std::uint64_t number, int turns) override;
+    void give(slow_start::TokenHolder&, std::uint64_t number, int turns) override;
     void wake(Nanos at) override;
     double pace(Nanos now) const;
     double share(int group) const;  // of full service, as crowded as it is
@@ -169,18 +169,18 @@
     v1::Report report();
     void use();
     bool make_room(const Asked&);
-    Line line(What, const std::string& placer, const std::string& container);
+    RecordedEvent line(EventKind, const std::string& placer, const std::string& container);
 
-    Fleet& fleet_;
-    net::Loop& on_;
+    EmulatedFleet& fleet_;
+    net::EventLoop& on_;
     std::string name_;
     int zone_, cell_;
-    NodeTerms terms_;
+    EmulatedWorkerSettings terms_;
     std::uint64_t incarnation_;
     Nanos started_;  // 0: long ago
     Nanos born_;     // where its clock counts from
     std::unique_ptr<net::Listener> listener_;
-    turns::Giver giver_;
+    slow_start::TokenIssuer giver_;
     std::vector<std::unique_ptr<Session>> sessions_, left_;
     std::deque<std::unique_ptr<Asked>> line_;
     std::list<std::unique_ptr<Container>> containers_;
@@ -195,11 +195,11 @@
     };
     std::deque<Told> ends_;
     std::map<std::string, Nanos> programs_;  // when its last container ended
-    std::unique_ptr<Later> judging_, noting_, sending_away_, sweeping_, giving_;
-    std::list<std::unique_ptr<Later>> late_;
+    std::unique_ptr<ScheduledCall> judging_, noting_, sending_away_, sweeping_, giving_;
+    std::list<std::unique_ptr<ScheduledCall>> late_;
     v1::Report report_;
     Nanos reported_ = -kSecond;
-    Faults faults_;
+    ActiveFaults faults_;
     std::vector<std::function<void()>> unsaid_;  // while nothing it says arrives
     std::deque<Nanos> taken_of_group_;           // the group that is let have a rate, within a second
     int starting_ = 0;
@@ -208,4 +208,4 @@
     std::uint64_t launches_ = 0;
 };
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/seen.cpp
+++ b/emulator/event_log.cpp
@@ -1,10 +1,10 @@
-#include "standin/seen.h"
+#include "emulator/event_log.h"
 
 #include <cstdio>
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-const char* words(What w) {
+const char* to_string(EventKind w) {
     static const char* const kWords[] = {"launch read",    "stop read",       "said accepted",
                                          "said refused",   "said ended",      "began to run",
                                          "runs no more",   "said drains",     "fell over",
@@ -17,10 +17,10 @@
     return kWords[static_cast<std::size_t>(w)];
 }
 
-std::string show(const Line& l, Nanos start) {
+std::string to_string(const RecordedEvent& l, Nanos start) {
     char at[32];
     std::snprintf(at, sizeof at, "%10.4f s  ", static_cast<double>(l.at - start) / 1e9);
-    std::string out = std::string(at) + words(l.what);
+    std::string out = std::string(at) + to_string(l.what);
     const auto field = [&out](const char* key, const std::string& v) {
         if (!v.empty()) out += std::string(" ") + key + "=" + v;
     };
@@ -33,4 +33,4 @@
     return out;
 }
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/seen.h
+++ b/emulator/event_log.h
@@ -6,11 +6,11 @@
 #include <utility>
 #include <vector>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-enum class What {
+enum class EventKind {
     // at a node
     launch,    // a launch was read
     stop,      // a stop was read
@@ -43,11 +43,11 @@
     placer_stalled,  // until placer_well
     placer_well,
 };
-const char* words(What);
+const char* to_string(EventKind);
 
-struct Line {
+struct RecordedEvent {
     Nanos at = 0;
-    What what{};
+    EventKind what{};
     std::string placer;  // with its incarnation where a node or owner heard it: name#incarnation
     std::string node;
     std::string container;  // the key
@@ -58,15 +58,15 @@
     std::string text;
 };
 
-class Seen {
+class EventLog {
 public:
-    void add(Line l) { lines_.push_back(std::move(l)); }
-    const std::vector<Line>& lines() const { return lines_; }
+    void add(RecordedEvent l) { lines_.push_back(std::move(l)); }
+    const std::vector<RecordedEvent>& lines() const { return lines_; }
 
 private:
-    std::vector<Line> lines_;
+    std::vector<RecordedEvent> lines_;
 };
 
-std::string show(const Line&, Nanos start);
+std::string to_string(const RecordedEvent&, Nanos start);
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/checker.h
+++ b/emulator/invariant_checker.h
@@ -8,43 +8,43 @@
 #include <string>
 #include <vector>
 
-#include "standin/node.h"
-#include "standin/seen.h"
+#include "emulator/emulated_worker.h"
+#include "emulator/event_log.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-struct Placement {  // of a node, for scopes
+struct WorkerLocation {  // of a node, for scopes
     std::string node;
     int zone = 0, cell = 0;
 };
 
-struct Terms {
-    std::vector<GroupTerms> groups;
-    std::vector<Placement> places;
+struct RuleSettings {
+    std::vector<NamedQueueGroup> groups;
+    std::vector<WorkerLocation> places;
     Nanos drain_grace = kSecond;
     Nanos slack = 50 * kMillisecond;  // for what a message takes, and a busy machine's scheduling
 };
 
-struct Breach {
+struct Violation {
     enum Rule { lost, twice, drain, pushed_over, spread } rule;
     std::string what;
-    Line line;  // the one at which it shows
+    RecordedEvent line;  // the one at which it shows
 };
 
 struct Verdict {
-    std::vector<Breach> breaches;
-    int count(Breach::Rule) const;
+    std::vector<Violation> breaches;
+    int count(Violation::Rule) const;
     bool kept() const { return breaches.empty(); }
     std::string line() const;  // "rules kept: lost 0, twice 0, drains 0, pushed over 0, spread 0"
 };
 
 // `end`: until when the record goes. What is still waiting then with time left is not judged.
-Verdict check(const Seen&, const Terms&, Nanos end);
+Verdict check_invariants(const EventLog&, const RuleSettings&, Nanos end);
 
 // One breach for people: what broke, where it shows, and the record of its container.
-std::string told(const Seen&, const Breach&, Nanos start);
+std::string describe(const EventLog&, const Violation&, Nanos start);
 
 // The record of one container, a line each.
-std::vector<std::string> story(const Seen&, const std::string& container, Nanos start);
+std::vector<std::string> history_of(const EventLog&, const std::string& container, Nanos start);
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/day.cpp
+++ b/emulator/scenario_run.cpp
@@ -1,4 +1,4 @@
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
 
 #include <algorithm>
 #include <cmath>
@@ -6,9 +6,9 @@
 
 #include "config/placer_file.h"
 #include "config/toml.h"
-#include "whinpost/mark.h"
+#include "whinpost/stable_hash.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
 // ---------------------------------------------------------------- the script
 
@@ -24,16 +24,18 @@
                                            "back",   "launches",     "refused", "drain_lag",
                                            "fallen", "wrongly_lost", "never",   "busiest"};
 
-bool at_nodes(Do d) { return d <= Do::reset || d == Do::list_twice; }
-bool at_placer(Do d) { return d == Do::placer_kill || d == Do::placer_stall; }
-bool lasting(Do d) {  // makes sense only for a time
-    return d == Do::silent || d == Do::cut || d == Do::pause || d == Do::rate || d == Do::other ||
-           d == Do::swell || d == Do::list_down || d == Do::burst || d == Do::placer_stall || d == Do::slow ||
-           d == Do::refuse || d == Do::fail_starts || d == Do::lose_answers || d == Do::late_yes ||
-           d == Do::twice;
+bool at_nodes(FaultKind d) { return d <= FaultKind::reset || d == FaultKind::list_twice; }
+bool at_placer(FaultKind d) { return d == FaultKind::placer_kill || d == FaultKind::placer_stall; }
+bool lasting(FaultKind d) {  // makes sense only for a time
+    return d == FaultKind::silent || d == FaultKind::cut || d == FaultKind::pause || d == FaultKind::rate ||
+           d == FaultKind::other || d == FaultKind::swell || d == FaultKind::list_down ||
+           d == FaultKind::burst || d == FaultKind::placer_stall || d == FaultKind::slow ||
+           d == FaultKind::refuse || d == FaultKind::fail_starts || d == FaultKind::lose_answers ||
+           d == FaultKind::late_yes || d == FaultKind::twice;
 }
-bool at_owner(Do d) {
-    return d == Do::owner_leave || d == Do::owner_half || d == Do::owner_deaf || d == Do::withdraw;
+bool at_owner(FaultKind d) {
+    return d == FaultKind::owner_leave || d == FaultKind::owner_half || d == FaultKind::owner_deaf ||
+           d == FaultKind::withdraw;
 }
 
 std::vector<double> amounts(config::Table& t, std::string_view key) {
@@ -47,20 +49,21 @@
     return out;
 }
 
-void read_fault(Plan& p, config::Table& t, const std::vector<std::string_view>& groups) {
+void read_fault(Scenario& p, config::Table& t, const std::vector<std::string_view>& groups) {
     Fault f;
     f.at = t.span("at_s", 0, p.length);
     f.lasts = t.span("for_s", 0, p.length, 0);
-    f.what = static_cast<Do>(t.word("do", kDo));
+    f.what = static_cast<FaultKind>(t.word("do", kDo));
     f.size = t.number("size", 0, 1e6, 1);
     f.tell = t.truth("tell", true);
-    const bool share = f.what == Do::refuse || f.what == Do::fail_starts || f.what == Do::lose_answers;
+    const bool share =
+        f.what == FaultKind::refuse || f.what == FaultKind::fail_starts || f.what == FaultKind::lose_answers;
     if (share && f.size > 1) t.wrong("size", "is a share here: at most 1");
     if (lasting(f.what) && !f.lasts) t.wrong("for_s", "is missing: this trouble lasts for a time");
-    if (f.what == Do::rate || f.what == Do::swell) {
-        if (f.what == Do::rate || t.has("group")) f.group = static_cast<int>(t.word("group", groups));
+    if (f.what == FaultKind::rate || f.what == FaultKind::swell) {
+        if (f.what == FaultKind::rate || t.has("group")) f.group = static_cast<int>(t.word("group", groups));
     }
-    if (f.what == Do::cut) {
+    if (f.what == FaultKind::cut) {
         const std::size_t way = t.word("way", {"both", "in", "out"}, 0);
         f.in = way != 2;
         f.out = way != 1;
@@ -100,7 +103,7 @@
                 t.wrong("at_s", "overlaps with the same trouble on node " + std::to_string(n));
                 break;
             }
-            killed += o.what == Do::kill && f.at > o.at;
+            killed += o.what == FaultKind::kill && f.at > o.at;
         }
         if (o.what == f.what && meet && f.nodes.empty() && o.which == f.which && o.group == f.group)
             t.wrong("at_s", "overlaps with the same trouble named before");
@@ -119,37 +122,38 @@
 }
 
 // One that can never be checked is refused: it would pass for ever.
-Expect read_expect(const Plan& p, config::Table& t, const std::vector<std::string_view>& groups) {
-    Expect e;
-    e.of = static_cast<Of>(t.word("of", kOf));
+Expectation read_expect(const Scenario& p, config::Table& t, const std::vector<std::string_view>& groups) {
+    Expectation e;
+    e.of = static_cast<Metric>(t.word("of", kOf));
     if (t.has("group")) e.group = static_cast<int>(t.word("group", groups));
     e.from = t.span("from_s", 0, p.length, 0);
     e.to = t.span("to_s", 0, p.length, p.length);
     if (e.to <= e.from) t.wrong("to_s", "must be later than from_s");
-    const bool shares = e.of == Of::placed || e.of == Of::in_time || e.of == Of::service ||
-                        e.of == Of::worst_second || e.of == Of::refused || e.of == Of::busiest;
+    const bool shares = e.of == Metric::placed || e.of == Metric::in_time || e.of == Metric::service ||
+                        e.of == Metric::worst_second || e.of == Metric::refused || e.of == Metric::busiest;
     const double most = shares ? 1 : 1e9;
     e.at_least = t.has("at_least");
     if (e.at_least == t.has("at_most")) t.wrong("at_least", "or at_most must be there, and one of them only");
     else e.bound = t.number(e.at_least ? "at_least" : "at_most", 0, most);
-    if (e.of == Of::back) e.share = t.number("share", 0, 1);
+    if (e.of == Metric::back) e.share = t.number("share", 0, 1);
     const auto any = [&p](auto which) { return std::any_of(p.faults.begin(), p.faults.end(), which); };
-    if (e.group >= 0 && std::none_of(p.loads.begin(), p.loads.end(),
-                                     [&e](const Load& l) { return l.group == e.group && l.a_second > 0; }))
+    if (e.group >= 0 && std::none_of(p.loads.begin(), p.loads.end(), [&e](const LoadProfile& l) {
+            return l.group == e.group && l.a_second > 0;
+        }))
         t.wrong("group", "has no load: this can never be checked");
-    if (e.of == Of::drain_lag && !any([](const Fault& f) { return f.what == Do::drain; }))
+    if (e.of == Metric::drain_lag && !any([](const Fault& f) { return f.what == FaultKind::drain; }))
         t.wrong("of", "is about drains, and no node drains: this can never be checked");
-    if (e.of == Of::fallen &&
-        !any([](const Fault& f) { return f.what == Do::drain || f.what == Do::rejoin; }))
+    if (e.of == Metric::fallen &&
+        !any([](const Fault& f) { return f.what == FaultKind::drain || f.what == FaultKind::rejoin; }))
         t.wrong("of", "is about cold nodes, and none comes up: this can never be checked");
-    if (e.of == Of::back && !any([&e](const Fault& f) { return f.at <= e.from; }))
+    if (e.of == Metric::back && !any([&e](const Fault& f) { return f.at <= e.from; }))
         t.wrong("from_s", "is before all troubles: there is nothing to be back from");
     return e;
 }
 
-Plan plan_of(config::Document& file, const std::string& text, std::vector<std::string>& problems,
-             std::size_t placers, std::size_t nodes) {
-    Plan p;
+Scenario plan_of(config::Document& file, const std::string& text, std::vector<std::string>& problems,
+                 std::size_t placers, std::size_t nodes) {
+    Scenario p;
     config::Table root = file.root();
     if (root.has("like")) root.text("like");  // whose tables were added by whoever read the file
     if (!root.has("day")) root.wrong("day", "is missing: a table with length_s");
@@ -171,7 +175,7 @@
     if (nodes) p.nodes = nodes;
     p.zones = fleet.texts("zones");
     p.cells_in_zone = static_cast<int>(fleet.whole("cells_in_zone", 1, 10'000, 1));
-    NodeTerms& n = p.node;
+    EmulatedWorkerSettings& n = p.node;
     const Nanos hour = 3600 * kSecond;
     n.judge = fleet.span("judge_ms", 0, hour, n.judge);
     n.line = static_cast<std::size_t>(fleet.whole("line", 1, 1'000'000, static_cast<std::int64_t>(n.line)));
@@ -185,17 +189,17 @@
     n.sends_away_every = fleet.span("sends_away_every_ms", 0, hour, 0);
     n.report_every = fleet.span("report_every_ms", kMillisecond, hour, n.report_every);
 
-    p.kinds = config::machine_kinds(root);
-    for (const config::Group& g : config::queue_groups(root, p.kinds.size()))
+    p.kinds = config::worker_kinds(root);
+    for (const config::NamedQueueGroup& g : config::queue_groups(root, p.kinds.size()))
         p.groups.push_back({g.name, g.terms});
-    const Acceptance accepts = config::acceptance(root);
-    const ColdTerms cold = config::cold_terms(root);
-    p.launches = config::launch_terms(root);
+    const WorkerAcceptance accepts = config::worker_acceptance(root);
+    const SlowStartSettings cold = config::slow_start_settings(root);
+    p.launches = config::retry_settings(root);
     config::prices(root);
-    config::intake_limits(root);
-    p.drain_grace = config::link_terms(root).drain_grace;
-    config::dialling(root);
-    config::saying(root);
+    config::admission_limits(root);
+    p.drain_grace = config::connection_settings(root).drain_grace;
+    config::dial_limits(root);
+    config::log_settings(root);
     n.cores_multiple = accepts.cores_multiple;
     n.memory_multiple = accepts.memory_multiple;
     n.yes_on_running = accepts.yes_on_running;
@@ -209,10 +213,10 @@
     n.always_borne = cold.always_borne;
 
     std::vector<std::string_view> group_names;
-    for (const GroupTerms& g : p.groups) group_names.push_back(g.name);
+    for (const NamedQueueGroup& g : p.groups) group_names.push_back(g.name);
     const double factor = day.number("load", 0, 1000, 1);
     for (config::Table& t : root.tables("load")) {
-        Load l;
+        LoadProfile l;
         l.group = static_cast<int>(t.word("group", group_names));
         l.a_second = factor * t.number("a_second", 0, 1e6);
         l.services = static_cast<int>(t.whole("services", 1, 100'000, 4));
@@ -263,15 +267,16 @@
 
 }  // namespace
 
-std::string_view words(Of of) { return kOf[static_cast<std::size_t>(of)]; }
+std::string_view to_string(Metric of) { return kOf[static_cast<std::size_t>(of)]; }
 
-Plan parse_plan(const std::string& text, const std::string& name, std::vector<std::string>& problems,
-                std::size_t placers, std::size_t nodes) {
+Scenario parse_scenario(const std::string& text, const std::string& name, std::vector<std::string>& problems,
+                        std::size_t placers, std::size_t nodes) {
     config::Document file = config::Document::parse(text, name);
     return plan_of(file, text, problems, placers, nodes);
 }
 
-std::string placer_file(const Plan& p, std::size_t i, const std::string& listen, const std::string& list) {
+std::string placer_configuration(const Scenario& p, std::size_t i, const std::string& listen,
+                                 const std::string& list) {
     std::ostringstream out;
     out << p.placer_tables << "\n\n[placer]\nname = \"placer-" << i << "\"\nlisten = \"" << listen
         << "\"\nzone = \"" << p.zones[i % p.zones.size()] << "\"\nzones = [";
@@ -283,28 +288,30 @@
 
 // ---------------------------------------------------------------- the play
 
-Play::Play(const Plan& plan, Ground& ground, std::function<void(const std::string&)> progress)
+ScenarioRun::ScenarioRun(const Scenario& plan, TestEnvironment& ground,
+                         std::function<void(const std::string&)> progress)
     : plan_(plan), ground_(ground), progress_(std::move(progress)),
-      fleet_(std::make_unique<Fleet>(ground.loop(), seen_, plan.groups, plan.seed)),
+      fleet_(std::make_unique<EmulatedFleet>(ground.loop(), seen_, plan.groups, plan.seed)),
       chance_(static_cast<std::ranlux24_base::result_type>(plan.seed * 7919 + 1)) {}
 
-Play::~Play() = default;
+ScenarioRun::~ScenarioRun() = default;
 
-void Play::later(Nanos at, std::function<void()> f) {
-    laters_.push_back(std::make_unique<Later>(std::move(f)));
+void ScenarioRun::later(Nanos at, std::function<void()> f) {
+    laters_.push_back(std::make_unique<ScheduledCall>(std::move(f)));
     fleet_->arm(*laters_.back(), at);
     if (laters_.size() > 4096) std::erase_if(laters_, [](const auto& l) { return !l->armed(); });
 }
 
-std::string Play::raise(std::size_t i, const std::string& name, const std::string& address, Nanos started) {
-    Place& at = places_[i];
-    NodeTerms terms = plan_.node;
+std::string ScenarioRun::raise(std::size_t i, const std::string& name, const std::string& address,
+                               Nanos started) {
+    WorkerSlot& at = places_[i];
+    EmulatedWorkerSettings terms = plan_.node;
     terms.cores = plan_.kinds[static_cast<std::size_t>(at.kind)].cores;
     terms.memory = plan_.kinds[static_cast<std::size_t>(at.kind)].memory;
     terms.kind = at.kind;
     if (nodes_[i]) dead_.push_back(std::move(nodes_[i]));
-    nodes_[i] = std::make_unique<Node>(*fleet_, ground_.node_loop(name, at.zone), name, at.zone, at.cell,
-                                       terms, next_incarnation_++, started);
+    nodes_[i] = std::make_unique<EmulatedWorker>(*fleet_, ground_.node_loop(name, at.zone), name, at.zone,
+                                                 at.cell, terms, next_incarnation_++, started);
     const std::string wrong = nodes_[i]->listen(address);
     if (!wrong.empty()) return name + " can't listen on " + address + ": " + wrong;
     at.name = name;
@@ -314,9 +321,9 @@
     return "";
 }
 
-std::string Play::start(std::function<void(const Outcome&)> done) {
+std::string ScenarioRun::start(std::function<void(const RunResult&)> done) {
     done_ = std::move(done);
-    list_ = std::make_unique<ListService>(ground_.loop(), seen_, plan_.list_pushes, plan_.list_late, 1);
+    list_ = std::make_unique<DiscoveryService>(ground_.loop(), seen_, plan_.list_pushes, plan_.list_late, 1);
     std::string wrong = list_->listen(ground_.list_address());
     if (!wrong.empty()) return "the list service can't listen: " + wrong;
     nodes_.resize(plan_.nodes);
@@ -351,11 +358,11 @@
     std::vector<std::string> placers;
     for (std::size_t i = 0; i < plan_.placers; ++i) {
         placers.push_back(ground_.placer_address(i));
-        ground_.start_placer(i, placer_file(plan_, i, placers.back(), list_->address()));
+        ground_.start_placer(i, placer_configuration(plan_, i, placers.back(), list_->address()));
     }
     for (std::size_t i = 0; i < plan_.owners; ++i) {
         owners_.push_back(
-            std::make_unique<Owner>(*fleet_, "owner-" + std::to_string(i), placers, plan_.lean));
+            std::make_unique<EmulatedClient>(*fleet_, "owner-" + std::to_string(i), placers, plan_.lean));
         owners_.back()->connect();
     }
     await(ground_.loop().now() + 20 * kSecond);
@@ -363,7 +370,7 @@
 }
 
 // The day begins when every owner has every placer, and the first list had its time.
-void Play::await(Nanos give_up) {
+void ScenarioRun::await(Nanos give_up) {
     bool all = true;
     for (const auto& o : owners_)
         for (std::size_t i = 0; i < plan_.placers; ++i) all = all && o->connected(i);
@@ -372,7 +379,7 @@
     else later(now + 50 * kMillisecond, [this, give_up] { await(give_up); });
 }
 
-void Play::begin() {
+void ScenarioRun::begin() {
     began_ = ground_.loop().now();
     for (std::size_t i = 0; i < plan_.loads.size(); ++i) arrive(i);
     for (const Fault& f : plan_.faults) {
@@ -386,17 +393,17 @@
     later(began_ + plan_.length, [this] { finish(); });
 }
 
-void Play::arrive(std::size_t i) {
-    const Load& l = plan_.loads[i];
+void ScenarioRun::arrive(std::size_t i) {
+    const LoadProfile& l = plan_.loads[i];
     const Nanos now = ground_.loop().now();
     if (now >= began_ + plan_.length) return;
     if (now > began_) {
         const auto roll = [this](std::size_t n) { return static_cast<std::size_t>(chance_()) % n; };
         const std::string service = plan_.groups[static_cast<std::size_t>(l.group)].name + "-" +
                                     std::to_string(roll(static_cast<std::size_t>(l.services)));
-        const std::size_t shape = mark_of(service) % l.cores.size();
+        const std::size_t shape = stable_hash(service) % l.cores.size();
         for (int k = 0; k < l.batch; ++k) {
-            Ask a;
+            TaskRequest a;
             a.container = "c" + std::to_string(next_container_++);
             a.service = service;
             a.group = l.group;
@@ -416,15 +423,15 @@
     later(now + std::max<Nanos>(1, static_cast<Nanos>(gap * 1e9)), [this, i] { arrive(i); });
 }
 
-void Play::put(std::size_t i) {
+void ScenarioRun::put(std::size_t i) {
     v1::Entry e;
-    const Place& at = places_[i];
+    const WorkerSlot& at = places_[i];
     e.set_node(at.name);
     e.set_address(at.address);
     e.set_zone(static_cast<std::uint32_t>(at.zone));
     e.set_cell(static_cast<std::uint32_t>(at.cell));
     e.set_kind(static_cast<std::uint32_t>(at.kind));
-    const Node* n = nodes_[i].get();
+    const EmulatedWorker* n = nodes_[i].get();
     if (!n) return;
     e.set_free_cores(n->free_cores());
     e.set_free_memory(n->free_memory());
@@ -432,18 +439,18 @@
     list_->put(e, at.started);
 }
 
-void Play::refresh() {
+void ScenarioRun::refresh() {
     for (std::size_t i = 0; i < nodes_.size(); ++i) put(i);
     if (!over_) later(ground_.loop().now() + 500 * kMillisecond, [this] { refresh(); });
 }
 
-void Play::trouble(std::size_t i, bool on) {
-    Place& at = places_[i];
+void ScenarioRun::trouble(std::size_t i, bool on) {
+    WorkerSlot& at = places_[i];
     if (on && at.troubles++ == 0 && nodes_[i]) nodes_[i]->trouble(true);
     if (!on && --at.troubles == 0 && nodes_[i]) nodes_[i]->trouble(false);
 }
 
-void Play::lay(const Fault& f) {
+void ScenarioRun::lay(const Fault& f) {
     const Nanos now = ground_.loop().now();
     progress_("fault " + std::string(kDo[static_cast<std::size_t>(f.what)]) +
               (f.nodes.empty() ? "" : " on " + std::to_string(f.nodes.size()) + " node(s)"));
@@ -453,107 +460,108 @@
     };
     const auto with = [&](auto change) {
         each([&](std::size_t i) {
-            Faults now_in_force = nodes_[i]->faults();
+            ActiveFaults now_in_force = nodes_[i]->faults();
             change(now_in_force);
             trouble(i, true);
             nodes_[i]->set(now_in_force);
         });
     };
     const auto dies = [this](std::size_t i) {
-        seen_.add(
-            {ground_.loop().now(), What::node_trouble, "", nodes_[i]->name(), "", "", -1, 0, 0, 0, "dead"});
+        seen_.add({ground_.loop().now(), EventKind::node_trouble, "", nodes_[i]->name(), "", "", -1, 0, 0, 0,
+                   "dead"});
         ground_.node_killed(nodes_[i]->name());
         nodes_[i].reset();
     };
     switch (f.what) {
-        case Do::drain:
+        case FaultKind::drain:
             each([&](std::size_t i) {
                 nodes_[i]->drain(f.tell);
                 put(i);
             });
             break;
-        case Do::kill:
+        case FaultKind::kill:
             each([&](std::size_t i) {
                 const std::string name = places_[i].name;
                 dies(i);
                 later(now + plan_.list_late + kSecond, [this, name] { list_->remove(name); });
             });
             break;
-        case Do::rejoin:
+        case FaultKind::rejoin:
             each([&](std::size_t i) {
-                const Place at = places_[i];
+                const WorkerSlot at = places_[i];
                 dies(i);
                 later(now + 300 * kMillisecond, [this, i, at] {
                     raise(i, at.name, at.address, ground_.loop().now());
-                    seen_.add({ground_.loop().now(), What::node_well, "", at.name, "", "", -1, 0, 0, 0, ""});
+                    seen_.add(
+                        {ground_.loop().now(), EventKind::node_well, "", at.name, "", "", -1, 0, 0, 0, ""});
                     put(i);
                 });
             });
             break;
-        case Do::silent:
-            with([](Faults& x) { x.silent = true; });
+        case FaultKind::silent:
+            with([](ActiveFaults& x) { x.silent = true; });
             break;
-        case Do::slow:
-            with([&](Faults& x) { x.slow = f.size; });
+        case FaultKind::slow:
+            with([&](ActiveFaults& x) { x.slow = f.size; });
             break;
-        case Do::refuse:
-            with([&](Faults& x) { x.refuse = f.size; });
+        case FaultKind::refuse:
+            with([&](ActiveFaults& x) { x.refuse = f.size; });
             break;
-        case Do::fail_starts:
-            with([&](Faults& x) { x.fail_starts = f.size; });
+        case FaultKind::fail_starts:
+            with([&](ActiveFaults& x) { x.fail_starts = f.size; });
             break;
-        case Do::lose_answers:
-            with([&](Faults& x) { x.lose_answers = f.size; });
+        case FaultKind::lose_answers:
+            with([&](ActiveFaults& x) { x.lose_answers = f.size; });
             break;
-        case Do::late_yes:
-            with([&](Faults& x) { x.late_yes = static_cast<Nanos>(f.size * 1e9); });
+        case FaultKind::late_yes:
+            with([&](ActiveFaults& x) { x.late_yes = static_cast<Nanos>(f.size * 1e9); });
             break;
-        case Do::twice:
-            with([](Faults& x) { x.twice = true; });
+        case FaultKind::twice:
+            with([](ActiveFaults& x) { x.twice = true; });
             break;
-        case Do::cut:
+        case FaultKind::cut:
             each([&](std::size_t i) {
                 trouble(i, true);
                 if (ground_.cut(nodes_[i]->name(), f.in, f.out)) return;
-                Faults x = nodes_[i]->faults();
+                ActiveFaults x = nodes_[i]->faults();
                 x.deaf = f.in;
                 x.mute = f.out;
                 nodes_[i]->set(x);
             });
             break;
-        case Do::pause:
-            with([](Faults& x) { x.paused = true; });
+        case FaultKind::pause:
+            with([](ActiveFaults& x) { x.paused = true; });
             break;
-        case Do::rate:
-            with([&](Faults& x) {
+        case FaultKind::rate:
+            with([&](ActiveFaults& x) {
                 x.rate_group = f.group;
                 x.rate = f.size;
             });
             break;
-        case Do::other:
-            with([&](Faults& x) { x.other_cores = f.size; });
+        case FaultKind::other:
+            with([&](ActiveFaults& x) { x.other_cores = f.size; });
             break;
-        case Do::reset:
+        case FaultKind::reset:
             each([&](std::size_t i) {
                 trouble(i, true);
                 nodes_[i]->drop_connections();
                 trouble(i, false);
             });
             break;
-        case Do::list_still:
+        case FaultKind::list_still:
             list_->stand_still(true);
             break;
-        case Do::list_down:
+        case FaultKind::list_down:
             list_->down(true);
             break;
-        case Do::list_backwards:
+        case FaultKind::list_backwards:
             list_->go_backwards();
             break;
-        case Do::list_none:
+        case FaultKind::list_none:
             list_->name_none();
             // It is right again with the next changes, which name all.
             break;
-        case Do::list_twice:
+        case FaultKind::list_twice:
             each([&](std::size_t i) {
                 v1::Entry other;
                 other.set_node(places_[i].name);
@@ -563,57 +571,57 @@
                 list_->name_twice(places_[i].name, other);
             });
             break;
-        case Do::placer_kill:
-            seen_.add(
-                {now, What::placer_killed, "placer-" + std::to_string(f.which), "", "", "", -1, 0, 0, 0, ""});
+        case FaultKind::placer_kill:
+            seen_.add({now, EventKind::placer_killed, "placer-" + std::to_string(f.which), "", "", "", -1, 0,
+                       0, 0, ""});
             ground_.kill_placer(f.which);
             break;
-        case Do::placer_stall:
-            seen_.add({now, What::placer_stalled, "placer-" + std::to_string(f.which), "", "", "", -1, 0, 0,
-                       0, ""});
+        case FaultKind::placer_stall:
+            seen_.add({now, EventKind::placer_stalled, "placer-" + std::to_string(f.which), "", "", "", -1, 0,
+                       0, 0, ""});
             ground_.stall_placer(f.which, true);
             break;
-        case Do::owner_leave:
+        case FaultKind::owner_leave:
             for (std::size_t i = 0; i < plan_.placers; ++i) owners_[f.which]->leave(i);
             break;
-        case Do::owner_half:
+        case FaultKind::owner_half:
             owners_[f.which]->half_message(0);
             break;
-        case Do::owner_deaf:
+        case FaultKind::owner_deaf:
             owners_[f.which]->read(0, false);
             break;
-        case Do::burst:
+        case FaultKind::burst:
             burst_ = f.size;
             break;
-        case Do::swell:
+        case FaultKind::swell:
             for (std::size_t g = 0; g < fleet_->swell.size(); ++g)
                 if (f.group < 0 || static_cast<int>(g) == f.group) fleet_->swell[g] = f.size;
             break;
-        case Do::withdraw:
+        case FaultKind::withdraw:
             owners_[f.which]->withdraw_some(static_cast<std::size_t>(f.size));
             break;
     }
 }
 
-void Play::lift(const Fault& f) {
+void ScenarioRun::lift(const Fault& f) {
     const Nanos now = ground_.loop().now();
     const auto without = [&](auto change) {
         for (const std::size_t i : f.nodes)
             if (nodes_[i]) {
-                Faults x = nodes_[i]->faults();
+                ActiveFaults x = nodes_[i]->faults();
                 change(x);
                 nodes_[i]->set(x);
                 trouble(i, false);
             }
     };
     switch (f.what) {
-        case Do::drain:  // it dies, and a cold successor comes up elsewhere
+        case FaultKind::drain:  // it dies, and a cold successor comes up elsewhere
             for (const std::size_t i : f.nodes) {
                 if (!nodes_[i]) continue;
                 nodes_[i]->send_all_away();
                 const std::string old = places_[i].name;
                 list_->remove(old);
-                seen_.add({now, What::node_trouble, "", old, "", "", -1, 0, 0, 0, "dead"});
+                seen_.add({now, EventKind::node_trouble, "", old, "", "", -1, 0, 0, 0, "dead"});
                 ground_.node_killed(old);
                 nodes_[i].reset();
                 const std::string name = "node-" + std::to_string(next_node_++);
@@ -621,69 +629,70 @@
                 put(i);
             }
             break;
-        case Do::silent:
-            without([](Faults& x) { x.silent = false; });
+        case FaultKind::silent:
+            without([](ActiveFaults& x) { x.silent = false; });
             break;
-        case Do::slow:
-            without([](Faults& x) { x.slow = 1; });
+        case FaultKind::slow:
+            without([](ActiveFaults& x) { x.slow = 1; });
             break;
-        case Do::refuse:
-            without([](Faults& x) { x.refuse = 0; });
+        case FaultKind::refuse:
+            without([](ActiveFaults& x) { x.refuse = 0; });
             break;
-        case Do::fail_starts:
-            without([](Faults& x) { x.fail_starts = 0; });
+        case FaultKind::fail_starts:
+            without([](ActiveFaults& x) { x.fail_starts = 0; });
             break;
-        case Do::lose_answers:
-            without([](Faults& x) { x.lose_answers = 0; });
+        case FaultKind::lose_answers:
+            without([](ActiveFaults& x) { x.lose_answers = 0; });
             break;
-        case Do::late_yes:
-            without([](Faults& x) { x.late_yes = 0; });
+        case FaultKind::late_yes:
+            without([](ActiveFaults& x) { x.late_yes = 0; });
             break;
-        case Do::twice:
-            without([](Faults& x) { x.twice = false; });
+        case FaultKind::twice:
+            without([](ActiveFaults& x) { x.twice = false; });
             break;
-        case Do::cut:
+        case FaultKind::cut:
             for (const std::size_t i : f.nodes) {
                 if (!nodes_[i]) continue;
                 if (!ground_.cut(nodes_[i]->name(), false, false)) {
-                    Faults x = nodes_[i]->faults();
+                    ActiveFaults x = nodes_[i]->faults();
                     x.deaf = x.mute = false;
                     nodes_[i]->set(x);
                 }
                 trouble(i, false);
             }
             break;
-        case Do::pause:
-            without([](Faults& x) { x.paused = false; });
+        case FaultKind::pause:
+            without([](ActiveFaults& x) { x.paused = false; });
             break;
-        case Do::rate:
-            without([](Faults& x) { x.rate_group = -1; });
+        case FaultKind::rate:
+            without([](ActiveFaults& x) { x.rate_group = -1; });
             break;
-        case Do::other:
-            without([](Faults& x) { x.other_cores = 0; });
+        case FaultKind::other:
+            without([](ActiveFaults& x) { x.other_cores = 0; });
             break;
-        case Do::list_still:
+        case FaultKind::list_still:
             list_->stand_still(false);
             break;
-        case Do::list_down:
+        case FaultKind::list_down:
             list_->down(false);
             break;
-        case Do::placer_kill:
+        case FaultKind::placer_kill:
             ground_.start_placer(
-                f.which, placer_file(plan_, f.which, ground_.placer_address(f.which), list_->address()));
+                f.which,
+                placer_configuration(plan_, f.which, ground_.placer_address(f.which), list_->address()));
             break;
-        case Do::placer_stall:
+        case FaultKind::placer_stall:
             ground_.stall_placer(f.which, false);
-            seen_.add(
-                {now, What::placer_well, "placer-" + std::to_string(f.which), "", "", "", -1, 0, 0, 0, ""});
+            seen_.add({now, EventKind::placer_well, "placer-" + std::to_string(f.which), "", "", "", -1, 0, 0,
+                       0, ""});
             break;
-        case Do::owner_deaf:
+        case FaultKind::owner_deaf:
             owners_[f.which]->read(0, true);
             break;
-        case Do::burst:
+        case FaultKind::burst:
             burst_ = 1;
             break;
-        case Do::swell:
+        case FaultKind::swell:
             for (std::size_t g = 0; g < fleet_->swell.size(); ++g)
                 if (f.group < 0 || static_cast<int>(g) == f.group) fleet_->swell[g] = 1;
             break;
@@ -692,13 +701,13 @@
     }
 }
 
-void Play::tell_progress() {
+void ScenarioRun::tell_progress() {
     const Nanos now = ground_.loop().now();
     std::size_t waiting = 0, running = 0;
     std::uint64_t placed = 0, deferred = 0;
     for (const auto& o : owners_) {
         waiting += o->waiting();
-        for (const GroupCount& c : o->counts()) {
+        for (const QueueGroupCounts& c : o->counts()) {
             placed += c.placed;
             deferred += c.deferred;
         }
@@ -711,9 +720,9 @@
     if (!over_) later(now + 5 * kSecond, [this] { tell_progress(); });
 }
 
-void Play::sample() {
+void ScenarioRun::sample() {
     const Nanos now = ground_.loop().now();
-    Sample s;
+    ServiceSample s;
     s.at = now - began_;
     s.wanted.resize(plan_.groups.size());
     s.running = s.served = s.wanted;
@@ -725,27 +734,27 @@
     if (!over_ && now < began_ + plan_.length) later(now + kSecond, [this] { sample(); });
 }
 
-void Play::finish() {
+void ScenarioRun::finish() {
     const Nanos now = ground_.loop().now();
     Nanos longest = 0;
-    for (const Load& l : plan_.loads) longest = std::max(longest, l.queue_timeout);
+    for (const LoadProfile& l : plan_.loads) longest = std::max(longest, l.queue_timeout);
     std::size_t waiting = 0;
     for (const auto& o : owners_) waiting += o->waiting();
     if (waiting && now < began_ + plan_.length + 2 * longest + 5 * kSecond)
         return later(now + 100 * kMillisecond, [this] { finish(); });
     over_ = true;
-    Outcome out;
-    Terms terms;
+    RunResult out;
+    RuleSettings terms;
     terms.groups = plan_.groups;
     terms.places = all_places_;
     terms.drain_grace = plan_.drain_grace;
     terms.slack = plan_.slack;
-    out.verdict = check(seen_, terms, now);
+    out.verdict = check_invariants(seen_, terms, now);
     out.counts.resize(plan_.groups.size());
     for (const auto& o : owners_) {
         for (std::size_t g = 0; g < out.counts.size(); ++g) {
-            const GroupCount& c = o->counts()[g];
-            GroupCount& to = out.counts[g];
+            const QueueGroupCounts& c = o->counts()[g];
+            QueueGroupCounts& to = out.counts[g];
             to.asked += c.asked;
             to.placed += c.placed;
             to.deferred += c.deferred;
@@ -759,7 +768,7 @@
     done_(out);
 }
 
-std::string Play::table(const Outcome& out) const {
+std::string ScenarioRun::table(const RunResult& out) const {
     std::ostringstream t;
     const auto cell = [&t](const std::string& s, std::size_t width) {
         t << s << std::string(width > s.size() ? width - s.size() : 1, ' ');
@@ -769,7 +778,7 @@
         cell(head, head == std::string("queue group") ? 20 : 12);
     t << '\n';
     for (std::size_t g = 0; g < out.counts.size(); ++g) {
-        const GroupCount& c = out.counts[g];
+        const QueueGroupCounts& c = out.counts[g];
         cell(plan_.groups[g].name, 20);
         for (const std::uint64_t n : {c.asked, c.placed, c.in_time, c.deferred, c.killed, c.again, c.never})
             cell(std::to_string(n), 12);
@@ -778,4 +787,4 @@
     return t.str();
 }
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/standin/day.h
+++ b/emulator/scenario_run.h
@@ -9,14 +9,14 @@
 #include <vector>
 
 #include "config/document.h"
-#include "standin/checker.h"
-#include "standin/list_service.h"
-#include "standin/node.h"
-#include "standin/owner.h"
+#include "emulator/discovery_service.h"
+#include "emulator/emulated_client.h"
+#include "emulator/emulated_worker.h"
+#include "emulator/invariant_checker.h"
 
-namespace whinpost::standin {
+namespace whinpost::emulator {
 
-enum class Do {
+enum class FaultKind {
     drain,         // told by the list and, where `tell`, by the node; it dies `for_s` later
     kill,          // without a word; the list finds out later
     rejoin,        // killed, and another stands at its address under its name at once
@@ -49,7 +49,7 @@
 
 struct Fault {
     Nanos at = 0, lasts = 0;
-    Do what{};
+    FaultKind what{};
     std::vector<std::size_t> nodes;
     std::size_t which = 0;  // placer or owner
     double size = 1;
@@ -59,7 +59,7 @@
 };
 
 // What a scenario is held to, beyond the rules.
-enum class Of {
+enum class Metric {
     placed,        // share of those asked for in the time that were placed before their owner gave up
     in_time,       // share of those placed within their start target
     service,       // share of the full service that was wanted in the time
@@ -73,17 +73,17 @@
     never,         // containers whose owner gave up
     busiest,       // share of all launches that the busiest node got
 };
-std::string_view words(Of);
+std::string_view to_string(Metric);
 
-struct Expect {
-    Of of{};
+struct Expectation {
+    Metric of{};
     int group = -1;  // -1: all
     Nanos from = 0, to = 0;
     bool at_least = false;
     double bound = 0, share = 0;
 };
 
-struct Load {
+struct LoadProfile {
     int group = 0;
     double a_second = 1;
     int services = 4, batch = 1;
@@ -91,7 +91,7 @@
     Nanos queue_timeout = 5 * kSecond, life_least = 5 * kSecond, life_most = 15 * kSecond;
 };
 
-struct Plan {
+struct Scenario {
     std::string name;
     Nanos length = 30 * kSecond;
     std::uint64_t seed = 1;
@@ -100,20 +100,20 @@
     int cells_in_zone = 1;
     bool list_pushes = true;
     Nanos list_late = 500 * kMillisecond;
-    NodeTerms node;
-    LaunchTerms launches;
-    std::vector<MachineKind> kinds;
-    std::vector<GroupTerms> groups;
-    std::vector<Load> loads;
+    EmulatedWorkerSettings node;
+    RetrySettings launches;
+    std::vector<WorkerKind> kinds;
+    std::vector<NamedQueueGroup> groups;
+    std::vector<LoadProfile> loads;
     std::vector<Fault> faults;
-    std::vector<Expect> expects;
+    std::vector<Expectation> expects;
     double lean = 0;  // share of all asks that goes to the first placer
-    struct OldList {
+    struct StaleDiscovery {
         Nanos age = 0, lasts = 0;
         std::size_t ghosts = 0, missing = 0;  // names that are no more; nodes that it does not know
     } old_list;
     // The simulated network's delays, one way; on sockets they are the machine's own.
-    struct Network {
+    struct NetworkSettings {
         Nanos least = 200 * kMicrosecond, spread = 300 * kMicrosecond, late = 0;
         double late_share = 0;
     } network;
@@ -124,17 +124,18 @@
 
 // Empty problems: the plan can be played.
 // `placers`, `nodes`: others than the script's, if not 0.
-Plan parse_plan(const std::string& text, const std::string& name, std::vector<std::string>& problems,
-                std::size_t placers = 0, std::size_t nodes = 0);
+Scenario parse_scenario(const std::string& text, const std::string& name, std::vector<std::string>& problems,
+                        std::size_t placers = 0, std::size_t nodes = 0);
 // A whole placer's file.
-std::string placer_file(const Plan&, std::size_t placer, const std::string& listen, const std::string& list);
+std::string placer_configuration(const Scenario&, std::size_t placer, const std::string& listen,
+                                 const std::string& list);
 
 // Where the day is played.
-class Ground {
+class TestEnvironment {
 public:
-    virtual ~Ground() = default;
-    virtual net::Loop& loop() = 0;  // of list service, owners, and the script
-    virtual net::Loop& node_loop(const std::string& node, int zone) = 0;
+    virtual ~TestEnvironment() = default;
+    virtual net::EventLoop& loop() = 0;  // of list service, owners, and the script
+    virtual net::EventLoop& node_loop(const std::string& node, int zone) = 0;
     virtual std::string node_address(const std::string& node) = 0;  // to listen on
     virtual std::string list_address() = 0;
     virtual std::string nowhere(std::size_t) = 0;  // an address at which nobody listens
@@ -151,33 +152,33 @@
 };
 
 // One second of the day, by queue group.
-struct Sample {
+struct ServiceSample {
     Nanos at = 0;  // since its begin
     std::vector<double> wanted, running, served;
 };
 
-struct Outcome {
+struct RunResult {
     Verdict verdict;
-    std::vector<GroupCount> counts;
+    std::vector<QueueGroupCounts> counts;
     std::size_t still_waiting = 0;
 };
 
-class Play {
+class ScenarioRun {
 public:
-    Play(const Plan&, Ground&, std::function<void(const std::string&)> progress);
-    ~Play();
+    ScenarioRun(const Scenario&, TestEnvironment&, std::function<void(const std::string&)> progress);
+    ~ScenarioRun();
     // Empty, or what could not be started. `done` is called when the day is over.
-    std::string start(std::function<void(const Outcome&)> done);
-    const Seen& seen() const { return seen_; }
+    std::string start(std::function<void(const RunResult&)> done);
+    const EventLog& seen() const { return seen_; }
     Nanos began() const { return began_; }
-    const Plan& plan() const { return plan_; }
-    const std::vector<Sample>& samples() const { return samples_; }
-    const std::vector<Placement>& places() const { return all_places_; }
-    Fleet& fleet() { return *fleet_; }
-    Node* node(std::size_t i) { return nodes_[i].get(); }
-    Owner& owner(std::size_t i) { return *owners_[i]; }
-    ListService& list() { return *list_; }
-    std::string table(const Outcome&) const;
+    const Scenario& plan() const { return plan_; }
+    const std::vector<ServiceSample>& samples() const { return samples_; }
+    const std::vector<WorkerLocation>& places() const { return all_places_; }
+    EmulatedFleet& fleet() { return *fleet_; }
+    EmulatedWorker* node(std::size_t i) { return nodes_[i].get(); }
+    EmulatedClient& owner(std::size_t i) { return *owners_[i]; }
+    DiscoveryService& list() { return *list_; }
+    std::string table(const RunResult&) const;
 
 private:
     void await(Nanos give_up);
@@ -194,30 +195,30 @@
     void later(Nanos at, std::function<void()>);
     void trouble(std::size_t node, bool on);
 
-    Plan plan_;
-    Ground& ground_;
+    Scenario plan_;
+    TestEnvironment& ground_;
     std::function<void(const std::string&)> progress_;
-    std::function<void(const Outcome&)> done_;
-    Seen seen_;
-    std::unique_ptr<Fleet> fleet_;
-    std::unique_ptr<ListService> list_;
-    struct Place {
+    std::function<void(const RunResult&)> done_;
+    EventLog seen_;
+    std::unique_ptr<EmulatedFleet> fleet_;
+    std::unique_ptr<DiscoveryService> list_;
+    struct WorkerSlot {
         std::string name, address;
         int zone, cell, kind;
         Nanos started;
         int troubles = 0;
     };
-    std::vector<Place> places_;
-    std::vector<Placement> all_places_;
-    std::vector<std::unique_ptr<Node>> nodes_, dead_;
-    std::vector<std::unique_ptr<Owner>> owners_;
-    std::vector<std::unique_ptr<Later>> laters_;
+    std::vector<WorkerSlot> places_;
+    std::vector<WorkerLocation> all_places_;
+    std::vector<std::unique_ptr<EmulatedWorker>> nodes_, dead_;
+    std::vector<std::unique_ptr<EmulatedClient>> owners_;
+    std::vector<std::unique_ptr<ScheduledCall>> laters_;
     std::ranlux24_base chance_;
-    std::vector<Sample> samples_;
+    std::vector<ServiceSample> samples_;
     Nanos began_ = 0;
     double burst_ = 1;
     std::uint64_t next_container_ = 1, next_incarnation_ = 1, next_node_ = 0;
     bool over_ = false;
 };
 
-}  // namespace whinpost::standin
+}  // namespace whinpost::emulator
--- a/fuzz/owner_door.cpp
+++ b/fuzz/client_endpoint.cpp
@@ -1,5 +1,5 @@
 // Any bytes from an owner: the placer lives on, another owner is served, and what was taken is answered.
-#include "door.h"
+#include "own_protocol.h"
 
 using namespace whinpost;
 
--- a/fuzz/files.cpp
+++ b/fuzz/configuration_files.cpp
@@ -1,8 +1,8 @@
 // Any text as a placer's file, as a shape to move one to, or a day's script: values in range, or problems
 // that name the file; never a crash.
 #include "config/placer_file.h"
+#include "emulator/scenario_run.h"
 #include "migrate/migrate.h"
-#include "standin/day.h"
 
 using namespace whinpost;
 
@@ -31,22 +31,22 @@
     const std::string text(reinterpret_cast<const char*>(data), size);
     config::Document d = config::Document::parse(text, "f");
     config::Table root = d.root();
-    config::placer(root);
-    const auto kinds = config::machine_kinds(root);
+    config::placer_settings(root);
+    const auto kinds = config::worker_kinds(root);
     const auto groups = config::queue_groups(root, kinds.size());
-    config::acceptance(root);
-    config::list_at(root);
-    config::link_terms(root);
+    config::worker_acceptance(root);
+    config::discovery_service(root);
+    config::connection_settings(root);
     const std::vector<std::string> found = d.problems();
     for (const std::string& p : found)
         if (p.rfind("f:", 0) != 0) __builtin_trap();
     if (found.empty() && (kinds.empty() || groups.empty())) __builtin_trap();
     std::vector<std::string> problems;
-    const standin::Plan plan = standin::parse_plan(text, "f", problems);
+    const emulator::Scenario plan = emulator::parse_scenario(text, "f", problems);
     if (problems.empty() && (plan.loads.empty() || plan.nodes == 0)) __builtin_trap();
     // What stands as an old file or as a shape gives a file that passes, or problems.
-    for (const auto& c : {migrate::counterpart({"f", kOld}, {"f", text}, "n"),
-                          migrate::counterpart({"f", text}, {"f", text}, "n")})
+    for (const auto& c : {migrate::migrate_configuration({"f", kOld}, {"f", text}, "n"),
+                          migrate::migrate_configuration({"f", text}, {"f", text}, "n")})
         if (c.problems.empty() == c.text.empty()) __builtin_trap();
     return 0;
 }
--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -3,11 +3,11 @@
 #include <fstream>
 #include <string>
 
-#include "net/net.h"
-#include "proto/list.pb.h"
-#include "proto/node.pb.h"
-#include "proto/owner.pb.h"
-#include "signalling/message.h"
+#include "net/stream.h"
+#include "platform_codec/message.h"
+#include "proto/client.pb.h"
+#include "proto/discovery.pb.h"
+#include "proto/worker.pb.h"
 
 using namespace whinpost;
 
@@ -19,7 +19,7 @@
 void put(const std::string& dir, const Messages&... messages) {
     std::filesystem::create_directories(dir);
     std::string bytes;
-    (net::append_frame(bytes, messages), ...);
+    (net::encode_frame(bytes, messages), ...);
     std::ofstream(dir + "/" + std::to_string(number++), std::ios::binary) << bytes;
 }
 
@@ -43,10 +43,10 @@
     over.mutable_hand_over()->mutable_offer()->set_id(2);
     over.mutable_hand_over()->set_node("n");
     withdraw.mutable_withdraw()->set_id(1);
-    put(to + "/owner_door", hello);
-    put(to + "/owner_door", hello, offer);
-    put(to + "/owner_door", hello, offer, withdraw);
-    put(to + "/owner_door", hello, over, withdraw);
+    put(to + "/client_endpoint", hello);
+    put(to + "/client_endpoint", hello, offer);
+    put(to + "/client_endpoint", hello, offer, withdraw);
+    put(to + "/client_endpoint", hello, over, withdraw);
 
     v1::FromNode yes, runs, ended, note, probe, drains, received;
     yes.mutable_accepted()->set_launch(1);
@@ -61,10 +61,10 @@
     probe.mutable_probe_reply()->set_probe(1);
     drains.mutable_draining();
     received.mutable_received()->set_launches(1);
-    put(to + "/node_door", received, yes, runs, note);
-    put(to + "/node_door", ended);
-    put(to + "/node_door", yes, runs, ended);
-    put(to + "/node_door", probe, drains);
+    put(to + "/worker_endpoint", received, yes, runs, note);
+    put(to + "/worker_endpoint", ended);
+    put(to + "/worker_endpoint", yes, runs, ended);
+    put(to + "/worker_endpoint", probe, drains);
 
     v1::FromList entries, failed;
     entries.mutable_entries()->set_number(9);
@@ -72,42 +72,43 @@
     e.set_node("m");
     e.set_address("m:1");
     e.set_free_cores(3);
-    put(to + "/list_door", entries);
+    put(to + "/discovery_endpoint", entries);
     entries.mutable_entries()->set_whole(true);
     e.set_stage(v1::Entry::DRAINING);
-    put(to + "/list_door", entries);
+    put(to + "/discovery_endpoint", entries);
     failed.mutable_failed()->set_text("busy");
-    put(to + "/list_door", failed, entries);
+    put(to + "/discovery_endpoint", failed, entries);
 
-    // The platform: the first byte says from whom the rest comes (fuzz/platform.cpp).
+    // The platform: the first byte says from whom the rest comes (fuzz/platform_endpoint.cpp).
     const auto platform = [&to](char from, const std::string& bytes) {
-        std::filesystem::create_directories(to + "/platform");
-        std::ofstream(to + "/platform/" + std::to_string(number++), std::ios::binary) << from << bytes;
+        std::filesystem::create_directories(to + "/platform_endpoint");
+        std::ofstream(to + "/platform_endpoint/" + std::to_string(number++), std::ios::binary)
+            << from << bytes;
     };
-    signalling::Message ask, answer, end, note_on;
-    ask.type = signalling::Type::set_up;
+    platform_codec::Message ask, answer, end, note_on;
+    ask.type = platform_codec::MessageType::set_up;
     ask.task = 3;
     ask.group = "free";
     ask.wait = "5000";
     ask.name = "00000000000000aa";
     ask.figures = "cores:1;memory:2;service:00000000b4d65521;at:h";
     ask.description = "d";
-    answer.type = signalling::Type::answer;
+    answer.type = platform_codec::MessageType::answer;
     answer.task = 1;
     answer.description = "d";
-    end.type = signalling::Type::release;
+    end.type = platform_codec::MessageType::release;
     end.task = 1;
-    end.cause = signalling::kReset;
+    end.cause = platform_codec::kReset;
     end.notes = "sent_away";
     end.report = "x0:1;x1:2.5;queue:3";
-    note_on.type = signalling::Type::note;
+    note_on.type = platform_codec::MessageType::note;
     note_on.task = 1;
     note_on.notes = "served";
     note_on.figure = "0.5";
     std::string owner_bytes, host_bytes;
-    signalling::append(owner_bytes, ask);
-    signalling::append(owner_bytes, end);
-    for (const auto& m : {answer, note_on, end}) signalling::append(host_bytes, m);
+    platform_codec::encode(owner_bytes, ask);
+    platform_codec::encode(owner_bytes, end);
+    for (const auto& m : {answer, note_on, end}) platform_codec::encode(host_bytes, m);
     platform(0, owner_bytes);
     platform(1, host_bytes);
     platform(2,
@@ -117,6 +118,6 @@
              "{\"listen\":\"a:1\",\"bus\":\"b:2\",\"seed\":\"1f\",\"limits\":{\"sockets\":256},\"settings\":"
              "{\"classes\":[{\"name\":\"x\",\"semantics\":\"free\",\"aim_us\":5}],\"family_info\":"
              "{\"cpu_of_kind\":[8],\"size_memory\":[16]},\"zones\":[\"a\"],\"zone\":0}}");
-    std::filesystem::create_directories(to + "/files");
+    std::filesystem::create_directories(to + "/configuration_files");
     return 0;
 }
--- a/fuzz/list_door.cpp
+++ b/fuzz/discovery_endpoint.cpp
@@ -1,5 +1,5 @@
 // Any bytes from the list service: the placer lives on, keeps the last good view, and connects again.
-#include "door.h"
+#include "own_protocol.h"
 
 using namespace whinpost;
 
--- a/fuzz/door.h
+++ b/fuzz/own_protocol.h
@@ -2,7 +2,7 @@
 #pragma once
 #include <google/protobuf/stubs/logging.h>
 
-#include "rig.h"
+#include "support/server_rig.h"
 
 extern "C" int LLVMFuzzerInitialize(int*, char***) {
     google::protobuf::SetLogHandler(nullptr);
--- a/fuzz/platform.cpp
+++ b/fuzz/platform_endpoint.cpp
@@ -1,8 +1,8 @@
 // Any bytes from an owner, a host or the event bus of the platform, or as its file: the placer lives on, and
 // every container that it took gets its answer. The first byte says from whom the rest comes.
-#include "platform/briefing.h"
-#include "platform_rig.h"
-#include "terms/terms.h"
+#include "platform/bootstrap_config.h"
+#include "settings/settings.h"
+#include "support/platform_rig.h"
 
 using namespace whinpost;
 
@@ -19,18 +19,18 @@
 
 void read_file(std::string_view text) {
     try {
-        const auto b = platform::Briefing::parse(text, "f");
-        terms::queue_groups(b.settings());
-        terms::group_names(b.settings());
-        terms::machine_kinds(b.settings());
-        terms::acceptance(b.settings());
-        terms::cold_terms(b.settings());
-        terms::list_terms(b.settings());
-        terms::launch_terms(b.settings());
-        terms::prices(b.settings());
-        terms::zone(b.settings());
-    } catch (const platform::Wrong&) {
-    } catch (const terms::Wrong&) {
+        const auto b = platform::BootstrapConfig::parse(text, "f");
+        settings::queue_groups(b.settings());
+        settings::group_names(b.settings());
+        settings::worker_kinds(b.settings());
+        settings::worker_acceptance(b.settings());
+        settings::slow_start_settings(b.settings());
+        settings::discovery_settings(b.settings());
+        settings::retry_settings(b.settings());
+        settings::prices(b.settings());
+        settings::zone(b.settings());
+    } catch (const platform::BootstrapError&) {
+    } catch (const settings::SettingsError&) {
     }
 }
 
@@ -57,6 +57,6 @@
     t.ask(good, 2);
     t.run(8 * kSecond);
     for (const std::uint64_t id : {1, 2})
-        if (good.count(Type::answer, id) + good.count(Type::release, id) == 0) __builtin_trap();
+        if (good.count(MessageType::answer, id) + good.count(MessageType::release, id) == 0) __builtin_trap();
     return 0;
 }
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -7,16 +7,17 @@
 [ $# -eq 0 ] || bound=(-max_total_time="$1")
 cmake -G Ninja -B build-fuzz -DCMAKE_BUILD_TYPE=Debug -DCMAKE_CXX_FLAGS=-O1 -DCMAKE_CXX_COMPILER=clang++ \
     -DWHINPOST_PROGRAM=ON -DWHINPOST_FUZZ=ON
-cmake --build build-fuzz --target fuzz_owner_door fuzz_node_door fuzz_list_door fuzz_platform fuzz_files fuzz_corpus
+cmake --build build-fuzz --target fuzz_client_endpoint fuzz_worker_endpoint fuzz_discovery_endpoint fuzz_platform_endpoint \
+    fuzz_configuration_files fuzz_corpus
 corpus=build-fuzz/corpus
 rm -rf "$corpus"
 build-fuzz/fuzz/fuzz_corpus "$corpus"
-cp standin/days/*.toml "$corpus/files/"
+cp emulator/days/*.toml "$corpus/configuration_files/"
 # A shape is what a day says of the deployment, less the tables that only days have.
 printf '[[machine_kind]]\nname = "std"\ncores = 8\nmemory = 16\n[[queue_group]]\nname = "g"\neffect = "idempotent"\nstart_target_ms = 5\n[links]\ndrain_grace_ms = 50\n' \
-    >"$corpus/files/shape.toml"
+    >"$corpus/configuration_files/shape.toml"
 pids=()
-for target in owner_door node_door list_door platform files; do
+for target in client_endpoint worker_endpoint discovery_endpoint platform_endpoint configuration_files; do
     build-fuzz/fuzz/fuzz_$target "${bound[@]}" -timeout=20 -rss_limit_mb=2048 -verbosity=0 \
         -print_final_stats=1 -artifact_prefix="build-fuzz/$target-" "$corpus/$target" >"build-fuzz/$target.log" 2>&1 &
     pids+=("$!:$target")
--- a/fuzz/node_door.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -1,5 +1,5 @@
 // Any bytes from a node, with a launch out there: the placer lives on and answers the container once.
-#include "door.h"
+#include "own_protocol.h"
 
 using namespace whinpost;
 
--- a/include/whinpost/ring.h
+++ b/include/whinpost/sliding_counter.h
@@ -6,9 +6,9 @@
 namespace whinpost {
 
 template <int Buckets>
-class Ring {
+class SlidingCounter {
 public:
-    explicit Ring(std::int64_t bucket_width) : width_(bucket_width) {}
+    explicit SlidingCounter(std::int64_t bucket_width) : width_(bucket_width) {}
 
     void add(std::int64_t now, double amount) {
         turn(now);
--- a/include/whinpost/mark.h
+++ b/include/whinpost/stable_hash.h
@@ -6,7 +6,7 @@
 namespace whinpost {
 
 // FNV-1a: the same number for the same name at every placer, on every machine.
-constexpr std::uint64_t mark_of(std::string_view name) {
+constexpr std::uint64_t stable_hash(std::string_view name) {
     std::uint64_t mark = 14695981039346656037u;
     for (const char c : name) mark = (mark ^ static_cast<unsigned char>(c)) * 1099511628211u;
     return mark;
--- a/lab/baseline.cpp
+++ b/simulation/baseline_planner.cpp
@@ -1,48 +1,48 @@
-#include "lab/baseline.h"
+#include "simulation/baseline_planner.h"
 
 #include <algorithm>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 namespace {
 constexpr Nanos kAgain = 40 * kMillisecond;  // between two tries, as the planner's own rounds
 }
 
-Baseline::Baseline(planner::Bindings& b, Policy p, std::uint64_t seed, std::vector<QueueGroup> groups,
-                   LaunchTerms launches, Nanos cold_for)
+BaselinePlanner::BaselinePlanner(planner::PlannerHandler& b, BaselinePolicy p, std::uint64_t seed,
+                                 std::vector<QueueGroup> groups, RetrySettings launches, Nanos cold_for)
     : bindings_(b), policy_(p), chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24))),
       groups_(std::move(groups)), launches_(launches), cold_for_(cold_for) {}
 
-void Baseline::node(Nanos, planner::NodeNumber n, std::uint64_t, const Listed& l) {
+void BaselinePlanner::node(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) {
     if (nodes_.size() <= n) {
         Known unknown;
-        unknown.listed.stage = Stage::gone;
+        unknown.listed.stage = EndpointPhase::gone;
         nodes_.resize(n + 1, unknown);
     }
     nodes_[n].listed = l;
 }
 
-void Baseline::turns(Nanos, planner::NodeNumber n, int held) {
+void BaselinePlanner::turns(Nanos, planner::WorkerNumber n, int held) {
     if (n < nodes_.size()) nodes_[n].turns = held;
 }
 
-void Baseline::begin(Nanos) { bindings_.follow_list(); }
+void BaselinePlanner::begin(Nanos) { bindings_.follow_list(); }
 
-void Baseline::take(Nanos now, planner::ContainerNumber n, std::uint64_t, const Asked& a) {
+void BaselinePlanner::take(Nanos now, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a) {
     waiting_[n] = {a, now + a.time_left, now, 0, false, false};
 }
 
-void Baseline::take_over(Nanos, planner::ContainerNumber n, std::uint64_t, const Asked& a,
-                         planner::NodeNumber on) {
+void BaselinePlanner::take_over(Nanos, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a,
+                                planner::WorkerNumber on) {
     at_[n] = {on, a};
     nodes_.at(on).own_cores += a.cores;
     nodes_[on].own_memory += a.memory;
 }
 
-void Baseline::accepted(Nanos, planner::ContainerNumber n, int) { waiting_.erase(n); }
-void Baseline::withdrawn(Nanos, planner::ContainerNumber n) { waiting_.erase(n); }
+void BaselinePlanner::accepted(Nanos, planner::TaskNumber n, int) { waiting_.erase(n); }
+void BaselinePlanner::withdrawn(Nanos, planner::TaskNumber n) { waiting_.erase(n); }
 
-void Baseline::leave(planner::ContainerNumber n) {
+void BaselinePlanner::leave(planner::TaskNumber n) {
     const auto it = at_.find(n);
     if (it == at_.end()) return;
     nodes_[it->second.first].own_cores -= it->second.second.cores;
@@ -50,36 +50,38 @@
     at_.erase(it);
 }
 
-void Baseline::ended(Nanos now, planner::ContainerNumber n, int, Ending how, Reason, bool closed,
-                     const Report&) {
+void BaselinePlanner::ended(Nanos now, planner::TaskNumber n, int, AttemptOutcome how, OutcomeReason,
+                            bool closed, const LoadReport&) {
     leave(n);
     const auto it = waiting_.find(n);
     if (it == waiting_.end()) return;
     Waits& w = it->second;
     w.out = false;
-    w.may_have_run =
-        w.may_have_run || !(how == Ending::refused || how == Ending::unconnected || how == Ending::unsent);
+    w.may_have_run = w.may_have_run || !(how == AttemptOutcome::refused ||
+                                         how == AttemptOutcome::unconnected || how == AttemptOutcome::unsent);
     w.not_before = now;
     if (closed) waiting_.erase(it);
 }
 
-Baseline::Known* Baseline::pick(Nanos now, const Asked& a, planner::NodeNumber& chosen) {
-    std::vector<planner::NodeNumber> can;
-    const auto cold = [&](const Listed& l) { return l.started > 0 && now - l.started < cold_for_; };
+BaselinePlanner::Known* BaselinePlanner::pick(Nanos now, const ResourceRequest& a,
+                                              planner::WorkerNumber& chosen) {
+    std::vector<planner::WorkerNumber> can;
+    const auto cold = [&](const EndpointState& l) { return l.started > 0 && now - l.started < cold_for_; };
     const int kind = groups_[static_cast<std::size_t>(a.group)].kind;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
-        const Listed& l = nodes_[i].listed;
-        if (l.stage == Stage::serving && (nodes_[i].turns != 0 || !cold(l)) && (kind < 0 || kind == l.kind))
-            can.push_back(static_cast<planner::NodeNumber>(i));
+        const EndpointState& l = nodes_[i].listed;
+        if (l.stage == EndpointPhase::serving && (nodes_[i].turns != 0 || !cold(l)) &&
+            (kind < 0 || kind == l.kind))
+            can.push_back(static_cast<planner::WorkerNumber>(i));
     }
     if (can.empty()) return nullptr;
-    const auto free = [this](planner::NodeNumber n) {
+    const auto free = [this](planner::WorkerNumber n) {
         return nodes_[n].listed.free_cores - nodes_[n].own_cores;
     };
     const auto any = [&] { return can[static_cast<std::size_t>(chance_()) % can.size()]; };
-    if (policy_ == Policy::random) chosen = any();
-    else if (policy_ == Policy::two_choices) {
-        const planner::NodeNumber x = any(), y = any();
+    if (policy_ == BaselinePolicy::random) chosen = any();
+    else if (policy_ == BaselinePolicy::two_choices) {
+        const planner::WorkerNumber x = any(), y = any();
         chosen = free(y) > free(x) ? y : x;
     } else {
         chosen = *std::max_element(can.begin(), can.end(), [&](auto x, auto y) { return free(x) < free(y); });
@@ -87,9 +89,9 @@
     return &nodes_[chosen];
 }
 
-void Baseline::round(Nanos now) {
+void BaselinePlanner::round(Nanos now) {
     Nanos next = 0;
-    std::vector<planner::ContainerNumber> given_up;
+    std::vector<planner::TaskNumber> given_up;
     for (auto& [n, w] : waiting_) {
         if (w.out) continue;
         if (now >= w.not_before) {
@@ -99,7 +101,7 @@
                 given_up.push_back(n);
                 continue;
             }
-            planner::NodeNumber to = 0;
+            planner::WorkerNumber to = 0;
             if (Known* k = pick(now, w.asked, to)) {
                 ++w.launches;
                 w.out = true;
@@ -116,8 +118,9 @@
     for (const auto n : given_up) {
         const Waits& w = waiting_.at(n);
         const QueueGroup& g = groups_[static_cast<std::size_t>(w.asked.group)];
-        const bool harmless = !w.may_have_run || g.effect == Effect::idempotent ||
-                              (g.effect == Effect::fingerprinted && g.repeats_dropped_by == Place::all);
+        const bool harmless =
+            !w.may_have_run || g.effect == Effect::idempotent ||
+            (g.effect == Effect::fingerprinted && g.repeats_dropped_by == FailureDomain::all);
         if (harmless) bindings_.defer(n, 0);
         else bindings_.kill(n);
         waiting_.erase(n);
@@ -125,4 +128,4 @@
     if (next) bindings_.wake(next);
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -1,4 +1,4 @@
-#include "lab/rehearsal.h"
+#include "simulation/rehearsal.h"
 
 #include <signal.h>
 #include <unistd.h>
@@ -14,34 +14,34 @@
 #include <set>
 #include <stdexcept>
 
-#include "lab/baseline.h"
-#include "lab/scenarios.h"
-#include "lab/sim_ground.h"
-#include "lab/sockets_ground.h"
+#include "simulation/baseline_planner.h"
+#include "simulation/bundled_scenarios.h"
+#include "simulation/simulated_environment.h"
+#include "simulation/socket_environment.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 namespace {
 
 constexpr std::size_t kBreachesShown = 5;
 
-std::optional<Policy> policy_of(const std::string& name) {
+std::optional<BaselinePolicy> policy_of(const std::string& name) {
     const auto at = std::find(std::begin(kPolicies), std::end(kPolicies), name);
     if (at == std::end(kPolicies)) return std::nullopt;
-    return static_cast<Policy>(at - std::begin(kPolicies));
+    return static_cast<BaselinePolicy>(at - std::begin(kPolicies));
 }
 
-void show_breaches(const standin::Play& day, const standin::Outcome& out, std::ostream& to) {
+void show_breaches(const emulator::ScenarioRun& day, const emulator::RunResult& out, std::ostream& to) {
     std::size_t shown = 0;
-    for (const standin::Breach& b : out.verdict.breaches) {
+    for (const emulator::Violation& b : out.verdict.breaches) {
         if (++shown > kBreachesShown) break;
-        to << '\n' << standin::told(day.seen(), b, day.began());
+        to << '\n' << emulator::describe(day.seen(), b, day.began());
     }
 }
 
-void explain(const standin::Play& day, const std::string& what, std::ostream& to) {
-    std::vector<std::string> lines = standin::story(day.seen(), what, day.began());
-    if (lines.empty()) lines = node_story(day.seen(), what, day.began());
+void explain(const emulator::ScenarioRun& day, const std::string& what, std::ostream& to) {
+    std::vector<std::string> lines = emulator::history_of(day.seen(), what, day.began());
+    if (lines.empty()) lines = worker_history_of(day.seen(), what, day.began());
     to << "\nwhat was seen of " << what << (lines.empty() ? ": nothing of that name" : "") << '\n';
     for (const std::string& l : lines) to << "  " << l << '\n';
 }
@@ -55,9 +55,9 @@
 }
 
 // The end of a rehearsal, on either ground.
-int finish(const standin::Play& day, const standin::Outcome& out, const Wish& wish, std::size_t clean,
-           std::size_t placers, std::optional<std::uint64_t> digest, std::ostream& to) {
-    const Findings found(day, out, digest);
+int finish(const emulator::ScenarioRun& day, const emulator::RunResult& out, const RehearsalOptions& wish,
+           std::size_t clean, std::size_t placers, std::optional<std::uint64_t> digest, std::ostream& to) {
+    const RunReport found(day, out, digest);
     to << '\n' << found.table();
     if (digest) to << "digest " << found.digest() << '\n';
     show_breaches(day, out, to);
@@ -94,9 +94,9 @@
     if (at == 0 && own[0].rfind(kLike, 0) != 0) return text;
     const std::size_t from = at + kLike.size();
     const std::string name = own[0].substr(from, own[0].find('"', from) - from);
-    const auto base =
-        std::find_if(bases().begin(), bases().end(), [&](const Scenario& s) { return s.name == name; });
-    if (base == bases().end()) {
+    const auto base = std::find_if(base_scenarios().begin(), base_scenarios().end(),
+                                   [&](const BundledScenario& s) { return s.name == name; });
+    if (base == base_scenarios().end()) {
         problem = "like: there is no base \"" + name + "\"";
         return text;
     }
@@ -111,8 +111,8 @@
 
 }  // namespace
 
-std::string scenario_text(const std::string& name, std::string& problem) {
-    for (const Scenario& s : scenarios())
+std::string load_scenario(const std::string& name, std::string& problem) {
+    for (const BundledScenario& s : scenarios())
         if (s.name == name) return with_base(s.text, problem);
     std::ifstream in(name, std::ios::binary);
     if (!in) {
@@ -122,34 +122,35 @@
     return with_base({std::istreambuf_iterator<char>(in), {}}, problem);
 }
 
-void play_plan(
-    const standin::Plan& plan, const std::string& planner,
-    const std::function<void(const std::string&)>& progress,
-    const std::function<void(standin::Play&, const standin::Outcome&, std::uint64_t digest)>& then) {
-    World world(plan.seed, delays_of(plan));
-    SimGround ground(world, plan.placers, plan.zones);
-    std::vector<std::unique_ptr<Baseline>> baselines(plan.placers);
-    if (const std::optional<Policy> policy = policy_of(planner))
-        ground.made = [&, policy](std::size_t i, apps::Embedded& placer) {
+void run_scenario(const emulator::Scenario& plan, const std::string& planner,
+                  const std::function<void(const std::string&)>& progress,
+                  const std::function<void(emulator::ScenarioRun&, const emulator::RunResult&,
+                                           std::uint64_t digest)>& then) {
+    SimulatedNetwork world(plan.seed, network_delays(plan));
+    SimulatedEnvironment ground(world, plan.placers, plan.zones);
+    std::vector<std::unique_ptr<BaselinePlanner>> baselines(plan.placers);
+    if (const std::optional<BaselinePolicy> policy = policy_of(planner))
+        ground.made = [&, policy](std::size_t i, apps::EmbeddedPlacer& placer) {
             std::vector<QueueGroup> groups;
-            for (const standin::GroupTerms& g : plan.groups) groups.push_back(g.terms);
-            baselines[i] =
-                std::make_unique<Baseline>(placer.edge, *policy, plan.seed * 1009 + i, groups, plan.launches,
-                                           plan.node.warm_after + plan.node.fall_window);
+            for (const emulator::NamedQueueGroup& g : plan.groups) groups.push_back(g.terms);
+            baselines[i] = std::make_unique<BaselinePlanner>(placer.edge, *policy, plan.seed * 1009 + i,
+                                                             groups, plan.launches,
+                                                             plan.node.warm_after + plan.node.fall_window);
             placer.edge.plan_with(*baselines[i]);
         };
-    standin::Play day(plan, ground, progress);
-    const standin::Outcome out = play(world, day);
+    emulator::ScenarioRun day(plan, ground, progress);
+    const emulator::RunResult out = run_to_end(world, day);
     then(day, out, world.digest());
 }
 
-int rehearse(const Wish& wish, std::ostream& to, std::ostream& err) {
+int run_rehearsal(const RehearsalOptions& wish, std::ostream& to, std::ostream& err) {
     std::string problem;
-    const std::string text = scenario_text(wish.scenario, problem);
+    const std::string text = load_scenario(wish.scenario, problem);
     std::vector<std::string> problems;
     if (!problem.empty()) problems.push_back(problem);
-    standin::Plan plan;
-    if (problems.empty()) plan = standin::parse_plan(text, wish.scenario, problems, wish.placers, wish.nodes);
+    emulator::Scenario plan;
+    if (problems.empty())
+        plan = emulator::parse_scenario(text, wish.scenario, problems, wish.placers, wish.nodes);
     if (wish.planner != "whinpost" && !policy_of(wish.planner))
         problems.push_back("--planner: must be whinpost, random, least_asked or two_choices");
     if (wish.sockets && wish.planner != "whinpost")
@@ -169,13 +170,13 @@
     int result = 2;
     if (!wish.sockets) {
         const auto began = std::chrono::steady_clock::now();
-        play_plan(plan, wish.planner, progress,
-                  [&](standin::Play& day, const standin::Outcome& out, std::uint64_t digest) {
-                      const double took =
-                          std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-                      result = finish(day, out, wish, plan.placers, plan.placers, digest, to);
-                      to << "virtual time: " << plan.length / kSecond << " s in " << took << " s\n";
-                  });
+        run_scenario(plan, wish.planner, progress,
+                     [&](emulator::ScenarioRun& day, const emulator::RunResult& out, std::uint64_t digest) {
+                         const double took =
+                             std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
+                         result = finish(day, out, wish, plan.placers, plan.placers, digest, to);
+                         to << "virtual time: " << plan.length / kSecond << " s in " << took << " s\n";
+                     });
         return result;
     }
     if (access(wish.program.c_str(), X_OK) != 0) {
@@ -191,10 +192,10 @@
         dir = made;
         to << "  logs are in " << dir << std::endl;
     }
-    net::EventLoop loop;
-    SocketsGround ground(loop, wish.program, dir, plan.placers);
-    standin::Play day(plan, ground, progress);
-    const std::string wrong = day.start([&](const standin::Outcome& out) {
+    net::LibeventLoop loop;
+    SocketEnvironment ground(loop, wish.program, dir, plan.placers);
+    emulator::ScenarioRun day(plan, ground, progress);
+    const std::string wrong = day.start([&](const emulator::RunResult& out) {
         result = finish(day, out, wish, ground.end_all(), plan.placers, std::nullopt, to);
         loop.stop();
     });
@@ -208,4 +209,4 @@
     return result;
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/rehearsal.h
+++ b/simulation/rehearsal.h
@@ -6,12 +6,12 @@
 #include <string>
 #include <vector>
 
-#include "lab/report.h"
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
+#include "simulation/run_report.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-struct Wish {
+struct RehearsalOptions {
     std::string scenario;    // the name of one that comes with the program, or a file
     std::uint64_t seed = 0;  // 0: the scenario's own, as the following
     std::size_t placers = 0, nodes = 0;
@@ -25,15 +25,16 @@
 
 // The scenario's text, or a problem. Where it says `like = "name"`, the tables of that base that it does not
 // have itself stand after its own, so that its lines keep their numbers.
-std::string scenario_text(const std::string& name_or_file, std::string& problem);
+std::string load_scenario(const std::string& name_or_file, std::string& problem);
 
 // Plays it, writes progress and report to `to`, problems to `err`. 0: the rules held and all that is expected
 // was met; 1: not; 2: it could not be played.
-int rehearse(const Wish&, std::ostream& to, std::ostream& err);
+int run_rehearsal(const RehearsalOptions&, std::ostream& to, std::ostream& err);
 
 // In virtual time, for tests and searches: plays a plan and calls `then` before all is taken down.
-void play_plan(
-    const standin::Plan&, const std::string& planner, const std::function<void(const std::string&)>& progress,
-    const std::function<void(standin::Play&, const standin::Outcome&, std::uint64_t digest)>& then);
+void run_scenario(const emulator::Scenario&, const std::string& planner,
+                  const std::function<void(const std::string&)>& progress,
+                  const std::function<void(emulator::ScenarioRun&, const emulator::RunResult&,
+                                           std::uint64_t digest)>& then);
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/report.cpp
+++ b/simulation/run_report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.h"
+#include "simulation/run_report.h"
 
 #include <algorithm>
 #include <cstdio>
@@ -9,14 +9,14 @@
 #include <sstream>
 #include <stdexcept>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-using standin::Breach;
-using standin::Expect;
-using standin::Line;
-using standin::Of;
-using standin::Sample;
-using standin::What;
+using emulator::EventKind;
+using emulator::Expectation;
+using emulator::Metric;
+using emulator::RecordedEvent;
+using emulator::ServiceSample;
+using emulator::Violation;
 
 namespace {
 
@@ -38,24 +38,25 @@
 
 }  // namespace
 
-Findings::Findings(const standin::Play& play, const standin::Outcome& out, std::optional<std::uint64_t> digest)
+RunReport::RunReport(const emulator::ScenarioRun& play, const emulator::RunResult& out,
+                     std::optional<std::uint64_t> digest)
     : play_(play), plan_(play.plan()), outcome_(out), digest_(digest) {
     read();
-    for (const Expect& e : plan_.expects) checked_.push_back(check(e));
+    for (const Expectation& e : plan_.expects) checked_.push_back(check(e));
 }
 
-std::string Findings::digest() const {
+std::string RunReport::digest() const {
     if (!digest_) return "";
     char text[17];
     std::snprintf(text, sizeof text, "%016llx", static_cast<unsigned long long>(*digest_));
     return text;
 }
 
-bool Findings::met() const {
-    return std::all_of(checked_.begin(), checked_.end(), [](const Checked& c) { return c.met; });
+bool RunReport::met() const {
+    return std::all_of(checked_.begin(), checked_.end(), [](const CheckedExpectation& c) { return c.met; });
 }
 
-void Findings::read() {
+void RunReport::read() {
     std::map<std::string, std::size_t> at;
     std::map<std::pair<std::string, std::uint64_t>, std::size_t> launches;  // by placer and number
     std::map<std::pair<std::string, std::string>, std::size_t> heard;  // by placer and node: still drains
@@ -65,12 +66,12 @@
         if (fresh) nodes_.push_back({node, 0, 0, 0, 0, 0, false});
         return it->second;
     };
-    for (const standin::Placement& p : play_.places()) row(p.node);
-    for (const Line& l : play_.seen().lines()) {
+    for (const emulator::WorkerLocation& p : play_.places()) row(p.node);
+    for (const RecordedEvent& l : play_.seen().lines()) {
         const Nanos t = l.at - play_.began();
         switch (l.what) {
-            case What::offered: {
-                Course& c = courses_[l.container];
+            case EventKind::offered: {
+                TaskHistory& c = courses_[l.container];
                 if (!c.until) {
                     c.group = l.group;
                     c.asked = t;
@@ -78,11 +79,11 @@
                 }
                 break;
             }
-            case What::placed:
-                if (Course& c = courses_[l.container]; !c.placed && t <= c.until)
+            case EventKind::placed:
+                if (TaskHistory& c = courses_[l.container]; !c.placed && t <= c.until)
                     c.placed = std::max<Nanos>(t, 1);
                 break;
-            case What::launch: {
+            case EventKind::launch: {
                 const std::size_t n = row(l.node);
                 ++nodes_[n].launches;
                 launches[{l.placer, l.launch}] = sent_.size();
@@ -92,43 +93,43 @@
                     drains_[it->second].last = t;
                 break;
             }
-            case What::refused:
+            case EventKind::refused:
                 ++nodes_[row(l.node)].refused;
                 if (const auto it = launches.find({l.placer, l.launch}); it != launches.end())
                     sent_[it->second].refused = true;
                 break;
-            case What::accepted:
+            case EventKind::accepted:
                 ++nodes_[row(l.node)].accepted;
                 break;
-            case What::ended:
+            case EventKind::ended:
                 nodes_[row(l.node)].errors += l.text == "error";
                 break;
-            case What::started:
+            case EventKind::started:
                 ++nodes_[row(l.node)].started;
                 runs[l.container].insert(l.node);
                 break;
-            case What::finished:
+            case EventKind::finished:
                 runs[l.container].erase(l.node);
                 break;
-            case What::node_trouble:
+            case EventKind::node_trouble:
                 if (l.text == "dead")
                     for (auto& [container, nodes] : runs) nodes.erase(l.node);
                 break;
-            case What::over:
+            case EventKind::over:
                 if (l.text == "LOST" && !runs[l.container].empty()) wrongly_lost_.push_back(t);
                 break;
-            case What::fell:
+            case EventKind::fell:
                 nodes_[row(l.node)].fell = true;
                 break;
-            case What::drain_said:
-            case What::list_draining:
-            case What::list_gone:
+            case EventKind::drain_said:
+            case EventKind::list_draining:
+            case EventKind::list_gone:
                 if (!heard.contains({l.placer, l.node})) {
                     heard[{l.placer, l.node}] = drains_.size();
                     drains_.push_back({l.node, l.placer, t, 0});
                 }
                 break;
-            case What::list_serving:
+            case EventKind::list_serving:
                 heard.erase({l.placer, l.node});
                 break;
             default:
@@ -137,9 +138,9 @@
     }
 }
 
-double Findings::service(int group, Nanos from, Nanos to) const {
+double RunReport::service(int group, Nanos from, Nanos to) const {
     double wanted = 0, served = 0;
-    for (const Sample& s : play_.samples()) {
+    for (const ServiceSample& s : play_.samples()) {
         if (s.at < from || s.at >= to) continue;
         for (std::size_t g = 0; g < s.wanted.size(); ++g) {
             if (group >= 0 && static_cast<int>(g) != group) continue;
@@ -150,32 +151,32 @@
     return wanted > 0 ? served / wanted : -1;
 }
 
-Checked Findings::check(const Expect& e) const {
-    Checked out;
+CheckedExpectation RunReport::check(const Expectation& e) const {
+    CheckedExpectation out;
     out.expect = e;
     double of = 0, value = 0;
     const auto mine = [&e](int group) { return e.group < 0 || e.group == group; };
     const auto within = [&e](Nanos t) { return t >= e.from && t < e.to; };
     const auto share = [&of, &value] { return of > 0 ? value / of : 0; };
     switch (e.of) {
-        case Of::placed:
-        case Of::in_time:
-        case Of::never:
+        case Metric::placed:
+        case Metric::in_time:
+        case Metric::never:
             for (const auto& [name, c] : courses_) {
                 if (!c.until || !mine(c.group) || !within(c.asked)) continue;
                 const Nanos target = plan_.groups[static_cast<std::size_t>(c.group)].terms.start_target;
-                if (e.of == Of::in_time) {
+                if (e.of == Metric::in_time) {
                     of += c.placed > 0;
                     value += c.placed > 0 && c.placed - c.asked <= target;
                 } else {
                     of += 1;
-                    value += (c.placed > 0) == (e.of == Of::placed);
+                    value += (c.placed > 0) == (e.of == Metric::placed);
                 }
             }
-            out.value = e.of == Of::never ? value : share();
+            out.value = e.of == Metric::never ? value : share();
             out.known = of > 0;
             break;
-        case Of::launches:
+        case Metric::launches:
             for (const auto& [name, c] : courses_) {
                 if (!c.until || !mine(c.group) || !within(c.asked)) continue;
                 of += c.placed > 0;
@@ -184,7 +185,7 @@
             out.value = share();
             out.known = of > 0;
             break;
-        case Of::refused:
+        case Metric::refused:
             for (const Sent& s : sent_) {
                 if (!within(s.at)) continue;
                 of += 1;
@@ -193,7 +194,7 @@
             out.value = share();
             out.known = of > 0;
             break;
-        case Of::busiest: {
+        case Metric::busiest: {
             std::vector<double> by(nodes_.size(), 0);
             for (const Sent& s : sent_)
                 if (within(s.at)) by[s.node] += 1, of += 1;
@@ -202,14 +203,14 @@
             out.known = of > 0;
             break;
         }
-        case Of::service:
+        case Metric::service:
             out.value = service(e.group, e.from, e.to);
             out.known = out.value >= 0;
             break;
-        case Of::worst_second:
+        case Metric::worst_second:
             out.value = 1;
             out.known = false;
-            for (const Sample& s : play_.samples()) {
+            for (const ServiceSample& s : play_.samples()) {
                 if (!within(s.at)) continue;
                 const double x = service(e.group, s.at, s.at + 1);
                 if (x < 0) continue;
@@ -217,10 +218,10 @@
                 out.value = std::min(out.value, x);
             }
             break;
-        case Of::back: {
+        case Metric::back: {
             Nanos since = -1;
             out.value = kNever;
-            for (const Sample& s : play_.samples()) {
+            for (const ServiceSample& s : play_.samples()) {
                 if (!within(s.at)) continue;
                 const double x = service(e.group, s.at, s.at + 1);
                 if (x >= 0 && x < e.share) since = -1;
@@ -232,15 +233,15 @@
             }
             break;
         }
-        case Of::drain_lag:
+        case Metric::drain_lag:
             out.known = !drains_.empty();
             for (const DrainRow& d : drains_)
                 if (d.last && within(d.heard)) out.value = std::max(out.value, seconds(d.last - d.heard));
             break;
-        case Of::fallen:
-            for (const NodeRow& n : nodes_) out.value += n.fell;
+        case Metric::fallen:
+            for (const WorkerRow& n : nodes_) out.value += n.fell;
             break;
-        case Of::wrongly_lost:
+        case Metric::wrongly_lost:
             for (const Nanos t : wrongly_lost_) out.value += within(t);
             break;
     }
@@ -248,7 +249,7 @@
     return out;
 }
 
-std::string Findings::table() const {
+std::string RunReport::table() const {
     std::ostringstream t;
     t << play_.table(outcome_) << "\nservice over time (share of what was wanted)\n" << padded("from", 8);
     for (const auto& g : plan_.groups) t << padded(g.name, 16);
@@ -263,14 +264,14 @@
         }
         t << '\n';
     }
-    std::vector<NodeRow> busiest = nodes_;
+    std::vector<WorkerRow> busiest = nodes_;
     std::stable_sort(busiest.begin(), busiest.end(),
-                     [](const NodeRow& a, const NodeRow& b) { return a.launches > b.launches; });
+                     [](const WorkerRow& a, const WorkerRow& b) { return a.launches > b.launches; });
     t << "\nnodes that were sent the most (of " << nodes_.size() << ")\n"
       << padded("node", 14) << padded("launches", 10) << padded("accepted", 10) << padded("refused", 10)
       << padded("errors", 8) << "started\n";
     for (std::size_t i = 0; i < busiest.size() && i < 8; ++i) {
-        const NodeRow& n = busiest[i];
+        const WorkerRow& n = busiest[i];
         t << padded(n.name, 14) << padded(std::to_string(n.launches), 10)
           << padded(std::to_string(n.accepted), 10) << padded(std::to_string(n.refused), 10)
           << padded(std::to_string(n.errors), 8) << n.started << (n.fell ? "  fell over" : "") << '\n';
@@ -292,13 +293,13 @@
         if (by.size() > 12) t << "... and " << by.size() - 12 << " more in the report\n";
     }
     if (!checked_.empty()) t << "\nexpected\n";
-    for (const Checked& c : checked_) {
-        const Expect& e = c.expect;
-        t << (c.met ? "  met      " : "  NOT MET  ") << words(e.of);
+    for (const CheckedExpectation& c : checked_) {
+        const Expectation& e = c.expect;
+        t << (c.met ? "  met      " : "  NOT MET  ") << to_string(e.of);
         if (e.group >= 0) t << " of " << plan_.groups[static_cast<std::size_t>(e.group)].name;
         if (e.from || e.to != plan_.length)
             t << " from " << shown(seconds(e.from), 1) << " to " << shown(seconds(e.to), 1) << " s";
-        if (e.of == Of::back) t << " to " << shown(e.share);
+        if (e.of == Metric::back) t << " to " << shown(e.share);
         t << (e.at_least ? " at least " : " at most ") << shown(e.bound) << ": "
           << (c.known ? shown(c.value) : "this run has nothing to measure it by") << '\n';
     }
@@ -306,7 +307,7 @@
     return t.str();
 }
 
-std::string Findings::json() const {
+std::string RunReport::json() const {
     using nlohmann::ordered_json;
     ordered_json j;
     j["scenario"] = plan_.name;
@@ -317,15 +318,15 @@
     if (digest_) j["digest"] = digest();
     ordered_json& rules = j["rules"];
     rules["kept"] = outcome_.verdict.kept();
-    rules["lost"] = outcome_.verdict.count(Breach::lost);
-    rules["twice"] = outcome_.verdict.count(Breach::twice);
-    rules["drains"] = outcome_.verdict.count(Breach::drain);
-    rules["pushed_over"] = outcome_.verdict.count(Breach::pushed_over);
-    rules["spread"] = outcome_.verdict.count(Breach::spread);
-    for (const Breach& b : outcome_.verdict.breaches)
-        rules["breaches"].push_back({{"what", b.what}, {"line", show(b.line, play_.began())}});
+    rules["lost"] = outcome_.verdict.count(Violation::lost);
+    rules["twice"] = outcome_.verdict.count(Violation::twice);
+    rules["drains"] = outcome_.verdict.count(Violation::drain);
+    rules["pushed_over"] = outcome_.verdict.count(Violation::pushed_over);
+    rules["spread"] = outcome_.verdict.count(Violation::spread);
+    for (const Violation& b : outcome_.verdict.breaches)
+        rules["breaches"].push_back({{"what", b.what}, {"line", to_string(b.line, play_.began())}});
     for (std::size_t g = 0; g < plan_.groups.size(); ++g) {
-        const standin::GroupCount& c = outcome_.counts[g];
+        const emulator::QueueGroupCounts& c = outcome_.counts[g];
         j["groups"].push_back({{"name", plan_.groups[g].name},
                                {"asked", c.asked},
                                {"placed", c.placed},
@@ -337,10 +338,10 @@
                                {"service", service(static_cast<int>(g), 0, plan_.length)}});
     }
     j["service"] = service(-1, 0, plan_.length);
-    for (const Sample& s : play_.samples())
+    for (const ServiceSample& s : play_.samples())
         j["seconds"].push_back(
             {{"at_s", seconds(s.at)}, {"wanted", s.wanted}, {"running", s.running}, {"served", s.served}});
-    for (const NodeRow& n : nodes_)
+    for (const WorkerRow& n : nodes_)
         j["sent"].push_back({{"node", n.name},
                              {"launches", n.launches},
                              {"accepted", n.accepted},
@@ -353,8 +354,8 @@
         if (d.last) row["last_launch_after_s"] = seconds(d.last - d.heard);
         j["drains"].push_back(row);
     }
-    for (const Checked& c : checked_) {
-        ordered_json row{{"of", words(c.expect.of)},
+    for (const CheckedExpectation& c : checked_) {
+        ordered_json row{{"of", to_string(c.expect.of)},
                          {c.expect.at_least ? "at_least" : "at_most", c.expect.bound},
                          {"from_s", seconds(c.expect.from)},
                          {"to_s", seconds(c.expect.to)}};
@@ -366,7 +367,7 @@
     return j.dump(1);
 }
 
-std::vector<std::string> Findings::write(const std::string& dir) const {
+std::vector<std::string> RunReport::write(const std::string& dir) const {
     std::vector<std::string> written;
     const auto file = [&](const std::string& name, const std::string& text) {
         std::ofstream out(dir + "/" + name, std::ios::binary);
@@ -376,7 +377,7 @@
     };
     file("report.json", json());
     std::ostringstream service_data, node_data, gp;
-    for (const Sample& s : play_.samples()) {
+    for (const ServiceSample& s : play_.samples()) {
         service_data << seconds(s.at);
         for (std::size_t g = 0; g <= s.wanted.size(); ++g) {
             const double x = service(g < s.wanted.size() ? static_cast<int>(g) : -1, s.at, s.at + 1);
@@ -402,7 +403,7 @@
        << "set key below\nset yrange [0:1.05]\nset xrange [0:" << seconds(plan_.length)
        << "]\nset ylabel 'share of service'\nset datafile missing '?'\n";
     std::set<std::string> drawn;
-    for (const standin::Fault& f : plan_.faults) {
+    for (const emulator::Fault& f : plan_.faults) {
         const std::string at = shown(seconds(f.at), 2);
         if (!drawn.insert(at).second) continue;
         gp << "set arrow from " << at << ",0 to " << at << ",1.05 nohead lc rgb '#cc8888' dt 3\n";
@@ -419,11 +420,12 @@
     return written;
 }
 
-std::vector<std::string> node_story(const standin::Seen& seen, const std::string& node, Nanos start) {
+std::vector<std::string> worker_history_of(const emulator::EventLog& seen, const std::string& node,
+                                           Nanos start) {
     std::vector<std::string> out;
-    for (const Line& l : seen.lines())
-        if (l.node == node && l.what != What::list_serving) out.push_back(show(l, start));
+    for (const RecordedEvent& l : seen.lines())
+        if (l.node == node && l.what != EventKind::list_serving) out.push_back(to_string(l, start));
     return out;
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/report.h
+++ b/simulation/run_report.h
@@ -7,19 +7,19 @@
 #include <string>
 #include <vector>
 
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 // One container of the day, from its owner's side. Times since the day's begin.
-struct Course {
+struct TaskHistory {
     int group = 0;
     Nanos asked = 0, until = 0;
     Nanos placed = 0;  // 0: never, or after its owner gave up
     int launches = 0;
 };
 
-struct NodeRow {
+struct WorkerRow {
     std::string name;
     std::uint64_t launches = 0, accepted = 0, refused = 0, errors = 0, started = 0;
     bool fell = false;
@@ -32,21 +32,22 @@
     Nanos last = 0;  // the last launch of that placer that arrived there afterwards; 0: none
 };
 
-struct Checked {
-    standin::Expect expect;
+struct CheckedExpectation {
+    emulator::Expectation expect;
     bool known = true;  // false: this run has nothing to measure it by
     bool met = false;
     double value = 0;
 };
 
-class Findings {
+class RunReport {
 public:
     // `digest`: of all bytes that were delivered, where the run was in virtual time.
-    Findings(const standin::Play&, const standin::Outcome&, std::optional<std::uint64_t> digest = {});
+    RunReport(const emulator::ScenarioRun&, const emulator::RunResult&,
+              std::optional<std::uint64_t> digest = {});
 
-    const std::vector<NodeRow>& nodes() const { return nodes_; }
+    const std::vector<WorkerRow>& nodes() const { return nodes_; }
     const std::vector<DrainRow>& drains() const { return drains_; }
-    const std::vector<Checked>& checked() const { return checked_; }
+    const std::vector<CheckedExpectation>& checked() const { return checked_; }
     bool met() const;
     // The digest as sixteen hex digits; empty where there is none.
     std::string digest() const;
@@ -61,14 +62,14 @@
 
 private:
     void read();
-    Checked check(const standin::Expect&) const;
+    CheckedExpectation check(const emulator::Expectation&) const;
 
-    const standin::Play& play_;
-    const standin::Plan& plan_;
-    standin::Outcome outcome_;
+    const emulator::ScenarioRun& play_;
+    const emulator::Scenario& plan_;
+    emulator::RunResult outcome_;
     std::optional<std::uint64_t> digest_;
-    std::map<std::string, Course> courses_;
-    std::vector<NodeRow> nodes_;
+    std::map<std::string, TaskHistory> courses_;
+    std::vector<WorkerRow> nodes_;
     std::vector<DrainRow> drains_;
     struct Sent {
         Nanos at;
@@ -77,10 +78,10 @@
     };
     std::vector<Sent> sent_;
     std::vector<Nanos> wrongly_lost_;
-    std::vector<Checked> checked_;
+    std::vector<CheckedExpectation> checked_;
 };
 
 // All that concerns one node, a line each.
-std::vector<std::string> node_story(const standin::Seen&, const std::string& node, Nanos start);
+std::vector<std::string> worker_history_of(const emulator::EventLog&, const std::string& node, Nanos start);
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/draw.cpp
+++ b/simulation/scenario_generator.cpp
@@ -1,19 +1,19 @@
-#include "lab/draw.h"
+#include "simulation/scenario_generator.h"
 
 #include <random>
 #include <sstream>
 #include <stdexcept>
 #include <vector>
 
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 namespace {
 
-class Drawing {
+class ScenarioGenerator {
 public:
-    Drawing(std::uint64_t seed, bool big)
+    ScenarioGenerator(std::uint64_t seed, bool big)
         : seed_(seed), big_(big),
           chance_(static_cast<std::ranlux24_base::result_type>(seed * 2654435761u + 17)) {}
 
@@ -25,13 +25,13 @@
         for (int have = 0, tried = 0; have < wanted && tried < 60; ++tried) {
             const std::string with = whole + fault();
             std::vector<std::string> problems;
-            standin::parse_plan(with, "drawn", problems);
+            emulator::parse_scenario(with, "drawn", problems);
             if (!problems.empty()) continue;
             whole = with;
             ++have;
         }
         std::vector<std::string> problems;
-        standin::parse_plan(whole, "drawn", problems);
+        emulator::parse_scenario(whole, "drawn", problems);
         if (!problems.empty()) throw std::logic_error("a drawn scenario can't be read: " + problems[0]);
         return whole;
     }
@@ -248,6 +248,6 @@
 
 }  // namespace
 
-std::string draw(std::uint64_t seed, bool big) { return Drawing(seed, big).text(); }
+std::string generate_scenario(std::uint64_t seed, bool big) { return ScenarioGenerator(seed, big).text(); }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/draw.h
+++ b/simulation/scenario_generator.h
@@ -4,9 +4,9 @@
 #include <cstdint>
 #include <string>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 // TOML that can be played. `big`: fleets of a deployment's size, else ones that play in a moment.
-std::string draw(std::uint64_t seed, bool big = false);
+std::string generate_scenario(std::uint64_t seed, bool big = false);
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/sim_ground.cpp
+++ b/simulation/simulated_environment.cpp
@@ -1,28 +1,29 @@
-#include "lab/sim_ground.h"
+#include "simulation/simulated_environment.h"
 
 #include <stdexcept>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-SimGround::SimGround(World& w, std::size_t placers, std::vector<std::string> zones)
+SimulatedEnvironment::SimulatedEnvironment(SimulatedNetwork& w, std::size_t placers,
+                                           std::vector<std::string> zones)
     : world_(w), script_(&w.process("script")), zones_(std::move(zones)), processes_(placers),
       placers_(placers) {}
 
-SimGround::~SimGround() = default;
+SimulatedEnvironment::~SimulatedEnvironment() = default;
 
-net::Loop& SimGround::node_loop(const std::string& node, int zone) {
-    Process*& p = nodes_[node];
+net::EventLoop& SimulatedEnvironment::node_loop(const std::string& node, int zone) {
+    SimulatedProcess*& p = nodes_[node];
     if (!p || !p->alive()) p = &world_.process(node, zone);
     return *p;
 }
 
 // The simulated network knows no addresses but a placer's file does: these are read as IP addresses and stand
 // for hosts.
-std::string SimGround::placer_address(std::size_t i) {
+std::string SimulatedEnvironment::placer_address(std::size_t i) {
     return "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7400";
 }
 
-void SimGround::start_placer(std::size_t i, const std::string& file) {
+void SimulatedEnvironment::start_placer(std::size_t i, const std::string& file) {
     const std::string at = placer_address(i);
     processes_[i] = &world_.process(at.substr(0, at.find(':')), static_cast<int>(i % zones_.size()));
     // The list's address is a host's name here.
@@ -33,8 +34,8 @@
     config::Document document = config::Document::parse(text, "placer-" + std::to_string(i));
     std::vector<std::string> problems;
     ++incarnations_;
-    placers_[i] = apps::Embedded::make(*processes_[i], document, i * 1000 + incarnations_, incarnations_,
-                                       problems, ledger);
+    placers_[i] = apps::EmbeddedPlacer::make(*processes_[i], document, i * 1000 + incarnations_,
+                                             incarnations_, problems, ledger);
     if (!placers_[i]) throw std::runtime_error(problems.at(0));
     placers_[i]->list = list_address();
     if (made) made(i, *placers_[i]);
@@ -42,29 +43,29 @@
     if (!wrong.empty()) throw std::runtime_error(wrong);
 }
 
-void SimGround::kill_placer(std::size_t i) {
+void SimulatedEnvironment::kill_placer(std::size_t i) {
     world_.kill(*processes_[i]);
     placers_[i].reset();
 }
 
-void SimGround::stall_placer(std::size_t i, bool on) {
+void SimulatedEnvironment::stall_placer(std::size_t i, bool on) {
     if (on) world_.stall(*processes_[i]);
     else world_.resume(*processes_[i]);
 }
 
-void SimGround::node_killed(const std::string& node) {
+void SimulatedEnvironment::node_killed(const std::string& node) {
     if (const auto it = nodes_.find(node); it != nodes_.end()) world_.kill(*it->second);
 }
 
-Delays delays_of(const standin::Plan& plan) {
-    const standin::Plan::Network& n = plan.network;
+NetworkDelays network_delays(const emulator::Scenario& plan) {
+    const emulator::Scenario::NetworkSettings& n = plan.network;
     return {n.least, n.spread, n.late_share, n.late};
 }
 
-standin::Outcome play(World& world, standin::Play& day) {
-    standin::Outcome out;
+emulator::RunResult run_to_end(SimulatedNetwork& world, emulator::ScenarioRun& day) {
+    emulator::RunResult out;
     bool over = false;
-    const std::string wrong = day.start([&](const standin::Outcome& o) {
+    const std::string wrong = day.start([&](const emulator::RunResult& o) {
         out = o;
         over = true;
     });
@@ -74,4 +75,4 @@
     return out;
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/sim_ground.h
+++ b/simulation/simulated_environment.h
@@ -5,18 +5,18 @@
 #include <string>
 #include <vector>
 
-#include "embedded.h"
-#include "lab/sim.h"
-#include "standin/day.h"
+#include "embedded_placer.h"
+#include "emulator/scenario_run.h"
+#include "simulation/simulated_network.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-class SimGround final : public standin::Ground {
+class SimulatedEnvironment final : public emulator::TestEnvironment {
 public:
-    SimGround(World&, std::size_t placers, std::vector<std::string> zones);
-    ~SimGround() override;
-    net::Loop& loop() override { return *script_; }
-    net::Loop& node_loop(const std::string& node, int zone) override;
+    SimulatedEnvironment(SimulatedNetwork&, std::size_t placers, std::vector<std::string> zones);
+    ~SimulatedEnvironment() override;
+    net::EventLoop& loop() override { return *script_; }
+    net::EventLoop& node_loop(const std::string& node, int zone) override;
     std::string node_address(const std::string& node) override { return node + ":1"; }
     std::string list_address() override { return "script:1"; }
     std::string placer_address(std::size_t i) override;
@@ -30,26 +30,26 @@
         return true;
     }
 
-    apps::Embedded* placer(std::size_t i) { return placers_[i].get(); }
-    Process& placer_process(std::size_t i) { return *processes_[i]; }
+    apps::EmbeddedPlacer* placer(std::size_t i) { return placers_[i].get(); }
+    SimulatedProcess& placer_process(std::size_t i) { return *processes_[i]; }
     // To change a placer before it starts: a test's own planner or ledger.
-    std::function<void(std::size_t, apps::Embedded&)> made;
-    apps::Embedded::MakeLedger ledger;
+    std::function<void(std::size_t, apps::EmbeddedPlacer&)> made;
+    apps::EmbeddedPlacer::MakeLedger ledger;
 
 private:
-    World& world_;
-    Process* script_;
+    SimulatedNetwork& world_;
+    SimulatedProcess* script_;
     std::vector<std::string> zones_;
-    std::vector<Process*> processes_;
-    std::vector<std::unique_ptr<apps::Embedded>> placers_;
-    std::map<std::string, Process*> nodes_;
+    std::vector<SimulatedProcess*> processes_;
+    std::vector<std::unique_ptr<apps::EmbeddedPlacer>> placers_;
+    std::map<std::string, SimulatedProcess*> nodes_;
     std::uint64_t incarnations_ = 0;
 };
 
 // Of the network that the plan asks for.
-Delays delays_of(const standin::Plan&);
+NetworkDelays network_delays(const emulator::Scenario&);
 
 // Plays a whole day; gives back its outcome. `steps` at most, to end what would not.
-standin::Outcome play(World&, standin::Play&);
+emulator::RunResult run_to_end(SimulatedNetwork&, emulator::ScenarioRun&);
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
