--- a/lab/sim.cpp
+++ b/simulation/simulated_network.cpp
@@ -1,11 +1,11 @@
-#include "lab/sim.h"
+#include "simulation/simulated_network.h"
 
 #include <algorithm>
 #include <deque>
 #include <optional>
 #include <tuple>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
 namespace {
 // What one direction of a connection holds in the kernels' buffers, about a socket's usual send and receive
@@ -16,21 +16,21 @@
 }  // namespace
 
 // One end of a connection. `link_` is shared by both; it outlives either.
-class SimStream final : public net::Stream {
+class SimulatedStream final : public net::Stream {
 public:
-    SimStream(Process& p, std::string peer) : process_(p), peer_(std::move(peer)) {
+    SimulatedStream(SimulatedProcess& p, std::string peer) : process_(p), peer_(std::move(peer)) {
         --process_.files_;
         process_.streams_.push_back(this);
-        self_ = std::make_shared<SimStream*>(this);
+        self_ = std::make_shared<SimulatedStream*>(this);
     }
-    ~SimStream() override {
+    ~SimulatedStream() override {
         *self_ = nullptr;
         std::erase(process_.streams_, this);
         ++process_.files_;
-        if (other_ && *other_ && process_.alive_ && !half_closed_) finish(net::Closed::by_peer);
+        if (other_ && *other_ && process_.alive_ && !half_closed_) finish(net::CloseReason::by_peer);
     }
-    SimStream(const SimStream&) = delete;
-    SimStream& operator=(const SimStream&) = delete;
+    SimulatedStream(const SimulatedStream&) = delete;
+    SimulatedStream& operator=(const SimulatedStream&) = delete;
 
     void write(std::string_view bytes) override {
         if (broken_ || finishing_) return;
@@ -53,31 +53,31 @@
         half_close();
     }
     void abort() override {
-        if (other_ && *other_) finish(net::Closed::reset);
+        if (other_ && *other_) finish(net::CloseReason::reset);
         broken_ = true;
         other_.reset();
     }
     std::string peer() const override { return peer_; }
 
 private:
-    friend class Process;
-    friend class World;
-    friend class SimListener;
-    using Self = std::shared_ptr<SimStream*>;
+    friend class SimulatedProcess;
+    friend class SimulatedNetwork;
+    friend class SimulatedListener;
+    using Self = std::shared_ptr<SimulatedStream*>;
 
     // The other end meets the end of this direction once it has read all that was handed over.
     void half_close() {
         if (!out_.empty() || dialling_ || !peer_end() || std::exchange(half_closed_, true)) return;
-        finish(net::Closed::by_peer);
+        finish(net::CloseReason::by_peer);
     }
-    SimStream* peer_end() const { return other_ ? *other_ : nullptr; }
+    SimulatedStream* peer_end() const { return other_ ? *other_ : nullptr; }
 
     // Tells the other end that this one is closed, after all that was handed over has arrived.
-    void finish(net::Closed how) {
-        World& w = process_.world_;
-        SimStream* o = *other_;
+    void finish(net::CloseReason how) {
+        SimulatedNetwork& w = process_.world_;
+        SimulatedStream* o = *other_;
         o->ending_ = how;
-        if (how == net::Closed::reset) o->incoming_.clear();
+        if (how == net::CloseReason::reset) o->incoming_.clear();
         const Self to = other_;
         o->ends_at_ = std::max(w.now() + w.delay(process_, o->process_), o->arrives_);
         w.post(o->ends_at_, &o->process_, [to] {
@@ -86,19 +86,19 @@
     }
     void come_to_end() {
         if (!ending_) return;
-        if (*ending_ == net::Closed::by_peer && (!reading_ || !incoming_.empty()))
+        if (*ending_ == net::CloseReason::by_peer && (!reading_ || !incoming_.empty()))
             return;                                     // met once all is read
         if (process_.world_.blocked_in(*this)) return;  // comes when the cut has healed
-        const net::Closed how = *ending_;
+        const net::CloseReason how = *ending_;
         ending_.reset();
         broken_ = true;
-        if (how != net::Closed::by_peer || !peer_end() || !peer_end()->half_closed_) other_.reset();
+        if (how != net::CloseReason::by_peer || !peer_end() || !peer_end()->half_closed_) other_.reset();
         if (user_) user_->closed(how);
     }
 
     void hand_over() {
-        SimStream* o = peer_end();
-        World& w = process_.world_;
+        SimulatedStream* o = peer_end();
+        SimulatedNetwork& w = process_.world_;
         if (!o || dialling_ || broken_) return;
         const std::size_t room = kWindow - std::min(kWindow, o->incoming_bytes_);
         const std::size_t n = std::min(room, out_.size());
@@ -135,8 +135,8 @@
     }
 
     void arrive() {
-        SimStream* o = peer_end();
-        World& w = process_.world_;
+        SimulatedStream* o = peer_end();
+        SimulatedNetwork& w = process_.world_;
         if (!user_ || !reading_ || broken_) return;
         if (w.blocked_in(*this)) return;
         const Self me = self_;
@@ -160,27 +160,28 @@
         if (ending_ && incoming_.empty()) come_to_end();
     }
 
-    Process& process_;
+    SimulatedProcess& process_;
     std::string peer_;
     Self self_, other_;
-    net::StreamUser* user_ = nullptr;
+    net::StreamHandler* user_ = nullptr;
     std::string out_, in_;
     std::deque<std::string> incoming_;
     std::size_t incoming_bytes_ = 0;
     std::uint64_t written_ = 0;
     Nanos arrives_ = 0, ends_at_ = 0;
-    std::optional<net::Closed> ending_;
+    std::optional<net::CloseReason> ending_;
     bool reading_ = true, dialling_ = false, broken_ = false, telling_ = false;
     bool finishing_ = false, half_closed_ = false;
 };
 
-class SimListener final : public net::Listener {
+class SimulatedListener final : public net::Listener {
 public:
-    SimListener(Process& p, std::string address, std::function<void(std::unique_ptr<net::Stream>)> then)
+    SimulatedListener(SimulatedProcess& p, std::string address,
+                      std::function<void(std::unique_ptr<net::Stream>)> then)
         : process_(p), address_(std::move(address)), then_(std::move(then)) {
         process_.world_.listeners_[address_] = this;
     }
-    ~SimListener() override {
+    ~SimulatedListener() override {
         auto& all = process_.world_.listeners_;
         if (const auto it = all.find(address_); it != all.end() && it->second == this) all.erase(it);
     }
@@ -188,19 +189,20 @@
     void accept_waiting() override {}  // each is handed on as it arrives
 
 private:
-    friend class Process;
-    friend class World;
-    Process& process_;
+    friend class SimulatedProcess;
+    friend class SimulatedNetwork;
+    SimulatedProcess& process_;
     std::string address_;
     std::function<void(std::unique_ptr<net::Stream>)> then_;
 };
 
-class SimTimer final : public net::Timer {
+class SimulatedTimer final : public net::Timer {
 public:
-    SimTimer(Process& p, std::function<void()> then) : process_(p), state_(std::make_shared<State>()) {
+    SimulatedTimer(SimulatedProcess& p, std::function<void()> then)
+        : process_(p), state_(std::make_shared<State>()) {
         state_->then = std::move(then);
     }
-    ~SimTimer() override { state_->then = nullptr; }
+    ~SimulatedTimer() override { state_->then = nullptr; }
     void arm(Nanos at) override {
         const std::uint64_t turn = ++state_->turn;
         process_.world_.post(std::max(at, process_.now()), &process_, [s = state_, turn] {
@@ -214,42 +216,43 @@
         std::function<void()> then;
         std::uint64_t turn = 0;
     };
-    Process& process_;
+    SimulatedProcess& process_;
     std::shared_ptr<State> state_;
 };
 
 // ---------------------------------------------------------------- processes
 
-Process::Process(World& w, std::string host, int zone, int number)
+SimulatedProcess::SimulatedProcess(SimulatedNetwork& w, std::string host, int zone, int number)
     : world_(w), host_(std::move(host)), zone_(zone), number_(number) {}
 
-Nanos Process::now() const { return world_.now_; }
-Nanos Process::unseen_since() const { return world_.now_ == resumed_at_ ? stalled_at_ : world_.now_; }
+Nanos SimulatedProcess::now() const { return world_.now_; }
+Nanos SimulatedProcess::unseen_since() const {
+    return world_.now_ == resumed_at_ ? stalled_at_ : world_.now_;
+}
 
-std::unique_ptr<net::Listener> Process::listen(const std::string& address,
-                                               std::function<void(std::unique_ptr<net::Stream>)> then,
-                                               std::string& error) {
+std::unique_ptr<net::Listener> SimulatedProcess::listen(
+    const std::string& address, std::function<void(std::unique_ptr<net::Stream>)> then, std::string& error) {
     std::string at = address;
     if (at.ends_with(":0")) at = host_of(at) + ":" + std::to_string(world_.next_port_++);
     if (world_.listeners_.contains(at)) {
         error = "Address already in use";
         return nullptr;
     }
-    return std::make_unique<SimListener>(*this, at, std::move(then));
+    return std::make_unique<SimulatedListener>(*this, at, std::move(then));
 }
 
-std::unique_ptr<net::Stream> Process::dial(const std::string& address, net::StreamUser& user) {
-    auto s = std::make_unique<SimStream>(*this, address);
+std::unique_ptr<net::Stream> SimulatedProcess::dial(const std::string& address, net::StreamHandler& user) {
+    auto s = std::make_unique<SimulatedStream>(*this, address);
     s->user_ = &user;
     s->dialling_ = true;
-    const SimStream::Self me = s->self_;
-    const auto fail = [this, me](Nanos when, net::Closed why) {
+    const SimulatedStream::Self me = s->self_;
+    const auto fail = [this, me](Nanos when, net::CloseReason why) {
         world_.post(when, this, [me, why] {
             if (*me && (*me)->user_) (*me)->user_->closed(why);
         });
     };
     if (files_ < 0) {
-        fail(world_.now_, net::Closed::out_of_files);
+        fail(world_.now_, net::CloseReason::out_of_files);
         return s;
     }
     const auto there = world_.listeners_.find(address);
@@ -257,10 +260,10 @@
     if (there == world_.listeners_.end() || !there->second->process_.alive_) {
         // Nothing listens: refused at once, unless no word comes through at all.
         if (!world_.cuts_.contains({host_, host_of(address)}))
-            fail(world_.now_ + there_and_back, net::Closed::refused);
+            fail(world_.now_ + there_and_back, net::CloseReason::refused);
         return s;
     }
-    Process& p = there->second->process_;
+    SimulatedProcess& p = there->second->process_;
     if (world_.blocked(*this, p) || world_.blocked(p, *this))
         return s;  // hangs: the user's own time-out ends it
     const Nanos arrives = world_.now_ + world_.delay(*this, p);
@@ -270,13 +273,14 @@
         if (!*me) return;
         if (it == world_.listeners_.end() || !it->second->process_.alive_) {
             world_.post(arrives + world_.delays_.least, this, [me] {
-                if (*me && (*me)->user_) (*me)->user_->closed(net::Closed::refused);
+                if (*me && (*me)->user_) (*me)->user_->closed(net::CloseReason::refused);
             });
             return;
         }
-        SimListener& l = *it->second;
-        auto far = std::make_unique<SimStream>(l.process_, host_ + ":" + std::to_string(world_.next_port_++));
-        SimStream* end = far.get();
+        SimulatedListener& l = *it->second;
+        auto far =
+            std::make_unique<SimulatedStream>(l.process_, host_ + ":" + std::to_string(world_.next_port_++));
+        SimulatedStream* end = far.get();
         end->other_ = me;
         (*me)->other_ = end->self_;
         // Nothing arrives on a connection before it is made.
@@ -287,7 +291,7 @@
             (*me)->user_->connected();
             if (*me) (*me)->hand_over();
         });
-        auto holder = std::make_shared<std::unique_ptr<SimStream>>(std::move(far));
+        auto holder = std::make_shared<std::unique_ptr<SimulatedStream>>(std::move(far));
         world_.post(arrives, &l.process_, [this, holder, address] {
             const auto at = world_.listeners_.find(address);
             if (at == world_.listeners_.end()) return;
@@ -299,40 +303,40 @@
     return s;
 }
 
-void Process::use(net::Stream& stream, net::StreamUser& user) {
-    auto& s = static_cast<SimStream&>(stream);
+void SimulatedProcess::use(net::Stream& stream, net::StreamHandler& user) {
+    auto& s = static_cast<SimulatedStream&>(stream);
     s.user_ = &user;
     s.wake();
 }
 
-std::unique_ptr<net::Timer> Process::timer(std::function<void()> then) {
-    return std::make_unique<SimTimer>(*this, std::move(then));
+std::unique_ptr<net::Timer> SimulatedProcess::timer(std::function<void()> then) {
+    return std::make_unique<SimulatedTimer>(*this, std::move(then));
 }
 
 // ---------------------------------------------------------------- the world
 
-World::World(std::uint64_t seed, Delays delays)
+SimulatedNetwork::SimulatedNetwork(std::uint64_t seed, NetworkDelays delays)
     : chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48))),
       delays_(delays) {}
 
-World::~World() {
+SimulatedNetwork::~SimulatedNetwork() {
     // What the queue still holds refers to processes.
     while (!queue_.empty()) queue_.pop();
 }
 
-Process& World::process(std::string host, int zone) {
-    processes_.push_back(
-        std::make_unique<Process>(*this, std::move(host), zone, static_cast<int>(processes_.size())));
+SimulatedProcess& SimulatedNetwork::process(std::string host, int zone) {
+    processes_.push_back(std::make_unique<SimulatedProcess>(*this, std::move(host), zone,
+                                                            static_cast<int>(processes_.size())));
     return *processes_.back();
 }
 
-void World::post(Nanos when, Process* p, std::function<void()> then) {
+void SimulatedNetwork::post(Nanos when, SimulatedProcess* p, std::function<void()> then) {
     queue_.push({std::max(when, now_), events_++, p, std::move(then)});
 }
 
-void World::at(Nanos when, std::function<void()> then) { post(when, nullptr, std::move(then)); }
+void SimulatedNetwork::at(Nanos when, std::function<void()> then) { post(when, nullptr, std::move(then)); }
 
-bool World::blocked(const Process& from, const Process& to) const {
+bool SimulatedNetwork::blocked(const SimulatedProcess& from, const SimulatedProcess& to) const {
     if (&from == &to) return false;
     if (!host_cuts_.empty()) {
         const auto f = host_cuts_.find(from.host_), t = host_cuts_.find(to.host_);
@@ -343,12 +347,12 @@
     return from.zone_ != to.zone_ && (zone_cuts_.contains(from.zone_) || zone_cuts_.contains(to.zone_));
 }
 
-bool World::blocked_in(const SimStream& s) const {
-    const SimStream* o = s.peer_end();
+bool SimulatedNetwork::blocked_in(const SimulatedStream& s) const {
+    const SimulatedStream* o = s.peer_end();
     return o && blocked(o->process_, s.process_);
 }
 
-Nanos World::delay(const Process& from, const Process& to) {
+Nanos SimulatedNetwork::delay(const SimulatedProcess& from, const SimulatedProcess& to) {
     Nanos d = delays_.least;
     if (delays_.spread > 0)
         d += static_cast<Nanos>(static_cast<double>(chance_() % 4096) / 4096 *
@@ -362,10 +366,10 @@
 }
 
 // What waited on a cut goes on.
-void World::heal() {
+void SimulatedNetwork::heal() {
     for (const auto& p : processes_)
-        for (SimStream* s : p->streams_) {
-            const SimStream::Self me = s->self_;
+        for (SimulatedStream* s : p->streams_) {
+            const SimulatedStream::Self me = s->self_;
             post(now_ + delays_.least, p.get(), [me] {
                 if (!*me) return;
                 (*me)->arrive();
@@ -375,30 +379,30 @@
         }
 }
 
-void World::cut(const std::string& from, const std::string& to, bool on) {
+void SimulatedNetwork::cut(const std::string& from, const std::string& to, bool on) {
     if (on) cuts_.insert({from, to});
     else if (cuts_.erase({from, to})) heal();
 }
 
-void World::cut_zone(int zone, bool on) {
+void SimulatedNetwork::cut_zone(int zone, bool on) {
     if (on) zone_cuts_.insert(zone);
     else if (zone_cuts_.erase(zone)) heal();
 }
 
-void World::cut_host(const std::string& host, bool in, bool out) {
+void SimulatedNetwork::cut_host(const std::string& host, bool in, bool out) {
     if (in || out) host_cuts_[host] = {in, out};
     else host_cuts_.erase(host);
     heal();  // what may pass now passes
 }
 
-void World::slow(const std::string& host, Nanos more) { slow_[host] = more; }
+void SimulatedNetwork::slow(const std::string& host, Nanos more) { slow_[host] = more; }
 
-void World::stall(Process& p) {
+void SimulatedNetwork::stall(SimulatedProcess& p) {
     p.stalled_ = true;
     p.stalled_at_ = now_;
 }
 
-void World::resume(Process& p) {
+void SimulatedNetwork::resume(SimulatedProcess& p) {
     p.stalled_ = false;
     p.resumed_at_ = now_;
     std::vector<std::function<void()>> parked;
@@ -406,18 +410,18 @@
     for (auto& then : parked) post(now_, &p, std::move(then));
 }
 
-void World::kill(Process& p) {
-    for (SimStream* s : p.streams_) {
+void SimulatedNetwork::kill(SimulatedProcess& p) {
+    for (SimulatedStream* s : p.streams_) {
         s->user_ = nullptr;
-        if (s->peer_end()) s->finish(net::Closed::reset);
+        if (s->peer_end()) s->finish(net::CloseReason::reset);
         s->other_.reset();
         s->broken_ = true;
     }
     p.alive_ = false;
 }
 
-void World::vanish(Process& p) {
-    for (SimStream* s : p.streams_) {
+void SimulatedNetwork::vanish(SimulatedProcess& p) {
+    for (SimulatedStream* s : p.streams_) {
         s->user_ = nullptr;
         s->broken_ = true;
         s->other_.reset();
@@ -425,7 +429,7 @@
     p.alive_ = false;
 }
 
-void World::run_until(Nanos until) {
+void SimulatedNetwork::run_until(Nanos until) {
     while (!queue_.empty() && queue_.top().at <= until) {
         Event e = std::move(const_cast<Event&>(queue_.top()));
         queue_.pop();
@@ -441,4 +445,4 @@
     now_ = std::max(now_, until);
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/sim.h
+++ b/simulation/simulated_network.h
@@ -14,15 +14,15 @@
 #include <utility>
 #include <vector>
 
-#include "net/net.h"
+#include "net/stream.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-class World;
-class SimStream;
-class SimListener;
+class SimulatedNetwork;
+class SimulatedStream;
+class SimulatedListener;
 
-struct Delays {
+struct NetworkDelays {
     Nanos least = 200 * kMicrosecond;   // one way
     Nanos spread = 300 * kMicrosecond;  // more than that, drawn for each lot of bytes
     double late_share = 0;              // of all lots, those that are later by up to
@@ -30,17 +30,17 @@
 };
 
 // One process on one host, with a loop of its own.
-class Process final : public net::Loop {
+class SimulatedProcess final : public net::EventLoop {
 public:
-    Process(World&, std::string host, int zone, int number);
+    SimulatedProcess(SimulatedNetwork&, std::string host, int zone, int number);
     Nanos now() const override;
     Nanos polled_at() const override { return unseen_since(); }
     Nanos unseen_since() const override;
     std::unique_ptr<net::Listener> listen(const std::string& address,
                                           std::function<void(std::unique_ptr<net::Stream>)>,
                                           std::string& error) override;
-    std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamUser&) override;
-    void use(net::Stream&, net::StreamUser&) override;
+    std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamHandler&) override;
+    void use(net::Stream&, net::StreamHandler&) override;
     std::unique_ptr<net::Timer> timer(std::function<void()>) override;
     void stop() override { stopped_ = true; }
 
@@ -50,11 +50,11 @@
     void files(int left) { files_ = left; }  // descriptors that it may still open
 
 private:
-    friend class World;
-    friend class SimStream;
-    friend class SimListener;
-    friend class SimTimer;
-    World& world_;
+    friend class SimulatedNetwork;
+    friend class SimulatedStream;
+    friend class SimulatedListener;
+    friend class SimulatedTimer;
+    SimulatedNetwork& world_;
     std::string host_;
     int zone_, number_;
     bool stalled_ = false;
@@ -62,20 +62,20 @@
     std::vector<std::function<void()>> parked_;  // while it stands still
     bool stopped_ = false, alive_ = true;
     int files_ = 1 << 20;
-    std::vector<SimStream*> streams_;
+    std::vector<SimulatedStream*> streams_;
 };
 
-class World {
+class SimulatedNetwork {
 public:
-    explicit World(std::uint64_t seed, Delays = {});
-    ~World();
+    explicit SimulatedNetwork(std::uint64_t seed, NetworkDelays = {});
+    ~SimulatedNetwork();
 
     // A host is the part of an address before the colon. Several processes may stand on one host.
-    Process& process(std::string host, int zone = 0);
-    void kill(Process&);    // as by SIGKILL: its peers hear it; what used it is to be destroyed after
-    void vanish(Process&);  // as by a pulled plug: its peers keep half-open connections
-    void stall(Process&);   // nothing of it runs; its kernel still takes bytes
-    void resume(Process&);  // all that came meanwhile happens now, in its order
+    SimulatedProcess& process(std::string host, int zone = 0);
+    void kill(SimulatedProcess&);  // as by SIGKILL: its peers hear it; what used it is to be destroyed after
+    void vanish(SimulatedProcess&);  // as by a pulled plug: its peers keep half-open connections
+    void stall(SimulatedProcess&);   // nothing of it runs; its kernel still takes bytes
+    void resume(SimulatedProcess&);  // all that came meanwhile happens now, in its order
     void cut(const std::string& from, const std::string& to, bool on);  // one way, silent: bytes wait
     void cut_zone(int zone, bool on);                                   // from all others, both ways
     // From all others: nothing arrives at it, nothing that it sends arrives anywhere; bytes wait.
@@ -90,30 +90,30 @@
     std::uint64_t digest() const { return digest_; }
 
 private:
-    friend class Process;
-    friend class SimStream;
-    friend class SimListener;
-    friend class SimTimer;
+    friend class SimulatedProcess;
+    friend class SimulatedStream;
+    friend class SimulatedListener;
+    friend class SimulatedTimer;
     struct Event {
         Nanos at;
         std::uint64_t number;
-        Process* process;  // null: the world's own
+        SimulatedProcess* process;  // null: the world's own
         std::function<void()> then;
         bool operator>(const Event& o) const { return std::tie(at, number) > std::tie(o.at, o.number); }
     };
-    void post(Nanos when, Process*, std::function<void()>);
-    bool blocked(const Process& from, const Process& to) const;
-    bool blocked_in(const SimStream&) const;
-    Nanos delay(const Process& from, const Process& to);
+    void post(Nanos when, SimulatedProcess*, std::function<void()>);
+    bool blocked(const SimulatedProcess& from, const SimulatedProcess& to) const;
+    bool blocked_in(const SimulatedStream&) const;
+    Nanos delay(const SimulatedProcess& from, const SimulatedProcess& to);
     void heal();
 
     std::ranlux24_base chance_;
-    Delays delays_;
+    NetworkDelays delays_;
     Nanos now_ = 1'000'000 * kSecond;
     std::uint64_t events_ = 0, steps_ = 0, digest_ = 14695981039346656037u;
     std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
-    std::vector<std::unique_ptr<Process>> processes_;
-    std::map<std::string, SimListener*> listeners_;
+    std::vector<std::unique_ptr<SimulatedProcess>> processes_;
+    std::map<std::string, SimulatedListener*> listeners_;
     std::set<std::pair<std::string, std::string>> cuts_;
     std::set<int> zone_cuts_;
     std::map<std::string, std::pair<bool, bool>> host_cuts_;  // in, out
@@ -121,4 +121,4 @@
     int next_port_ = 40'000;
 };
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/sockets_ground.cpp
+++ b/simulation/socket_environment.cpp
@@ -1,4 +1,4 @@
-#include "lab/sockets_ground.h"
+#include "simulation/socket_environment.h"
 
 #include <fcntl.h>
 #include <signal.h>
@@ -10,9 +10,10 @@
 #include <fstream>
 #include <stdexcept>
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-SocketsGround::SocketsGround(net::EventLoop& loop, std::string program, std::string dir, std::size_t placers)
+SocketEnvironment::SocketEnvironment(net::LibeventLoop& loop, std::string program, std::string dir,
+                                     std::size_t placers)
     : loop_(loop), program_(std::move(program)), dir_(std::move(dir)), addresses_(placers),
       children_(placers, 0) {
     // A restarted placer must be found where it was: its port is chosen once. Each is held until its placer
@@ -26,11 +27,11 @@
     }
 }
 
-SocketsGround::~SocketsGround() {
+SocketEnvironment::~SocketEnvironment() {
     for (std::size_t i = 0; i < children_.size(); ++i) kill_placer(i);
 }
 
-void SocketsGround::start_placer(std::size_t i, const std::string& file) {
+void SocketEnvironment::start_placer(std::size_t i, const std::string& file) {
     const std::string path = dir_ + "/placer-" + std::to_string(i) + ".toml";
     std::ofstream(path) << file;
     const std::string log = dir_ + "/placer-" + std::to_string(i) + ".log";
@@ -61,7 +62,7 @@
     children_[i] = child;
 }
 
-void SocketsGround::kill_placer(std::size_t i) {
+void SocketEnvironment::kill_placer(std::size_t i) {
     if (!children_[i]) return;
     ::kill(children_[i], SIGKILL);
     int status = 0;
@@ -69,11 +70,11 @@
     children_[i] = 0;
 }
 
-void SocketsGround::stall_placer(std::size_t i, bool on) {
+void SocketEnvironment::stall_placer(std::size_t i, bool on) {
     if (children_[i]) ::kill(children_[i], on ? SIGSTOP : SIGCONT);
 }
 
-std::size_t SocketsGround::end_all() {
+std::size_t SocketEnvironment::end_all() {
     std::size_t clean = 0;
     for (const pid_t c : children_)
         if (c) ::kill(c, SIGTERM);
@@ -86,4 +87,4 @@
     return clean;
 }
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/lab/sockets_ground.h
+++ b/simulation/socket_environment.h
@@ -6,18 +6,18 @@
 #include <string>
 #include <vector>
 
-#include "net/event_loop.h"
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
+#include "net/libevent_loop.h"
 
-namespace whinpost::lab {
+namespace whinpost::simulation {
 
-class SocketsGround final : public standin::Ground {
+class SocketEnvironment final : public emulator::TestEnvironment {
 public:
     // `program`: the placer's. `dir`: where placers' files and logs go. Throws where no port can be had.
-    SocketsGround(net::EventLoop&, std::string program, std::string dir, std::size_t placers);
-    ~SocketsGround() override;
-    net::Loop& loop() override { return loop_; }
-    net::Loop& node_loop(const std::string&, int) override { return loop_; }
+    SocketEnvironment(net::LibeventLoop&, std::string program, std::string dir, std::size_t placers);
+    ~SocketEnvironment() override;
+    net::EventLoop& loop() override { return loop_; }
+    net::EventLoop& node_loop(const std::string&, int) override { return loop_; }
     std::string node_address(const std::string&) override { return "127.0.0.1:0"; }
     std::string list_address() override { return "127.0.0.1:0"; }
     std::string nowhere(std::size_t) override { return "127.0.0.1:1"; }
@@ -29,11 +29,11 @@
     std::size_t end_all();
 
 private:
-    net::EventLoop& loop_;
+    net::LibeventLoop& loop_;
     std::string program_, dir_;
     std::vector<std::string> addresses_;
     std::vector<std::unique_ptr<net::Listener>> held_;  // until the placer of that address starts
     std::vector<pid_t> children_;
 };
 
-}  // namespace whinpost::lab
+}  // namespace whinpost::simulation
--- a/drill/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -2,12 +2,12 @@
 #include <iostream>
 #include <string>
 
-#include "wire.h"
+#include "simulator_adapter.h"
 
 int main() {
     std::ios::sync_with_stdio(false);
     std::cin.tie(nullptr);
-    whinpost::drill::Session session(std::cout);
+    whinpost::simulator_adapter::SimulatorAdapter session(std::cout);
     for (std::string line; std::getline(std::cin, line);)
         if (!session.line(line)) break;
     return 0;
--- a/drill/wire.cpp
+++ b/simulator_adapter/simulator_adapter.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator_adapter.h"
 
 #include <array>
 #include <charconv>
@@ -12,19 +12,19 @@
 #include <utility>
 #include <vector>
 
-#include "terms/terms.h"
-#include "whinpost/mark.h"
-#include "whinpost/placer.h"
+#include "settings/settings.h"
+#include "whinpost/scheduler.h"
+#include "whinpost/stable_hash.h"
 
-namespace whinpost::drill {
+namespace whinpost::simulator_adapter {
 namespace {
 
-struct Malformed : std::runtime_error {
+struct MalformedMessage : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 [[noreturn]] void bad(std::string_view message, std::string_view field, std::string_view what) {
-    throw Malformed(std::string(message) + ": " + std::string(field) + " " + std::string(what));
+    throw MalformedMessage(std::string(message) + ": " + std::string(field) + " " + std::string(what));
 }
 
 // The values of one line, taken in their order.
@@ -100,52 +100,52 @@
     std::string_view rest_, message_;
 };
 
-Ending ending_of(std::int64_t code) {
+AttemptOutcome ending_of(std::int64_t code) {
     switch (code) {
         case 0:
-            return Ending::served;
+            return AttemptOutcome::served;
         case 5:
-            return Ending::error;
+            return AttemptOutcome::error;
         case 11:
-            return Ending::refused;
+            return AttemptOutcome::refused;
         case 110:
-            return Ending::timed_out;
+            return AttemptOutcome::timed_out;
         case 111:
-            return Ending::unconnected;
+            return AttemptOutcome::unconnected;
         case 104:
-            return Ending::reset;
+            return AttemptOutcome::reset;
         case 125:
-            return Ending::cancelled;
+            return AttemptOutcome::cancelled;
         case 114:
-            return Ending::unsent;
+            return AttemptOutcome::unsent;
         default:
-            return Ending::unknown;
+            return AttemptOutcome::unknown;
     }
 }
 
-Reason reason_of(std::int64_t info) {
-    return info >= 1 && info <= 7 ? static_cast<Reason>(info) : Reason::untold;
+OutcomeReason reason_of(std::int64_t info) {
+    return info >= 1 && info <= 7 ? static_cast<OutcomeReason>(info) : OutcomeReason::untold;
 }
 
 struct Entry {
     std::string host;
-    Listed listed;
+    EndpointState listed;
 };
 
 }  // namespace
 
-struct Session::State {
+struct SimulatorAdapter::State {
     struct Instance;
 
     // Writes a placer's decisions as they are made.
-    struct Writer : Port {
+    struct Writer : DecisionHandler {
         explicit Writer(Instance& i) : instance(i) {}
-        void bind(Container& c, Machine& m, Nanos time_out) override;
-        void defer(Container& c, Nanos stay_away) override;
-        void kill(Container& c) override;
-        void move(Container& c) override;
-        void stop_waiting(Container& c, int launch) override;
-        void probe(Machine& m) override;
+        void bind(Task& c, Worker& m, Nanos time_out) override;
+        void defer(Task& c, Nanos stay_away) override;
+        void kill(Task& c) override;
+        void move(Task& c) override;
+        void stop_waiting(Task& c, int launch) override;
+        void probe(Worker& m) override;
         void follow_list() override { State::write(instance, "FOLLOW 1"); }
         void fetch_list() override { State::write(instance, "SNAPSHOT"); }
         void wake(Nanos at) override {
@@ -160,12 +160,12 @@
         explicit Instance(int n) : number(n), writer(*this) {}
         int number;
         Writer writer;
-        std::unique_ptr<Placer> placer;
+        std::unique_ptr<Scheduler> placer;
         std::size_t groups = 0;
-        std::unordered_map<std::string, Machine*> machines;
-        std::unordered_map<const Machine*, std::string> hosts;
+        std::unordered_map<std::string, Worker*> machines;
+        std::unordered_map<const Worker*, std::string> hosts;
         std::unordered_map<std::string, Service*> services;
-        std::unordered_map<std::uint64_t, Container*> containers;
+        std::unordered_map<std::uint64_t, Task*> containers;
         std::deque<std::pair<Nanos, std::uint64_t>> dropped;  // lately finished: the wire may still name them
         std::set<std::uint64_t> dropped_ids;
         std::size_t zones = 0, kinds = 0;
@@ -183,7 +183,7 @@
         if (!at) bad(message, "placer", "is unknown: no INSTANCE line came before");
         return *at;
     }
-    Placer& placer(std::string_view message) {
+    Scheduler& placer(std::string_view message) {
         Instance& i = current(message);
         if (!i.placer) bad(message, "placer", "has not had its INIT");
         if (!i.touched) touched.push_back(&i);
@@ -191,7 +191,7 @@
         return *i.placer;
     }
     // Null: finished a short while ago, to be ignored.
-    Container* container(Fields& f) {
+    Task* container(Fields& f) {
         placer(f.message());
         const auto id = static_cast<std::uint64_t>(f.whole("txn"));
         const auto it = at->containers.find(id);
@@ -199,7 +199,7 @@
         if (!at->dropped_ids.contains(id)) bad(f.message(), "txn", "was never given to this placer");
         return nullptr;
     }
-    void drop_if_finished(Container& c) {
+    void drop_if_finished(Task& c) {
         if (!c.finished()) return;
         const std::uint64_t id = c.tag;
         at->placer->release(c);
@@ -207,7 +207,7 @@
         at->dropped.emplace_back(now, id);
         at->dropped_ids.insert(id);
     }
-    Machine& machine(Fields& f) {
+    Worker& machine(Fields& f) {
         const std::string host(f.required("host"));
         const auto it = at->machines.find(host);
         if (it == at->machines.end()) bad(f.message(), "host", "was in no list of this placer");
@@ -215,38 +215,39 @@
     }
     Service& service(std::string_view name) {
         Service*& s = at->services[std::string(name)];
-        if (!s) s = &at->placer->meet_service(mark_of(name));
+        if (!s) s = &at->placer->meet_service(stable_hash(name));
         return *s;
     }
 
-    Report report(Fields& f) {
-        Report r;
+    LoadReport report(Fields& f) {
+        LoadReport r;
         const std::string_view text = f.text("gauge");
-        if (text != "-" && !terms::read_report(text, ',', r)) bad(f.message(), "gauge", "holds a pair without ':' or a value that is not a number");
+        if (text != "-" && !settings::parse_load_report(text, ',', r))
+            bad(f.message(), "gauge", "holds a pair without ':' or a value that is not a number");
         return r;
     }
 
     void init(Fields& f) {
         Instance& i = current(f.message());
         const std::int64_t seed = f.whole("init_seed");
-        terms::Paths p("INIT");
+        settings::Settings p("INIT");
         p.put_pairs(f.remainder());
-        auto groups = terms::queue_groups(p);
-        auto kinds = terms::machine_kinds(p);
-        const Acceptance accepts = terms::acceptance(p);
-        const ColdTerms cold = terms::cold_terms(p);
-        const ListTerms list = terms::list_terms(p);
-        const LaunchTerms launch = terms::launch_terms(p);
-        const Prices prices = terms::prices(p);
-        const int zone = terms::zone(p);
+        auto groups = settings::queue_groups(p);
+        auto kinds = settings::worker_kinds(p);
+        const WorkerAcceptance accepts = settings::worker_acceptance(p);
+        const SlowStartSettings cold = settings::slow_start_settings(p);
+        const DiscoverySettings list = settings::discovery_settings(p);
+        const RetrySettings launch = settings::retry_settings(p);
+        const Prices prices = settings::prices(p);
+        const int zone = settings::zone(p);
         const int number = i.number;
         auto fresh = std::make_unique<Instance>(number);
         fresh->groups = groups.size();
         fresh->kinds = kinds.size();
         fresh->zones = p.list("zones").size();
-        fresh->placer =
-            std::make_unique<Placer>(fresh->writer, static_cast<std::uint64_t>(seed), zone, std::move(groups),
-                                     std::move(kinds), accepts, cold, list, launch, prices);
+        fresh->placer = std::make_unique<Scheduler>(fresh->writer, static_cast<std::uint64_t>(seed), zone,
+                                                    std::move(groups), std::move(kinds), accepts, cold, list,
+                                                    launch, prices);
         std::erase(touched, &i);
         at = (instances[number] = std::move(fresh)).get();
         placer(f.message());
@@ -270,9 +271,9 @@
         e.listed.cell = static_cast<int>(f.whole_or("cluster", 0));
         e.listed.free_cores = f.real_or("cpu_left", 0);
         const std::string_view stage = f.required("stage_state");
-        if (stage == "SERVING") e.listed.stage = Stage::serving;
-        else if (stage == "DRAINING") e.listed.stage = Stage::draining;
-        else if (stage == "DELETED") e.listed.stage = Stage::gone;
+        if (stage == "SERVING") e.listed.stage = EndpointPhase::serving;
+        else if (stage == "DRAINING") e.listed.stage = EndpointPhase::draining;
+        else if (stage == "DELETED") e.listed.stage = EndpointPhase::gone;
         else bad("M", "stage_state", "names no known stage");
         f.real_or("rating", 1);
         e.listed.started = f.micros_or_zero("ready_at_us");
@@ -282,7 +283,7 @@
     }
 
     void roster(Fields& f) {
-        Placer& p = placer(f.message());
+        Scheduler& p = placer(f.message());
         const std::string_view scope = f.required("scope");
         f.whole_or("seq_no", 0);
         if (scope == "Error") return p.list_failed(now);
@@ -296,9 +297,9 @@
                 bad("M", "shape", "is out of range");
             if (e.listed.zone < 0 || static_cast<std::size_t>(e.listed.zone) >= at->zones)
                 bad("M", "campus", "is out of range");
-            Machine*& m = at->machines[e.host];
+            Worker*& m = at->machines[e.host];
             if (!m) {
-                m = &p.meet_machine(mark_of(e.host));
+                m = &p.meet_machine(stable_hash(e.host));
                 at->hosts[m] = e.host;
             }
             p.list_entry(now, *m, e.listed);
@@ -308,9 +309,9 @@
     }
 
     void arrival(Fields& f) {
-        Placer& p = placer(f.message());
+        Scheduler& p = placer(f.message());
         const auto id = static_cast<std::uint64_t>(f.whole("txn"));
-        Asked a;
+        ResourceRequest a;
         a.life_left = f.micros_or_zero("life_us");
         a.time_left = f.micros("patience_left_us");
         a.cores = f.real("cpu_ask");
@@ -323,14 +324,14 @@
         f.end();
         if (!(bits & 1)) a.life_left = 0;
         a.came_again = bits & 16;
-        Container& c = p.take(now, s, a, id);
+        Task& c = p.take(now, s, a, id);
         if (!at->containers.emplace(id, &c).second) bad(f.message(), "txn", "was given before");
     }
 
     void open(Fields& f) {
-        Placer& p = placer(f.message());
+        Scheduler& p = placer(f.message());
         const auto id = static_cast<std::uint64_t>(f.whole("txn"));
-        Asked a;
+        ResourceRequest a;
         a.group = f.index("lane", at->groups);
         f.whole_or("tenant", 0);
         f.text("task_key");
@@ -342,9 +343,9 @@
         const std::int64_t bits = f.whole_or("state_bits", 0);
         if (!(bits & 1)) a.life_left = 0;
         a.came_again = bits & 16;
-        Machine& m = machine(f);
+        Worker& m = machine(f);
         f.end();
-        Container& c = p.take_over(now, s, a, m, id);
+        Task& c = p.take_over(now, s, a, m, id);
         if (!at->containers.emplace(id, &c).second) bad(f.message(), "txn", "was given before");
     }
 
@@ -373,11 +374,11 @@
         else if (m == "ARRIVAL") arrival(f);
         else if (m == "OPEN") open(f);
         else if (m == "CONFIRMED") {
-            Container* c = container(f);
+            Task* c = container(f);
             const auto go = f.whole("go");
             if (c) c->accepted(now, static_cast<int>(go));
         } else if (m == "SIGNAL") {
-            Container* c = container(f);
+            Task* c = container(f);
             const int go = static_cast<int>(f.whole("go"));
             f.required("host");
             const std::int64_t what = f.whole("what");
@@ -389,19 +390,19 @@
             else if (what == 4) c->served_share(now, go, x);
             else if (what == 5) c->machine_memory(now, go, x);
         } else if (m == "VERDICT") {
-            Container* c = container(f);
-            const Ending how = ending_of(f.whole("ending"));
+            Task* c = container(f);
+            const AttemptOutcome how = ending_of(f.whole("ending"));
             const bool closed = f.whole_or("closed", 0) != 0;
             const int go = static_cast<int>(f.whole("go"));
-            const Reason why = reason_of(f.whole_or("info", 0));
+            const OutcomeReason why = reason_of(f.whole_or("info", 0));
             f.whole_or("elapsed_us", 0);
             f.required("host");
-            const Report r = report(f);
+            const LoadReport r = report(f);
             if (!c) return;
             c->ended(now, go, how, why, closed, r);
             drop_if_finished(*c);
         } else if (m == "VANISHED") {
-            if (Container* c = container(f)) {
+            if (Task* c = container(f)) {
                 c->withdrawn(now);
                 drop_if_finished(*c);
             }
@@ -409,11 +410,11 @@
             placer(m);
             f.whole("key_back");
         } else if (m == "ECHO") {
-            Placer& p = placer(m);
-            Machine& on = machine(f);
+            Scheduler& p = placer(m);
+            Worker& on = machine(f);
             f.whole_or("elapsed_us", 0);
             const bool ok = f.whole("ending") == 0;
-            const Report r = report(f);
+            const LoadReport r = report(f);
             if (ok) p.heard(now, on, r);
         } else if (m == "DATAGRAM") {
             placer(m);  // peers have nothing to tell: placers share nothing
@@ -457,33 +458,33 @@
     std::int64_t entries_due = 0;
 };
 
-void Session::State::Writer::bind(Container& c, Machine& m, Nanos time_out) {
+void SimulatorAdapter::State::Writer::bind(Task& c, Worker& m, Nanos time_out) {
     State::write(instance, "BIND " + std::to_string(c.tag) + " " + instance.hosts.at(&m) + " " +
                                std::to_string(std::max<Nanos>(1, time_out / kMicrosecond)));
 }
-void Session::State::Writer::defer(Container& c, Nanos stay_away) {
+void SimulatorAdapter::State::Writer::defer(Task& c, Nanos stay_away) {
     State::write(instance,
                  "OVERLOAD_REPLY " + std::to_string(c.tag) + " " + std::to_string(stay_away / kMicrosecond));
     instance.answered.push_back(c.tag);
 }
-void Session::State::Writer::kill(Container& c) {
+void SimulatorAdapter::State::Writer::kill(Task& c) {
     State::write(instance, "FAIL " + std::to_string(c.tag));
     instance.answered.push_back(c.tag);
 }
-void Session::State::Writer::move(Container& c) {
+void SimulatorAdapter::State::Writer::move(Task& c) {
     State::write(instance, "RELOCATE " + std::to_string(c.tag));
 }
-void Session::State::Writer::stop_waiting(Container& c, int launch) {
+void SimulatorAdapter::State::Writer::stop_waiting(Task& c, int launch) {
     State::write(instance, "CANCEL " + std::to_string(c.tag) + " " + std::to_string(launch));
 }
-void Session::State::Writer::probe(Machine& m) {
+void SimulatorAdapter::State::Writer::probe(Worker& m) {
     State::write(instance, "HEALTH_CHECK " + instance.hosts.at(&m));
 }
 
-Session::Session(std::ostream& out) : state_(std::make_unique<State>(out)) {}
-Session::~Session() = default;
+SimulatorAdapter::SimulatorAdapter(std::ostream& out) : state_(std::make_unique<State>(out)) {}
+SimulatorAdapter::~SimulatorAdapter() = default;
 
-bool Session::line(std::string_view text) {
+bool SimulatorAdapter::line(std::string_view text) {
     State& s = *state_;
     try {
         if (text == "YOUR_TURN") {
@@ -499,4 +500,4 @@
     }
 }
 
-}  // namespace whinpost::drill
+}  // namespace whinpost::simulator_adapter
--- a/drill/wire.h
+++ b/simulator_adapter/simulator_adapter.h
@@ -5,12 +5,12 @@
 #include <memory>
 #include <string>
 
-namespace whinpost::drill {
+namespace whinpost::simulator_adapter {
 
-class Session {
+class SimulatorAdapter {
 public:
-    explicit Session(std::ostream& out);
-    ~Session();
+    explicit SimulatorAdapter(std::ostream& out);
+    ~SimulatorAdapter();
     // One line of input, without its end. False once the session is over after an EXCEPTION.
     bool line(std::string_view text);
 
@@ -19,4 +19,4 @@
     std::unique_ptr<State> state_;
 };
 
-}  // namespace whinpost::drill
+}  // namespace whinpost::simulator_adapter
--- a/src/intake/intake.h
+++ b/src/admission/admission_controller.h
@@ -9,67 +9,67 @@
 #include <utility>
 #include <vector>
 
-#include "intake/shares.h"
-#include "whinpost/placer.h"
+#include "admission/fair_shares.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::intake {
+namespace whinpost::admission {
 
-struct Limits {
+struct AdmissionLimits {
     std::int64_t waiting = 20'000;  // taken and without an answer, in all
     std::int64_t waiting_an_owner = 5'000;
     std::int64_t a_second = 20'000;  // taken, in any second
     std::int64_t owners = 1'000;     // connections
 };
 
-enum class Limit { none, waiting, owner_waiting, group_waiting, rate, owner_rate, closing };
+enum class AdmissionLimit { none, waiting, owner_waiting, group_waiting, rate, owner_rate, closing };
 // The name that the owner is told and the log shows.
-std::string_view name(Limit);
+std::string_view to_string(AdmissionLimit);
 
-class Intake;
+class AdmissionController;
 
 // One owner's part. Made on its connection, destroyed with it; what still waits then counts on for its
 // group alone (answered() with no owner).
-class Owner {
+class ClientShare {
 public:
-    explicit Owner(Intake&);
-    ~Owner();
+    explicit ClientShare(AdmissionController&);
+    ~ClientShare();
     std::int64_t waiting() const { return waiting_.held(); }
 
 private:
-    friend class Intake;
-    Intake& intake_;
-    Member waiting_, taken_;
+    friend class AdmissionController;
+    AdmissionController& intake_;
+    ShareHolder waiting_, taken_;
     std::deque<std::pair<std::int64_t, std::int64_t>>
         lately_;  // a tenth of a second, and how many were taken in it
 };
 
-class Intake {
+class AdmissionController {
 public:
-    Intake(Limits, std::size_t groups);
+    AdmissionController(AdmissionLimits, std::size_t groups);
 
-    Limit take(Nanos now, Owner&, int group);  // none: taken, and counted as waiting
-    void answered(Owner*, int group);          // null: the owner has left
-    void close() { closed_ = true; }           // from here on nothing is taken
+    AdmissionLimit take(Nanos now, ClientShare&, int group);  // none: taken, and counted as waiting
+    void answered(ClientShare*, int group);                   // null: the owner has left
+    void close() { closed_ = true; }                          // from here on nothing is taken
 
     std::int64_t waiting() const { return groups_waiting_.held(); }
-    std::int64_t turned_away(Limit l) const { return turned_away_[static_cast<std::size_t>(l)]; }
-    const Limits& limits() const { return limits_; }
+    std::int64_t turned_away(AdmissionLimit l) const { return turned_away_[static_cast<std::size_t>(l)]; }
+    const AdmissionLimits& limits() const { return limits_; }
 
 private:
-    friend class Owner;
-    Limit judge(Nanos now, Owner&, int group);
+    friend class ClientShare;
+    AdmissionLimit judge(Nanos now, ClientShare&, int group);
     void pass(Nanos now);
 
-    Limits limits_;
+    AdmissionLimits limits_;
     // A part of the room is kept for those that come later: with less the flood would shut them out, with
     // more what stands idle could not be lent. Of the waiting, as much for owners as for queue groups.
     static constexpr double kGuaranteedWaiting = 0.35, kGuaranteedRate = 0.5;
-    Shares owners_waiting_, groups_waiting_, owners_rate_;
-    std::vector<std::unique_ptr<Member>> groups_;
-    std::vector<Owner*> owners_;
+    FairShares owners_waiting_, groups_waiting_, owners_rate_;
+    std::vector<std::unique_ptr<ShareHolder>> groups_;
+    std::vector<ClientShare*> owners_;
     std::int64_t bucket_ = 0;
     std::vector<std::int64_t> turned_away_;
     bool closed_ = false;
 };
 
-}  // namespace whinpost::intake
+}  // namespace whinpost::admission
--- a/src/intake/shares.cpp
+++ b/src/admission/fair_shares.cpp
@@ -1,13 +1,13 @@
-#include "intake/shares.h"
+#include "admission/fair_shares.h"
 
-namespace whinpost::intake {
+namespace whinpost::admission {
 
-Member::Member(Shares& shares) : shares_(shares), at_(shares.members_.size()) {
+ShareHolder::ShareHolder(FairShares& shares) : shares_(shares), at_(shares.members_.size()) {
     shares_.members_.push_back(this);
     shares_.recount();
 }
 
-Member::~Member() {
+ShareHolder::~ShareHolder() {
     shares_.held_ -= held_;
     shares_.members_[at_] = shares_.members_.back();
     shares_.members_[at_]->at_ = at_;
@@ -15,34 +15,34 @@
     shares_.recount();
 }
 
-bool Member::below() const { return held_ < shares_.guaranteed_; }
+bool ShareHolder::below() const { return held_ < shares_.guaranteed_; }
 
-bool Member::fits() const {
+bool ShareHolder::fits() const {
     // A member that has just joined a full house waits until something is given back.
     if (shares_.held_ >= shares_.capacity_) return false;
     if (below()) return true;
     return shares_.held_ + shares_.reserved_ < shares_.capacity_;
 }
 
-void Member::add() {
+void ShareHolder::add() {
     if (held_ < shares_.guaranteed_) --shares_.reserved_;
     ++held_;
     ++shares_.held_;
 }
 
-void Member::remove(std::int64_t count) {
+void ShareHolder::remove(std::int64_t count) {
     shares_.reserved_ -= shares_.unused(*this);
     held_ -= count;
     shares_.held_ -= count;
     shares_.reserved_ += shares_.unused(*this);
 }
 
-void Shares::recount() {
+void FairShares::recount() {
     guaranteed_ = members_.empty() ? 0
                                    : static_cast<std::int64_t>(part_ * static_cast<double>(capacity_)) /
                                          static_cast<std::int64_t>(members_.size());
     reserved_ = 0;
-    for (const Member* m : members_) reserved_ += unused(*m);
+    for (const ShareHolder* m : members_) reserved_ += unused(*m);
 }
 
-}  // namespace whinpost::intake
+}  // namespace whinpost::admission
--- a/src/intake/shares.h
+++ b/src/admission/fair_shares.h
@@ -5,17 +5,17 @@
 #include <cstdint>
 #include <vector>
 
-namespace whinpost::intake {
+namespace whinpost::admission {
 
-class Shares;
+class FairShares;
 
 // One that shares. Joins when made, leaves when destroyed; what it held goes with it.
-class Member {
+class ShareHolder {
 public:
-    explicit Member(Shares&);
-    ~Member();
-    Member(const Member&) = delete;
-    Member& operator=(const Member&) = delete;
+    explicit ShareHolder(FairShares&);
+    ~ShareHolder();
+    ShareHolder(const ShareHolder&) = delete;
+    ShareHolder& operator=(const ShareHolder&) = delete;
 
     bool fits() const;   // one more
     bool below() const;  // its guarantee
@@ -24,16 +24,16 @@
     std::int64_t held() const { return held_; }
 
 private:
-    friend class Shares;
-    Shares& shares_;
+    friend class FairShares;
+    FairShares& shares_;
     std::int64_t held_ = 0;
     std::size_t at_ = 0;
 };
 
-class Shares {
+class FairShares {
 public:
     // `part` of the capacity, in [0, 1], is guaranteed in equal parts; the rest is first come, first served.
-    Shares(std::int64_t capacity, double part) : capacity_(capacity), part_(part) {}
+    FairShares(std::int64_t capacity, double part) : capacity_(capacity), part_(part) {}
 
     std::int64_t held() const { return held_; }
     std::int64_t capacity() const { return capacity_; }
@@ -42,15 +42,17 @@
     std::size_t members() const { return members_.size(); }
 
 private:
-    friend class Member;
-    std::int64_t unused(const Member& m) const { return m.held_ < guaranteed_ ? guaranteed_ - m.held_ : 0; }
+    friend class ShareHolder;
+    std::int64_t unused(const ShareHolder& m) const {
+        return m.held_ < guaranteed_ ? guaranteed_ - m.held_ : 0;
+    }
     // Members come and go by the connection, asks by the thousand: the walk is made where it is rare.
     void recount();
 
     std::int64_t capacity_;
     double part_;
     std::int64_t held_ = 0, guaranteed_ = 0, reserved_ = 0;
-    std::vector<Member*> members_;
+    std::vector<ShareHolder*> members_;
 };
 
-}  // namespace whinpost::intake
+}  // namespace whinpost::admission
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -59,7 +59,7 @@
     return Document(std::move(s));
 }
 
-std::optional<std::string> text_of(const std::string& path) {
+std::optional<std::string> read_text_file(const std::string& path) {
     std::error_code none;
     std::ifstream in(path, std::ios::binary);
     // A folder opens like a file, and throws when it is read.
@@ -68,7 +68,7 @@
 }
 
 Document Document::read(const std::string& path) {
-    const std::optional<std::string> text = text_of(path);
+    const std::optional<std::string> text = read_text_file(path);
     if (!text) {
         auto s = std::make_unique<State>();
         s->name = path;
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -11,14 +11,14 @@
 #include <utility>
 #include <vector>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
 namespace whinpost::config {
 
 class Table;
 
 // The whole text of a file; nothing where it can't be read, as a folder can't.
-std::optional<std::string> text_of(const std::string& path);
+std::optional<std::string> read_text_file(const std::string& path);
 
 class Document {
 public:
--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -9,10 +9,10 @@
 const std::vector<std::string_view> kPlaces = {"none", "machine", "cell", "zone", "all"};
 }  // namespace
 
-Named placer(Table root) {
+PlacerSettings placer_settings(Table root) {
     if (!root.has("placer")) root.wrong("placer", "is missing: a table with name, listen, zone and zones");
     Table t = root.table("placer");
-    Named n;
+    PlacerSettings n;
     if (!root.has("placer")) return n;
     n.name = t.text("name");
     n.listen = t.address("listen");
@@ -26,19 +26,19 @@
     return n;
 }
 
-std::vector<Group> queue_groups(Table root, std::size_t kinds) {
-    std::vector<Group> out;
+std::vector<NamedQueueGroup> queue_groups(Table root, std::size_t kinds) {
+    std::vector<NamedQueueGroup> out;
     for (Table& t : root.tables("queue_group")) {
-        Group g;
+        NamedQueueGroup g;
         g.name = t.text("name");
-        for (const Group& other : out)
+        for (const NamedQueueGroup& other : out)
             if (other.name == g.name) t.wrong("name", "is the name of another queue group");
         QueueGroup& q = g.terms;
         q.effect = static_cast<Effect>(t.word("effect", {"idempotent", "fingerprinted", "side-effecting"}));
         const bool marked = q.effect == Effect::fingerprinted;
         if (marked || t.has("repeats_dropped_by"))
-            q.repeats_dropped_by = static_cast<Place>(t.word("repeats_dropped_by", kPlaces));
-        if (marked && q.repeats_dropped_by == Place::none && t.has("repeats_dropped_by"))
+            q.repeats_dropped_by = static_cast<FailureDomain>(t.word("repeats_dropped_by", kPlaces));
+        if (marked && q.repeats_dropped_by == FailureDomain::none && t.has("repeats_dropped_by"))
             t.wrong("repeats_dropped_by", "must name who drops repeats of a fingerprinted container");
         if (marked || t.has("repeat_window_ms")) q.repeat_window = t.span("repeat_window_ms", 0, kDay);
         if (!marked && (t.has("repeats_dropped_by") || t.has("repeat_window_ms")))
@@ -50,9 +50,10 @@
         q.calm = t.number("calm", 0.01, 10, 0.8);
         q.fade = t.number("fade", 0.001, 10, 0.2);
         q.kind = static_cast<int>(t.whole("machine_kind", -1, static_cast<std::int64_t>(kinds) - 1, -1));
-        q.spread = static_cast<Place>(t.word("spread", kPlaces, 0));
-        if (q.spread == Place::all) t.wrong("spread", "must be \"none\", \"machine\", \"cell\" or \"zone\"");
-        if (q.spread != Place::none) q.most = static_cast<int>(t.whole("most", 1, 1'000'000));
+        q.spread = static_cast<FailureDomain>(t.word("spread", kPlaces, 0));
+        if (q.spread == FailureDomain::all)
+            t.wrong("spread", "must be \"none\", \"machine\", \"cell\" or \"zone\"");
+        if (q.spread != FailureDomain::none) q.most = static_cast<int>(t.whole("most", 1, 1'000'000));
         else if (t.has("most")) t.wrong("most", "has no use without spread");
         q.priority = static_cast<int>(t.whole("priority", 0, 100, 0));
         out.push_back(g);
@@ -61,8 +62,8 @@
     return out;
 }
 
-std::vector<MachineKind> machine_kinds(Table root) {
-    std::vector<MachineKind> out;
+std::vector<WorkerKind> worker_kinds(Table root) {
+    std::vector<WorkerKind> out;
     for (Table& t : root.tables("machine_kind")) {
         t.text("name");
         const double cores = t.number("cores", 0.01, 1e6), memory = t.number("memory", 0.01, 1e9);
@@ -72,9 +73,9 @@
     return out;
 }
 
-Acceptance acceptance(Table root) {
+WorkerAcceptance worker_acceptance(Table root) {
     Table t = root.table("acceptance");
-    Acceptance a;
+    WorkerAcceptance a;
     a.cores_multiple = t.number("cores_multiple", 0.01, 1000, 1);
     a.memory_multiple = t.number("memory_multiple", 0.01, 1000, 1);
     a.reports_use = t.word("free_means", {"not_asked_for", "not_in_use"}, 0) == 1;
@@ -85,9 +86,9 @@
     return a;
 }
 
-ColdTerms cold_terms(Table root) {
+SlowStartSettings slow_start_settings(Table root) {
     Table t = root.table("cold");
-    ColdTerms c;
+    SlowStartSettings c;
     c.from = t.number("from", 0.001, 1, 0.2);
     c.warm_after = t.span("warm_after_ms", 0, kDay, 20 * kSecond);
     c.multiple = t.number("multiple", 0.01, 1000, 2);
@@ -99,10 +100,10 @@
     return c;
 }
 
-ListAt list_at(Table root) {
+DiscoveryService discovery_service(Table root) {
     if (!root.has("list")) root.wrong("list", "is missing: a table with the list service's address");
     Table t = root.table("list");
-    ListAt l;
+    DiscoveryService l;
     if (!root.has("list")) return l;
     l.address = t.address("address");
     l.terms.on_request = t.word("mode", {"push", "on_request"}, 0) == 1;
@@ -110,7 +111,7 @@
     return l;
 }
 
-LaunchTerms launch_terms(Table root) {
+RetrySettings retry_settings(Table root) {
     Table t = root.table("launches");
     return {static_cast<int>(t.whole("most", 1, 100, 4)), t.truth("can_stop", true)};
 }
@@ -129,9 +130,9 @@
     return p;
 }
 
-intake::Limits intake_limits(Table root) {
+admission::AdmissionLimits admission_limits(Table root) {
     Table t = root.table("intake");
-    intake::Limits l;
+    admission::AdmissionLimits l;
     l.waiting = t.whole("waiting", 1, 10'000'000, l.waiting);
     l.waiting_an_owner = t.whole("waiting_an_owner", 1, 10'000'000, l.waiting_an_owner);
     l.a_second = t.whole("a_second", 1, 10'000'000, l.a_second);
@@ -139,9 +140,9 @@
     return l;
 }
 
-link::Terms link_terms(Table root) {
+worker_connection::ConnectionSettings connection_settings(Table root) {
     Table t = root.table("links");
-    link::Terms l;
+    worker_connection::ConnectionSettings l;
     const Nanos least = 10 * kMillisecond, most = 3600 * kSecond;
     l.dial_time_out = t.span("dial_time_out_ms", least, most, l.dial_time_out);
     l.greet_time_out = t.span("greet_time_out_ms", least, most, l.greet_time_out);
@@ -153,35 +154,35 @@
     return l;
 }
 
-Dialling dialling(Table root) {
+DialLimits dial_limits(Table root) {
     Table t = root.table("links");
-    Dialling d;
+    DialLimits d;
     d.at_once = static_cast<int>(t.whole("dials_at_once", 1, 100'000, d.at_once));
     d.a_second = static_cast<int>(t.whole("dials_a_second", 1, 1'000'000, d.a_second));
     return d;
 }
 
-Saying saying(Table root) {
+LogSettings log_settings(Table root) {
     Table t = root.table("log");
-    Saying s;
+    LogSettings s;
     s.level = static_cast<log::Level>(t.word("level", {"debug", "info", "warning", "error", "off"}, 1));
-    s.form = static_cast<log::Form>(t.word("form", {"text", "json"}, 0));
+    s.form = static_cast<log::Format>(t.word("form", {"text", "json"}, 0));
     return s;
 }
 
 std::vector<std::string> check(Document& file) {
     Table root = file.root();
-    const Named me = placer(root);
-    queue_groups(root, machine_kinds(root).size());
-    acceptance(root);
-    cold_terms(root);
-    const ListAt at = list_at(root);
-    launch_terms(root);
+    const PlacerSettings me = placer_settings(root);
+    queue_groups(root, worker_kinds(root).size());
+    worker_acceptance(root);
+    slow_start_settings(root);
+    const DiscoveryService at = discovery_service(root);
+    retry_settings(root);
     prices(root);
-    intake_limits(root);
-    link_terms(root);
-    dialling(root);
-    saying(root);
+    admission_limits(root);
+    connection_settings(root);
+    dial_limits(root);
+    log_settings(root);
     if (!me.listen.empty() && me.listen == at.address)
         root.table("list").wrong("address", "is the address that placer.listen has");
     return file.problems();
--- a/src/config/placer_file.h
+++ b/src/config/placer_file.h
@@ -3,47 +3,47 @@
 #include <string>
 #include <vector>
 
+#include "admission/admission_controller.h"
 #include "config/document.h"
-#include "intake/intake.h"
-#include "link/link.h"
-#include "log/log.h"
-#include "whinpost/placer.h"
+#include "log/logger.h"
+#include "whinpost/scheduler.h"
+#include "worker_connection/worker_connection.h"
 
 namespace whinpost::config {
 
-struct Named {
+struct PlacerSettings {
     std::string name, listen;
     int zone = 0, zones = 0;
     std::uint64_t seed = 0;  // 0: from chance, at each start
 };
-struct Group {
+struct NamedQueueGroup {
     std::string name;
     QueueGroup terms;
 };
-struct ListAt {
+struct DiscoveryService {
     std::string address;
-    ListTerms terms;
+    DiscoverySettings terms;
 };
-struct Dialling {
+struct DialLimits {
     int at_once = 16, a_second = 200;
 };
-struct Saying {
+struct LogSettings {
     log::Level level = log::Level::info;
-    log::Form form = log::Form::text;
+    log::Format form = log::Format::text;
 };
 
-Named placer(Table root);
-std::vector<Group> queue_groups(Table root, std::size_t kinds);
-std::vector<MachineKind> machine_kinds(Table root);
-Acceptance acceptance(Table root);
-ColdTerms cold_terms(Table root);
-ListAt list_at(Table root);
-LaunchTerms launch_terms(Table root);
+PlacerSettings placer_settings(Table root);
+std::vector<NamedQueueGroup> queue_groups(Table root, std::size_t kinds);
+std::vector<WorkerKind> worker_kinds(Table root);
+WorkerAcceptance worker_acceptance(Table root);
+SlowStartSettings slow_start_settings(Table root);
+DiscoveryService discovery_service(Table root);
+RetrySettings retry_settings(Table root);
 Prices prices(Table root);
-intake::Limits intake_limits(Table root);
-link::Terms link_terms(Table root);
-Dialling dialling(Table root);
-Saying saying(Table root);
+admission::AdmissionLimits admission_limits(Table root);
+worker_connection::ConnectionSettings connection_settings(Table root);
+DialLimits dial_limits(Table root);
+LogSettings log_settings(Table root);
 // All of them, for what is wrong alone: a file that passes can be run.
 std::vector<std::string> check(Document&);
 
--- a/src/bus/events.cpp
+++ b/src/discovery/event_stream.cpp
@@ -1,4 +1,4 @@
-#include "bus/events.h"
+#include "discovery/event_stream.h"
 
 #include <http_parser.h>
 
@@ -6,7 +6,7 @@
 #include <cmath>
 #include <nlohmann/json.hpp>
 
-namespace whinpost::bus {
+namespace whinpost::discovery {
 namespace {
 
 using Json = nlohmann::json;
@@ -29,7 +29,7 @@
 }
 
 bool read_entry(const Json& from, const std::vector<std::string>& zones,
-                const std::vector<std::string>& kinds, Entry& e) {
+                const std::vector<std::string>& kinds, EndpointUpdate& e) {
     if (!from.is_object()) return false;
     const auto host = text(from, "host");
     if (!host || host->empty()) return false;
@@ -40,9 +40,9 @@
     if (const auto cell = number(from, "block"); cell && std::abs(*cell) < 1e9)
         e.cell = static_cast<int>(*cell);
     if (const auto state = text(from, "health")) {
-        if (*state == "active") e.stage = Stage::serving;
-        else if (*state == "leaving") e.stage = Stage::draining;
-        else if (*state == "left") e.stage = Stage::gone;
+        if (*state == "active") e.stage = EndpointPhase::serving;
+        else if (*state == "leaving") e.stage = EndpointPhase::draining;
+        else if (*state == "left") e.stage = EndpointPhase::gone;
         else return false;
     }
     if (const auto born = number(from, "born_ms"); born && *born >= 0 && *born < 9e12)
@@ -58,8 +58,9 @@
 
 }  // namespace
 
-std::optional<Event> read_event(std::string_view json, const std::vector<std::string>& zones,
-                                const std::vector<std::string>& kinds, std::string& wrong, int& odd) {
+std::optional<WatchEvent> parse_watch_event(std::string_view json, const std::vector<std::string>& zones,
+                                            const std::vector<std::string>& kinds, std::string& wrong,
+                                            int& odd) {
     const Json from = Json::parse(json.begin(), json.end(), nullptr, false);
     if (from.is_discarded() || !from.is_object()) {
         wrong = "not a JSON object";
@@ -70,7 +71,7 @@
         wrong = "offset is not a whole number";
         return std::nullopt;
     }
-    Event out;
+    WatchEvent out;
     out.number = offset->get<std::int64_t>();
     const auto list = from.find("topology");
     if (list == from.end() || !list->is_object()) return out;
@@ -83,33 +84,33 @@
     out.has_list = true;
     out.whole = whole != list->end() && whole->is_boolean() && whole->get<bool>();
     for (const Json& h : *hosts) {
-        Entry e;
+        EndpointUpdate e;
         if (read_entry(h, zones, kinds, e)) out.hosts.push_back(std::move(e));
         else ++odd;
     }
     return out;
 }
 
-std::string request(std::string_view address, std::int64_t last) {
+std::string watch_request(std::string_view address, std::int64_t last) {
     return "GET /bus/read HTTP/1.1\r\nHost: " + std::string(address) +
            "\r\nAccept: text/event-stream\r\nLast-Event-ID: " + std::to_string(last) + "\r\n\r\n";
 }
 
-struct Reader::Parser {
+struct EventStreamParser::Parser {
     http_parser http;
     std::string body;  // of this piece
     bool done = false;
 };
 
-Reader::Reader() : parser_(std::make_unique<Parser>()) {
+EventStreamParser::EventStreamParser() : parser_(std::make_unique<Parser>()) {
     http_parser_init(&parser_->http, HTTP_RESPONSE);
     parser_->http.data = parser_.get();
 }
-Reader::~Reader() = default;
+EventStreamParser::~EventStreamParser() = default;
 
-constexpr std::size_t kLongestLine = 4 << 20;  // far over a whole list of some thousand hosts
+constexpr std::size_t kMaxLineSize = 4 << 20;  // far over a whole list of some thousand hosts
 
-bool Reader::read(std::string_view bytes, const std::function<void(std::string_view)>& each) {
+bool EventStreamParser::read(std::string_view bytes, const std::function<void(std::string_view)>& each) {
     http_parser_settings calls;
     http_parser_settings_init(&calls);
     calls.on_body = [](http_parser* p, const char* at, std::size_t length) {
@@ -128,7 +129,7 @@
         if (c == '\r') continue;
         if (c != '\n') {
             line_ += c;
-            if (line_.size() > kLongestLine) return false;
+            if (line_.size() > kMaxLineSize) return false;
             continue;
         }
         ++lines_;
@@ -140,7 +141,7 @@
             if (v.starts_with(' ')) v.remove_prefix(1);
             if (!data_.empty()) data_ += '\n';
             data_ += v;
-            if (data_.size() > kLongestLine) return false;
+            if (data_.size() > kMaxLineSize) return false;
         }
         line_.clear();
     }
@@ -148,4 +149,4 @@
     return well && !p.done;
 }
 
-}  // namespace whinpost::bus
+}  // namespace whinpost::discovery
--- a/src/bus/events.h
+++ b/src/discovery/event_stream.h
@@ -9,39 +9,40 @@
 #include <string_view>
 #include <vector>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::bus {
+namespace whinpost::discovery {
 
 // One host as an event names it; what it does not say stays as it was.
-struct Entry {
+struct EndpointUpdate {
     std::string host;
     std::optional<std::string> address;
     std::optional<int> zone, kind, cell;
-    std::optional<Stage> stage;
+    std::optional<EndpointPhase> stage;
     std::optional<Nanos> started;
     std::optional<double> free_cores, free_memory;
 };
 
-struct Event {
+struct WatchEvent {
     std::int64_t number = 0;
     bool has_list = false;  // else it is of no known sort and only its number counts
     bool whole = false;     // the entire list: hosts that it does not name are gone
-    std::vector<Entry> hosts;
+    std::vector<EndpointUpdate> hosts;
 };
 
 // Reads `{"offset":N,"topology":{...}}`. Nothing, and `wrong`, where it is no event. Entries without a host,
 // or with a zone or kind that the settings do not name, are left out and counted in `odd`.
-std::optional<Event> read_event(std::string_view json, const std::vector<std::string>& zones,
-                                const std::vector<std::string>& kinds, std::string& wrong, int& odd);
+std::optional<WatchEvent> parse_watch_event(std::string_view json, const std::vector<std::string>& zones,
+                                            const std::vector<std::string>& kinds, std::string& wrong,
+                                            int& odd);
 
-std::string request(std::string_view address, std::int64_t last);
+std::string watch_request(std::string_view address, std::int64_t last);
 
 // One connection's answer.
-class Reader {
+class EventStreamParser {
 public:
-    Reader();
-    ~Reader();
+    EventStreamParser();
+    ~EventStreamParser();
     // Calls `each` with the id and data of every whole event; a half event at the end is kept for more, and
     // dropped with the reader. False where the answer can't be read, is no success, or has come to its end.
     bool read(std::string_view bytes, const std::function<void(std::string_view data)>& each);
@@ -54,4 +55,4 @@
     std::uint64_t lines_ = 0;
 };
 
-}  // namespace whinpost::bus
+}  // namespace whinpost::discovery
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -2,11 +2,11 @@
 
 #include <algorithm>
 
-#include "whinpost/mark.h"
+#include "whinpost/stable_hash.h"
 
 namespace whinpost::ledger {
 
-std::string_view words(Refusal r) {
+std::string_view to_string(Refusal r) {
     switch (r) {
         case Refusal::none:
             return "allowed";
@@ -41,82 +41,83 @@
 }
 
 namespace {
-bool proves_not_run(Ending e) {
-    return e == Ending::refused || e == Ending::unconnected || e == Ending::unsent;
+bool proves_not_run(AttemptOutcome e) {
+    return e == AttemptOutcome::refused || e == AttemptOutcome::unconnected || e == AttemptOutcome::unsent;
 }
 // Nodes may have forgotten the first launch that may have run, and would take its repeat for new.
-bool past_window(Nanos now, const Record& r, const Launch& first) {
+bool past_window(Nanos now, const TaskRecord& r, const Attempt& first) {
     return now - first.sent >= r.group->repeat_window;
 }
 }  // namespace
 
-bool same_place(const Node& a, const Node& b, Place p) {
+bool same_place(const WorkerRecord& a, const WorkerRecord& b, FailureDomain p) {
     switch (p) {
-        case Place::none:
+        case FailureDomain::none:
             return false;
-        case Place::machine:
+        case FailureDomain::machine:
             return &a == &b;
-        case Place::cell:
+        case FailureDomain::cell:
             return a.listed.cell == b.listed.cell;
-        case Place::zone:
+        case FailureDomain::zone:
             return a.listed.zone == b.listed.zone;
-        case Place::all:
+        case FailureDomain::all:
             return true;
     }
     return false;
 }
 
-Ledger::Ledger(std::vector<QueueGroup> groups, LaunchTerms terms, ColdTerms cold)
+Ledger::Ledger(std::vector<QueueGroup> groups, RetrySettings terms, SlowStartSettings cold)
     : groups_(std::move(groups)), terms_(terms), cold_(cold) {}
 
 // ---------------------------------------------------------------- nodes
 
-Node& Ledger::meet(std::string_view name) {
+WorkerRecord& Ledger::meet(std::string_view name) {
     auto it = nodes_.find(name);
     if (it == nodes_.end()) {
-        it = nodes_.emplace(std::string(name), Node{}).first;
+        it = nodes_.emplace(std::string(name), WorkerRecord{}).first;
         it->second.name = name;
-        it->second.mark = mark_of(name);
+        it->second.mark = stable_hash(name);
     }
     return it->second;
 }
 
-Node* Ledger::find(std::string_view name) {
+WorkerRecord* Ledger::find(std::string_view name) {
     const auto it = nodes_.find(name);
     return it == nodes_.end() ? nullptr : &it->second;
 }
 
 // The list may take back what the list said (a drain that was called off); the node alone takes back what it
 // said itself. So a list that was asked for before the drain and comes after it opens nothing.
-void Ledger::listed(Nanos now, Node& n, const Listed& entry) {
+void Ledger::listed(Nanos now, WorkerRecord& n, const EndpointState& entry) {
     if (n.known && entry.started > n.listed.started) started_anew(now, n);
     n.listed = entry;
-    n.known = entry.stage != Stage::gone;
-    if (entry.stage != Stage::serving && !n.drains()) n.drain_heard = now;
-    n.drain_listed = entry.stage != Stage::serving;
+    n.known = entry.stage != EndpointPhase::gone;
+    if (entry.stage != EndpointPhase::serving && !n.drains()) n.drain_heard = now;
+    n.drain_listed = entry.stage != EndpointPhase::serving;
 }
 
-void Ledger::gone(Nanos now, Node& n) {
+void Ledger::gone(Nanos now, WorkerRecord& n) {
     n.known = false;
-    n.listed.stage = Stage::gone;
+    n.listed.stage = EndpointPhase::gone;
     if (!n.drains()) n.drain_heard = now;
     n.drain_listed = true;
 }
 
-void Ledger::said(Nanos now, Node& n, bool drains) {
+void Ledger::said(Nanos now, WorkerRecord& n, bool drains) {
     if (drains && !n.drains()) n.drain_heard = now;
     n.drain_said = drains;
 }
 
-void Ledger::started_anew(Nanos, Node& n) {
+void Ledger::started_anew(Nanos, WorkerRecord& n) {
     n.drain_said = false;
     n.young_sends.clear();
 }
 
 // ---------------------------------------------------------------- containers
 
-Record& Ledger::take(Nanos now, std::string_view container, std::uint64_t service, const Asked& asked) {
-    Record& r = records_[next_record_];
+TaskRecord& Ledger::take(Nanos now, std::string_view container, std::uint64_t service,
+                         const ResourceRequest& asked) {
+    TaskRecord& r = records_[next_record_];
     r.number = next_record_++;
     r.container = container;
     r.service = service;
@@ -130,10 +131,10 @@
     return r;
 }
 
-Record& Ledger::take_over(Nanos now, std::string_view container, std::uint64_t service, const Asked& asked,
-                          Node& n) {
-    Record& r = take(now, container, service, asked);
-    Launch& l = r.launches.emplace_back();
+TaskRecord& Ledger::take_over(Nanos now, std::string_view container, std::uint64_t service,
+                              const ResourceRequest& asked, WorkerRecord& n) {
+    TaskRecord& r = take(now, container, service, asked);
+    Attempt& l = r.launches.emplace_back();
     l.number = next_launch_++;
     l.record = &r;
     l.node = &n;
@@ -148,25 +149,25 @@
     return r;
 }
 
-Record* Ledger::find(std::uint64_t number) {
+TaskRecord* Ledger::find(std::uint64_t number) {
     const auto it = records_.find(number);
     return it == records_.end() ? nullptr : &it->second;
 }
 
-void Ledger::forget(Record& r) {
+void Ledger::forget(TaskRecord& r) {
     if (r.out) left(*r.out);
     records_.erase(r.number);
 }
 
 // ---------------------------------------------------------------- the rules
 
-const Launch* Ledger::first_maybe(const Record& r) const {
-    for (const Launch& l : r.launches)
+const Attempt* Ledger::first_maybe(const TaskRecord& r) const {
+    for (const Attempt& l : r.launches)
         if (!l.over || l.may_have_run) return &l;
     return nullptr;
 }
 
-int Ledger::in_place(std::uint64_t service, const Node& n, Place p) const {
+int Ledger::in_place(std::uint64_t service, const WorkerRecord& n, FailureDomain p) const {
     const auto it = standing_.find(service);
     if (it == standing_.end()) return 0;
     int count = 0;
@@ -175,11 +176,11 @@
     return count;
 }
 
-bool Ledger::young(Nanos now, const Node& n) const {
+bool Ledger::young(Nanos now, const WorkerRecord& n) const {
     return n.listed.started > 0 && now - n.listed.started < cold_.warm_after;
 }
 
-Refusal Ledger::may_launch(Nanos now, const Record& r, const Node& n) const {
+Refusal Ledger::may_launch(Nanos now, const TaskRecord& r, const WorkerRecord& n) const {
     if (r.holds) return Refusal::placed;
     if (r.answer != Answer::none || r.over) return Refusal::answered;
     if (r.out) return Refusal::launch_out;
@@ -188,14 +189,14 @@
     if (!n.known) return Refusal::unknown_node;
     if (n.drains()) return Refusal::draining;
     if (r.group->kind >= 0 && n.listed.kind != r.group->kind) return Refusal::wrong_kind;
-    if (const Launch* first = first_maybe(r)) {
+    if (const Attempt* first = first_maybe(r)) {
         if (r.group->effect == Effect::side_effecting) return Refusal::may_have_run;
         if (r.group->effect == Effect::fingerprinted) {
             if (past_window(now, r, *first)) return Refusal::past_window;
             if (!same_place(*first->node, n, r.group->repeats_dropped_by)) return Refusal::outside_repeats;
         }
     }
-    if (r.group->spread != Place::none && in_place(r.service, n, r.group->spread) >= r.group->most)
+    if (r.group->spread != FailureDomain::none && in_place(r.service, n, r.group->spread) >= r.group->most)
         return Refusal::spread;
     if (young(now, n) && n.turns >= 0) {
         if (n.turns == 0) return Refusal::cold;
@@ -203,12 +204,12 @@
         // The placers share nothing, so that all keep to the same dealing is what bounds their sum.
         std::int64_t in_turn = 0;
         for (const Nanos at : n.young_sends) in_turn += at / cold_.window == now / cold_.window;
-        if (in_turn >= Placer::slow_start_tokens(cold_, n.mark, now)) return Refusal::cold;
+        if (in_turn >= Scheduler::slow_start_tokens(cold_, n.mark, now)) return Refusal::cold;
     }
     return Refusal::none;
 }
 
-Launch* Ledger::launch(Nanos now, Record& r, Node& n, Nanos time_out, Refusal& why) {
+Attempt* Ledger::launch(Nanos now, TaskRecord& r, WorkerRecord& n, Nanos time_out, Refusal& why) {
     why = may_launch(now, r, n);
     if (why != Refusal::none) {
         ++tally_.refused_to_planner;
@@ -221,7 +222,7 @@
         why = Refusal::too_many;
         return nullptr;
     }
-    Launch& l = r.launches.emplace_back();
+    Attempt& l = r.launches.emplace_back();
     l.number = next_launch_++;
     l.record = &r;
     l.node = &n;
@@ -238,11 +239,11 @@
     return &l;
 }
 
-bool Ledger::may_still_send(Nanos now, const Launch& l) const {
+bool Ledger::may_still_send(Nanos now, const Attempt& l) const {
     // Guards against a repeat that was allowed, waited for its connection, and would come to its node after
     // the time for which repeats are dropped there.
-    const Record& r = *l.record;
-    if (const Launch* first = first_maybe(r);
+    const TaskRecord& r = *l.record;
+    if (const Attempt* first = first_maybe(r);
         first && first != &l && r.group->effect == Effect::fingerprinted && past_window(now, r, *first))
         return false;
     // Guards against a server in slow start that is sent more than it bears: by an attempt that waited for
@@ -258,9 +259,9 @@
 
 // A yes binds only while the launch is the one that is out and the owner waits. A yes after that is a copy
 // nobody waits for: the caller has it stopped or tells the owner where it is.
-bool Ledger::accepted(Nanos, Launch& l) {
+bool Ledger::accepted(Nanos, Attempt& l) {
     if (l.accepted) return false;
-    Record& r = *l.record;
+    TaskRecord& r = *l.record;
     if (l.over || r.out != &l || r.answer != Answer::none) {
         ++tally_.late_yes;
         return false;
@@ -274,26 +275,26 @@
     return true;
 }
 
-bool Ledger::runs(Nanos, Launch& l) {
+bool Ledger::runs(Nanos, Attempt& l) {
     if (l.over || l.running || !l.accepted) return false;
     l.running = true;
     return true;
 }
 
 // Counts it among what stands of its service, where a spread is stated; left() takes it out.
-void Ledger::stands(const Record& r, Node& n) {
-    if (r.group->spread == Place::none) return;
+void Ledger::stands(const TaskRecord& r, WorkerRecord& n) {
+    if (r.group->spread == FailureDomain::none) return;
     auto& at = standing_[r.service];
     const auto it = std::find_if(at.begin(), at.end(), [&n](const Standing& s) { return s.node == &n; });
     if (it == at.end()) at.push_back({&n, 1});
     else ++it->count;
 }
 
-void Ledger::left(Launch& l) {
-    Record& r = *l.record;
+void Ledger::left(Attempt& l) {
+    TaskRecord& r = *l.record;
     if (l.accepted) --l.node->held;
     else --l.node->launches_out;
-    if (r.group->spread == Place::none) return;
+    if (r.group->spread == FailureDomain::none) return;
     const auto it = standing_.find(r.service);
     if (it == standing_.end()) return;
     auto& at = it->second;
@@ -305,9 +306,9 @@
     if (at.empty()) standing_.erase(it);
 }
 
-bool Ledger::ended(Nanos, Launch& l, Ending how) {
+bool Ledger::ended(Nanos, Attempt& l, AttemptOutcome how) {
     if (l.over) return false;
-    Record& r = *l.record;
+    TaskRecord& r = *l.record;
     left(l);
     l.over = true;
     l.ending = how;
@@ -325,14 +326,14 @@
 // ---------------------------------------------------------------- answers
 
 // A deferral says that trying again is harmless.
-bool Ledger::may_defer(const Record& r) const {
+bool Ledger::may_defer(const TaskRecord& r) const {
     if (r.group->effect == Effect::idempotent) return true;
     if (r.out) return false;
     if (!first_maybe(r)) return true;
-    return r.group->effect == Effect::fingerprinted && r.group->repeats_dropped_by == Place::all;
+    return r.group->effect == Effect::fingerprinted && r.group->repeats_dropped_by == FailureDomain::all;
 }
 
-bool Ledger::give(Nanos, Record& r, Answer a) {
+bool Ledger::give(Nanos, TaskRecord& r, Answer a) {
     if (r.answer != Answer::none || a == Answer::none || a == Answer::placed) return false;
     if (a == Answer::deferred && !may_defer(r)) return false;
     r.answer = a;
--- a/src/log/log.cpp
+++ b/src/log/logger.cpp
@@ -1,4 +1,4 @@
-#include "log/log.h"
+#include "log/logger.h"
 
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
@@ -33,9 +33,9 @@
     return true;
 }
 
-void value(std::string& out, Form form, const Field& f) {
+void value(std::string& out, Format form, const Field& f) {
     if (const auto* s = std::get_if<std::string_view>(&f.value)) {
-        if (form == Form::text && plain(*s)) out += *s;
+        if (form == Format::text && plain(*s)) out += *s;
         else quoted(out, *s);
     } else if (const auto* i = std::get_if<std::int64_t>(&f.value)) out += std::to_string(*i);
     else if (const auto* b = std::get_if<bool>(&f.value)) out += *b ? "true" : "false";
@@ -66,9 +66,9 @@
 
 }  // namespace
 
-std::string line(Form form, std::string_view event, std::initializer_list<Field> fields) {
+std::string line(Format form, std::string_view event, std::initializer_list<Field> fields) {
     std::string out;
-    if (form == Form::json) {
+    if (form == Format::json) {
         out = "\"event\":";
         quoted(out, event);
     } else {
@@ -76,7 +76,7 @@
         value(out, form, {"", event});
     }
     for (const Field& f : fields) {
-        if (form == Form::json) {
+        if (form == Format::json) {
             out += ',';
             quoted(out, f.key);
             out += ':';
@@ -90,20 +90,20 @@
     return out;
 }
 
-Log::Log() = default;
-Log::~Log() = default;
+Logger::Logger() = default;
+Logger::~Logger() = default;
 
-Log::Log(Level least, Form form) : least_(least), form_(form) {
+Logger::Logger(Level least, Format form) : least_(least), form_(form) {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
     to_ = std::make_shared<spdlog::logger>("whinpost", std::move(sink));
     to_->set_level(to_spdlog(least));
-    to_->set_pattern(form == Form::json ? "{\"at\":\"%Y-%m-%dT%H:%M:%S.%f\",\"level\":\"%l\",%v}"
-                                        : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
+    to_->set_pattern(form == Format::json ? "{\"at\":\"%Y-%m-%dT%H:%M:%S.%f\",\"level\":\"%l\",%v}"
+                                          : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
 }
 
-bool Log::says(Level l) const { return to_ && l >= least_ && l != Level::off; }
+bool Logger::says(Level l) const { return to_ && l >= least_ && l != Level::off; }
 
-void Log::operator()(Level l, std::string_view event, std::initializer_list<Field> fields) const {
+void Logger::operator()(Level l, std::string_view event, std::initializer_list<Field> fields) const {
     if (says(l)) to_->log(to_spdlog(l), "{}", line(form_, event, fields));
 }
 
--- a/src/log/log.h
+++ b/src/log/logger.h
@@ -15,7 +15,7 @@
 namespace whinpost::log {
 
 enum class Level { debug, info, warning, error, off };
-enum class Form { text, json };
+enum class Format { text, json };
 
 struct Field {
     std::string_view key;
@@ -32,20 +32,20 @@
 };
 
 // One line's text without time and level: for tests, and for what is written elsewhere in the same form.
-std::string line(Form, std::string_view event, std::initializer_list<Field>);
+std::string line(Format, std::string_view event, std::initializer_list<Field>);
 
-class Log {
+class Logger {
 public:
-    Log();             // says nothing
-    Log(Level, Form);  // to standard error, written by the calling thread
-    ~Log();
+    Logger();               // says nothing
+    Logger(Level, Format);  // to standard error, written by the calling thread
+    ~Logger();
     bool says(Level) const;
     void operator()(Level, std::string_view event, std::initializer_list<Field>) const;
 
 private:
     std::shared_ptr<spdlog::logger> to_;
     Level least_ = Level::off;
-    Form form_ = Form::text;
+    Format form_ = Format::text;
 };
 
 }  // namespace whinpost::log
--- a/src/fleet/fleet.cpp
+++ b/src/membership/membership.cpp
@@ -1,9 +1,9 @@
-#include "fleet/fleet.h"
+#include "membership/membership.h"
 
 #include <algorithm>
 #include <cmath>
 
-namespace whinpost::fleet {
+namespace whinpost::membership {
 
 namespace {
 
@@ -33,12 +33,12 @@
 // milliseconds late.
 constexpr Nanos kCorrectEvery = 1 * kSecond;
 
-bool takes_none(Standing s) { return s != Standing::serving; }
+bool takes_none(WorkerState s) { return s != WorkerState::serving; }
 
 // The later of two starts of one node; 0 is long ago.
 Nanos later_start(Nanos a, Nanos b) { return std::max(a, b); }
 
-bool same(const Listed& a, const Listed& b) {
+bool same(const EndpointState& a, const EndpointState& b) {
     return a.zone == b.zone && a.cell == b.cell && a.kind == b.kind && a.stage == b.stage &&
            a.started == b.started && a.free_cores == b.free_cores && a.free_memory == b.free_memory;
 }
@@ -50,87 +50,88 @@
 
 }  // namespace
 
-std::string_view words(Standing s) {
+std::string_view to_string(WorkerState s) {
     switch (s) {
-        case Standing::unknown:
+        case WorkerState::unknown:
             return "unknown";
-        case Standing::serving:
+        case WorkerState::serving:
             return "serving";
-        case Standing::unconfirmed:
+        case WorkerState::unconfirmed:
             return "unconfirmed";
-        case Standing::away:
+        case WorkerState::away:
             return "away";
-        case Standing::unsteady:
+        case WorkerState::unsteady:
             return "unsteady";
-        case Standing::draining:
+        case WorkerState::draining:
             return "draining";
-        case Standing::leaving:
+        case WorkerState::leaving:
             return "leaving";
-        case Standing::gone:
+        case WorkerState::gone:
             return "gone";
     }
     return "unknown";
 }
 
-Member::Member(Fleet& f, std::string n, std::uint32_t num)
+WorkerEntry::WorkerEntry(Membership& f, std::string n, std::uint32_t num)
     : name(std::move(n)), number(num), fleet_(f), held_(*this), lives_(kLivesOver) {}
 
-void Member::Held::due(Nanos now) { member.fleet_.settle(now, member); }
+void WorkerEntry::Held::due(Nanos now) { member.fleet_.settle(now, member); }
 
-Fleet::Fleet(Port& port, Nanos now, Nanos drain_grace, bool report_is_free)
+Membership::Membership(MembershipHandler& port, Nanos now, Nanos drain_grace, bool report_is_free)
     : port_(port), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
       by_standing_(8, 0), doubt_(*this) {}
 
-Member& Fleet::meet(std::string_view name) {
-    if (Member* m = find(name)) return *m;
+WorkerEntry& Membership::meet(std::string_view name) {
+    if (WorkerEntry* m = find(name)) return *m;
     members_.push_back(
-        std::make_unique<Member>(*this, std::string(name), static_cast<std::uint32_t>(members_.size())));
-    Member& m = *members_.back();
+        std::make_unique<WorkerEntry>(*this, std::string(name), static_cast<std::uint32_t>(members_.size())));
+    WorkerEntry& m = *members_.back();
     names_[m.name] = &m;
-    ++by_standing_[static_cast<std::size_t>(Standing::unknown)];
+    ++by_standing_[static_cast<std::size_t>(WorkerState::unknown)];
     return m;
 }
 
-Member* Fleet::find(std::string_view name) {
+WorkerEntry* Membership::find(std::string_view name) {
     const auto it = names_.find(name);
     return it == names_.end() ? nullptr : it->second;
 }
 
-void Fleet::arm(wheel::Timer& t, Nanos at) {
+void Membership::arm(timer_wheel::Timer& t, Nanos at) {
     wheel_.arm(t, at);
     port_.turn_at(at);
 }
 
-void Fleet::turn(Nanos now) {
+void Membership::turn(Nanos now) {
     wheel_.turn(now);
     if (const Nanos next = wheel_.next()) port_.turn_at(next);
 }
 
 // ---------------------------------------------------------------- what follows
 
-Standing Fleet::judge(Nanos now, const Member& m) const {
-    if (!m.list.ever) return Standing::unknown;
-    if (m.list.entry.stage == Stage::gone) return m.connection.up ? Standing::leaving : Standing::gone;
-    if (m.list.entry.stage == Stage::draining || m.node.drains) return Standing::draining;
-    if (now < m.steady_at_) return Standing::unsteady;
-    if (!m.connection.up && (m.connection.ever || m.connection.failed > 0)) return Standing::away;
-    if (!m.connection.ever && m.list.age_when_told > kOld) return Standing::unconfirmed;
-    return Standing::serving;
+WorkerState Membership::judge(Nanos now, const WorkerEntry& m) const {
+    if (!m.list.ever) return WorkerState::unknown;
+    if (m.list.entry.stage == EndpointPhase::gone)
+        return m.connection.up ? WorkerState::leaving : WorkerState::gone;
+    if (m.list.entry.stage == EndpointPhase::draining || m.node.drains) return WorkerState::draining;
+    if (now < m.steady_at_) return WorkerState::unsteady;
+    if (!m.connection.up && (m.connection.ever || m.connection.failed > 0)) return WorkerState::away;
+    if (!m.connection.ever && m.list.age_when_told > kOld) return WorkerState::unconfirmed;
+    return WorkerState::serving;
 }
 
-Listed Fleet::tell(Nanos now, const Member& m) const {
-    Listed l = m.list.entry;
+EndpointState Membership::tell(Nanos now, const WorkerEntry& m) const {
+    EndpointState l = m.list.entry;
     switch (judge(now, m)) {
-        case Standing::serving:
-            l.stage = Stage::serving;
+        case WorkerState::serving:
+            l.stage = EndpointPhase::serving;
             break;
-        case Standing::unknown:
-        case Standing::leaving:
-        case Standing::gone:
-            l.stage = Stage::gone;
+        case WorkerState::unknown:
+        case WorkerState::leaving:
+        case WorkerState::gone:
+            l.stage = EndpointPhase::gone;
             break;
         default:
-            l.stage = Stage::draining;
+            l.stage = EndpointPhase::draining;
             break;
     }
     l.started = later_start(l.started, m.node.started);
@@ -143,11 +144,11 @@
 
 // All that follows is worked out anew from what was said: it costs nothing worth keeping state for, and no
 // order of events can leave it half done.
-void Fleet::settle(Nanos now, Member& m) {
-    const Standing standing = judge(now, m);
-    const Listed told = tell(now, m);
-    const bool drains =
-        standing == Standing::draining || standing == Standing::leaving || standing == Standing::gone;
+void Membership::settle(Nanos now, WorkerEntry& m) {
+    const WorkerState standing = judge(now, m);
+    const EndpointState told = tell(now, m);
+    const bool drains = standing == WorkerState::draining || standing == WorkerState::leaving ||
+                        standing == WorkerState::gone;
     const bool was = takes_none(m.standing);
     if (standing == m.standing && same(told, m.told)) return;
     if (standing != m.standing) {
@@ -168,7 +169,7 @@
 
 // ---------------------------------------------------------------- the list
 
-void Fleet::list_begins(Nanos now, Nanos age, bool whole) {
+void Membership::list_begins(Nanos now, Nanos age, bool whole) {
     ++turn_;
     turn_age_ = std::max<Nanos>(age, 0);
     turn_as_of_ = now - turn_age_;
@@ -176,7 +177,7 @@
     named_.clear();
 }
 
-void Fleet::entry(Nanos now, Member& m, const Listed& listed, std::string_view address) {
+void Membership::entry(Nanos now, WorkerEntry& m, const EndpointState& listed, std::string_view address) {
     if (m.turn_ == turn_) {
         ++counts_.contradictions;
         return named_twice(m, listed, address);
@@ -190,7 +191,7 @@
     m.doubted_ = false;
     const bool newer =
         listed.started && m.list.entry.started && listed.started > m.list.entry.started + kSameStart;
-    Listed l = listed;
+    EndpointState l = listed;
     // One start, told twice with ages that the network bent.
     if (l.started && m.list.entry.started && std::abs(l.started - m.list.entry.started) < kSameStart)
         l.started = m.list.entry.started;
@@ -207,8 +208,8 @@
 }
 
 // Rule 10.
-void Fleet::named_twice(Member& m, const Listed& other, std::string_view address) {
-    Listed& l = m.list.entry;
+void Membership::named_twice(WorkerEntry& m, const EndpointState& other, std::string_view address) {
+    EndpointState& l = m.list.entry;
     if (!address.empty() && address != m.address) {
         if (!m.connection.up && other.started > l.started) m.address = address;
     }
@@ -218,23 +219,23 @@
     l.started = later_start(l.started, other.started);
 }
 
-void Fleet::leave_out(Nanos now, Member& m, Nanos as_of) {
+void Membership::leave_out(Nanos now, WorkerEntry& m, Nanos as_of) {
     m.doubted_ = false;
     m.list.left_out = true;
-    m.list.entry.stage = Stage::gone;
+    m.list.entry.stage = EndpointPhase::gone;
     m.list.as_of = as_of;
     settle(now, m);
 }
 
-void Fleet::list_ends(Nanos now) {
+void Membership::list_ends(Nanos now) {
     list_as_of_ = std::max(list_as_of_, turn_as_of_);
-    for (Member* m : named_) settle(now, *m);
+    for (WorkerEntry* m : named_) settle(now, *m);
     named_.clear();
     if (!turn_whole_) return;
-    std::vector<Member*> absent;
+    std::vector<WorkerEntry*> absent;
     std::size_t stood = 0, alive = 0;
     for (const auto& m : members_) {
-        if (!m->list.ever || m->list.entry.stage == Stage::gone) continue;
+        if (!m->list.ever || m->list.entry.stage == EndpointPhase::gone) continue;
         ++stood;
         if (m->turn_ == turn_ || turn_as_of_ < m->list.as_of) continue;
         absent.push_back(m.get());
@@ -244,7 +245,7 @@
     const bool odd = absent.size() >= kDoubtLeast && 2 * alive > absent.size() &&
                      static_cast<double>(absent.size()) > kDoubtPart * static_cast<double>(stood);
     if (odd && (!doubt_until_ || now < doubt_until_)) {
-        for (Member* m : absent) m->doubted_ = true;
+        for (WorkerEntry* m : absent) m->doubted_ = true;
         if (!doubt_until_) {
             ++counts_.doubts;
             doubt_until_ = now + drain_grace_ / kDoubtUses;
@@ -257,10 +258,10 @@
         doubt_until_ = 0;
         doubt_.disarm();
     }
-    for (Member* m : absent) leave_out(now, *m, turn_as_of_);
+    for (WorkerEntry* m : absent) leave_out(now, *m, turn_as_of_);
 }
 
-void Fleet::doubt_over(Nanos now) {
+void Membership::doubt_over(Nanos now) {
     doubt_until_ = 0;
     std::size_t believed = 0;
     for (const auto& m : members_) {
@@ -273,7 +274,7 @@
 
 // ---------------------------------------------------------------- the node and the connection to it
 
-void Fleet::new_life(Nanos now, Member& m) {
+void Membership::new_life(Nanos now, WorkerEntry& m) {
     ++counts_.lives;
     m.node = {};
     m.lives_.add(now, 1);
@@ -286,8 +287,8 @@
     arm(m.held_, m.steady_at_);
 }
 
-void Fleet::greeted(Nanos now, Member& m, std::uint64_t incarnation, Nanos up_for, bool drains,
-                    const Report& report) {
+void Membership::greeted(Nanos now, WorkerEntry& m, std::uint64_t incarnation, Nanos up_for, bool drains,
+                         const LoadReport& report) {
     if (m.node.incarnation && m.node.incarnation != incarnation) new_life(now, m);
     m.node.incarnation = incarnation;
     m.node.greeted = now;
@@ -308,12 +309,12 @@
     settle(now, m);
 }
 
-void Fleet::says_drain(Nanos now, Member& m) {
+void Membership::says_drain(Nanos now, WorkerEntry& m) {
     m.node.drains = true;
     settle(now, m);
 }
 
-void Fleet::reported(Nanos now, Member& m, const Report& r) {
+void Membership::reported(Nanos now, WorkerEntry& m, const LoadReport& r) {
     if (!r.has_free_cores && !r.has_free_memory) return;
     m.node.report = r;
     m.node.reported = now;
@@ -323,31 +324,31 @@
     settle(now, m);
 }
 
-void Fleet::broken(Nanos now, Member& m) {
+void Membership::broken(Nanos now, WorkerEntry& m) {
     if (!m.connection.up) return;
     m.connection.up = false;
     m.connection.since = now;
     settle(now, m);
 }
 
-void Fleet::dial_failed(Nanos now, Member& m) {
+void Membership::dial_failed(Nanos now, WorkerEntry& m) {
     m.connection.up = false;
     ++m.connection.failed;
     settle(now, m);
 }
 
-void Fleet::stranger() { ++counts_.strange; }
+void Membership::stranger() { ++counts_.strange; }
 
 // ---------------------------------------------------------------- for people
 
-std::string Fleet::why(Nanos now, const Member& m) const {
-    std::string out(words(m.standing));
+std::string Membership::why(Nanos now, const WorkerEntry& m) const {
+    std::string out(to_string(m.standing));
     const auto add = [&out](const std::string& s) { out += "; " + s; };
     if (m.list.ever) {
-        const char* stage = m.list.left_out                         ? "leaves it out"
-                            : m.list.entry.stage == Stage::gone     ? "calls it gone"
-                            : m.list.entry.stage == Stage::draining ? "says it drains"
-                                                                    : "says it serves";
+        const char* stage = m.list.left_out                                 ? "leaves it out"
+                            : m.list.entry.stage == EndpointPhase::gone     ? "calls it gone"
+                            : m.list.entry.stage == EndpointPhase::draining ? "says it drains"
+                                                                            : "says it serves";
         add(std::string("the list ") + stage + ", as of " + seconds(now - m.list.as_of) + " ago");
     } else {
         add("no list has named it");
@@ -365,4 +366,4 @@
     return out;
 }
 
-}  // namespace whinpost::fleet
+}  // namespace whinpost::membership
--- a/src/fleet/fleet.h
+++ b/src/membership/membership.h
@@ -29,13 +29,13 @@
 #include <string_view>
 #include <vector>
 
-#include "wheel/wheel.h"
-#include "whinpost/placer.h"
-#include "whinpost/ring.h"
+#include "timer_wheel/timer_wheel.h"
+#include "whinpost/scheduler.h"
+#include "whinpost/sliding_counter.h"
 
-namespace whinpost::fleet {
+namespace whinpost::membership {
 
-enum class Standing {
+enum class WorkerState {
     unknown,      // no list has named it
     serving,      // it may be given work
     unconfirmed,  // only an old list names it, and it has not greeted
@@ -45,27 +45,27 @@
     leaving,      // gone by the list, and it still answers: nothing new, what it holds is held
     gone,         // and it can't be reached: what it held is lost
 };
-std::string_view words(Standing);
+std::string_view to_string(WorkerState);
 
-class Fleet;
+class Membership;
 
 // One node, by its name.
-class Member {
+class WorkerEntry {
 public:
-    Member(Fleet&, std::string name, std::uint32_t number);
+    WorkerEntry(Membership&, std::string name, std::uint32_t number);
     const std::string name;
     const std::uint32_t number;  // counted from 0 in the order in which they were met
 
     // ---- what follows
-    Standing standing = Standing::unknown;
-    Listed told;             // as the planner is to take it
+    WorkerState standing = WorkerState::unknown;
+    EndpointState told;      // as the planner is to take it
     std::string address;     // where it is to be dialled
     Nanos drains_since = 0;  // it drains or is gone, and since when that is known
 
     // ---- what was said, and by whom
     struct ByList {
         bool ever = false;
-        Listed entry;
+        EndpointState entry;
         Nanos as_of = 0;          // the time of which it speaks
         Nanos age_when_told = 0;  // how old that was when it came
         bool left_out = false;    // not called gone, but in a whole list no more
@@ -74,7 +74,7 @@
         std::uint64_t incarnation = 0;
         Nanos greeted = 0, started = 0;  // started: 0 where it has not said, or long ago
         bool drains = false;
-        Report report;
+        LoadReport report;
         Nanos reported = 0;
     } node;
     struct Connection {
@@ -84,100 +84,101 @@
     } connection;
 
 private:
-    friend class Fleet;
-    struct Held final : wheel::Timer {
-        explicit Held(Member& m) : member(m) {}
+    friend class Membership;
+    struct Held final : timer_wheel::Timer {
+        explicit Held(WorkerEntry& m) : member(m) {}
         void due(Nanos) override;
-        Member& member;
+        WorkerEntry& member;
     };
-    Fleet& fleet_;
-    Held held_;       // the end of a time in which it gets nothing new
-    Ring<12> lives_;  // new ones, over a minute
+    Membership& fleet_;
+    Held held_;                 // the end of a time in which it gets nothing new
+    SlidingCounter<12> lives_;  // new ones, over a minute
     Nanos steady_at_ = 0, corrected_ = 0;
     std::uint64_t turn_ = 0;  // the list message that named it last
     bool doubted_ = false;
 };
 
 // What the fleet asks of its embedder. Called within the calls below; none may be made from within them.
-class Port {
+class MembershipHandler {
 public:
-    virtual ~Port() = default;
+    virtual ~MembershipHandler() = default;
     // `told`, `standing` or `address` changed. Careful: it may take less than before, and this can't wait.
-    virtual void stands(Nanos now, Member&, bool careful) = 0;
-    virtual void drains(Nanos now, Member&) = 0;     // first heard now; before stands()
-    virtual void back(Nanos now, Member&) = 0;       // it drains no more; before stands()
-    virtual void list_again(Nanos now) = 0;          // ask for the whole list, whatever the mode
-    virtual void dial_anew(Nanos now, Member&) = 0;  // another life of it stands at another address
-    virtual void turn_at(Nanos at) = 0;              // call turn() then
+    virtual void stands(Nanos now, WorkerEntry&, bool careful) = 0;
+    virtual void drains(Nanos now, WorkerEntry&) = 0;     // first heard now; before stands()
+    virtual void back(Nanos now, WorkerEntry&) = 0;       // it drains no more; before stands()
+    virtual void list_again(Nanos now) = 0;               // ask for the whole list, whatever the mode
+    virtual void dial_anew(Nanos now, WorkerEntry&) = 0;  // another life of it stands at another address
+    virtual void turn_at(Nanos at) = 0;                   // call turn() then
 };
 
-struct Counts {
+struct MembershipStatistics {
     std::uint64_t contradictions = 0, older = 0, doubts = 0, doubts_right = 0, lives = 0, unsteady = 0,
                   corrected = 0, strange = 0;
 };
 
-class Fleet {
+class Membership {
 public:
     // `drain_grace`: of which a doubted list may use a part, in nanoseconds, over 0. `report_is_free`: what
     // nodes report as free means the same as what the list says is free.
-    Fleet(Port&, Nanos now, Nanos drain_grace, bool report_is_free);
-    Fleet(const Fleet&) = delete;
-    Fleet& operator=(const Fleet&) = delete;
+    Membership(MembershipHandler&, Nanos now, Nanos drain_grace, bool report_is_free);
+    Membership(const Membership&) = delete;
+    Membership& operator=(const Membership&) = delete;
 
-    Member& meet(std::string_view name);
-    Member* find(std::string_view name);
-    Member& at(std::uint32_t number) { return *members_.at(number); }
+    WorkerEntry& meet(std::string_view name);
+    WorkerEntry* find(std::string_view name);
+    WorkerEntry& at(std::uint32_t number) { return *members_.at(number); }
     std::size_t size() const { return members_.size(); }
 
     // ---- the list: one message is list_begins, its entries, list_ends
     // `age`: how old the list service says its view is; 0 where it says nothing.
     void list_begins(Nanos now, Nanos age, bool whole);
-    void entry(Nanos now, Member&, const Listed&, std::string_view address);
+    void entry(Nanos now, WorkerEntry&, const EndpointState&, std::string_view address);
     void list_ends(Nanos now);
 
     // ---- the node itself
     // `up_for`: 0 where it does not say, or very long.
-    void greeted(Nanos now, Member&, std::uint64_t incarnation, Nanos up_for, bool drains, const Report&);
-    void says_drain(Nanos now, Member&);
-    void reported(Nanos now, Member&, const Report&);
+    void greeted(Nanos now, WorkerEntry&, std::uint64_t incarnation, Nanos up_for, bool drains,
+                 const LoadReport&);
+    void says_drain(Nanos now, WorkerEntry&);
+    void reported(Nanos now, WorkerEntry&, const LoadReport&);
 
     // ---- the connection
-    void broken(Nanos now, Member&);
-    void dial_failed(Nanos now, Member&);
+    void broken(Nanos now, WorkerEntry&);
+    void dial_failed(Nanos now, WorkerEntry&);
     void stranger();  // another node greeted at an address; the dial counts as failed
 
     void turn(Nanos now);
 
-    const Counts& counts() const { return counts_; }
-    std::size_t count(Standing s) const { return by_standing_[static_cast<std::size_t>(s)]; }
+    const MembershipStatistics& counts() const { return counts_; }
+    std::size_t count(WorkerState s) const { return by_standing_[static_cast<std::size_t>(s)]; }
     // How old the newest word of the list is; 0 before the first.
     Nanos list_age(Nanos now) const { return list_as_of_ ? now - list_as_of_ : 0; }
     bool doubts() const { return doubt_until_ != 0; }
     // For people: the standing and all that speaks for and against it, with ages.
-    std::string why(Nanos now, const Member&) const;
+    std::string why(Nanos now, const WorkerEntry&) const;
 
 private:
-    friend class Member;
-    struct Doubt final : wheel::Timer {
-        explicit Doubt(Fleet& f) : fleet(f) {}
+    friend class WorkerEntry;
+    struct Doubt final : timer_wheel::Timer {
+        explicit Doubt(Membership& f) : fleet(f) {}
         void due(Nanos now) override { fleet.doubt_over(now); }
-        Fleet& fleet;
+        Membership& fleet;
     };
-    Standing judge(Nanos now, const Member&) const;
-    Listed tell(Nanos now, const Member&) const;
-    void settle(Nanos now, Member&);
-    void leave_out(Nanos now, Member&, Nanos as_of);
-    void named_twice(Member&, const Listed&, std::string_view address);
-    void new_life(Nanos now, Member&);
+    WorkerState judge(Nanos now, const WorkerEntry&) const;
+    EndpointState tell(Nanos now, const WorkerEntry&) const;
+    void settle(Nanos now, WorkerEntry&);
+    void leave_out(Nanos now, WorkerEntry&, Nanos as_of);
+    void named_twice(WorkerEntry&, const EndpointState&, std::string_view address);
+    void new_life(Nanos now, WorkerEntry&);
     void doubt_over(Nanos now);
-    void arm(wheel::Timer&, Nanos at);
+    void arm(timer_wheel::Timer&, Nanos at);
 
-    Port& port_;
+    MembershipHandler& port_;
     Nanos drain_grace_;
     bool report_is_free_;
-    wheel::Wheel wheel_;
-    std::vector<std::unique_ptr<Member>> members_;  // by number
-    std::map<std::string, Member*, std::less<>> names_;
+    timer_wheel::TimerWheel wheel_;
+    std::vector<std::unique_ptr<WorkerEntry>> members_;  // by number
+    std::map<std::string, WorkerEntry*, std::less<>> names_;
     std::vector<std::size_t> by_standing_;
     Doubt doubt_;
     Nanos doubt_until_ = 0, list_as_of_ = 0;
@@ -185,8 +186,8 @@
     std::uint64_t turn_ = 0;
     Nanos turn_as_of_ = 0, turn_age_ = 0;
     bool turn_whole_ = false;
-    std::vector<Member*> named_;
-    Counts counts_;
+    std::vector<WorkerEntry*> named_;
+    MembershipStatistics counts_;
 };
 
-}  // namespace whinpost::fleet
+}  // namespace whinpost::membership
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -27,7 +27,7 @@
     n.visit([&out](const auto& v) { out << v; });
     return out.str();
 }
-std::string at(const File& f, const toml::node& n, const std::string& key) {
+std::string at(const NamedText& f, const toml::node& n, const std::string& key) {
     return f.name + ":" + std::to_string(n.source().begin.line) + ": " + key;
 }
 
@@ -39,15 +39,15 @@
 }
 
 // What is wrong with the shape by itself, in its own lines.
-std::vector<std::string> wrong_with(const File& shape) {
+std::vector<std::string> wrong_with(const NamedText& shape) {
     config::Document d = config::Document::parse(shape.text, shape.name);
     config::Table root = d.root();
     for (const char* key : {"placer", "list", "intake", "log"})
         if (root.has(key)) root.wrong(key, "is carried from the old file: a shape does not hold it");
-    config::queue_groups(root, config::machine_kinds(root).size());
-    config::acceptance(root);
-    config::cold_terms(root);
-    config::launch_terms(root);
+    config::queue_groups(root, config::worker_kinds(root).size());
+    config::worker_acceptance(root);
+    config::slow_start_settings(root);
+    config::retry_settings(root);
     config::prices(root);
     config::Table links = root.table("links");
     if (links.has(kDrainGrace)) links.span(kDrainGrace, 10 * kMillisecond, 3600 * kSecond);
@@ -55,8 +55,8 @@
 }
 
 struct Work {
-    const File& old;
-    Counterpart& out;
+    const NamedText& old;
+    MigrationResult& out;
 
     // `to` stands in place of `from`.
     void table(const toml::table& from, const toml::table& to, const std::string& path) {
@@ -86,8 +86,9 @@
 
 }  // namespace
 
-Counterpart counterpart(const File& old, const File& shape, const std::string& new_name) {
-    Counterpart out;
+MigrationResult migrate_configuration(const NamedText& old, const NamedText& shape,
+                                      const std::string& new_name) {
+    MigrationResult out;
     config::Document before = config::Document::parse(old.text, old.name);
     out.problems = config::check(before);
     for (std::string& p : wrong_with(shape)) out.problems.push_back(std::move(p));
--- a/src/migrate/migrate.h
+++ b/src/migrate/migrate.h
@@ -6,11 +6,11 @@
 
 namespace whinpost::migrate {
 
-struct File {
+struct NamedText {
     std::string name, text;  // the name is for what is said of it
 };
 
-struct Counterpart {
+struct MigrationResult {
     std::string text;                   // the new file; empty where there are problems
     std::vector<std::string> carried;   // from the old file as they stood
     std::vector<std::string> replaced;  // by the shape's: what stood, what stands
@@ -18,6 +18,7 @@
     std::vector<std::string> problems;  // with file, line and key
 };
 
-Counterpart counterpart(const File& old, const File& shape, const std::string& new_name);
+MigrationResult migrate_configuration(const NamedText& old, const NamedText& shape,
+                                      const std::string& new_name);
 
 }  // namespace whinpost::migrate
--- a/src/net/event_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -1,4 +1,4 @@
-#include "net/event_loop.h"
+#include "net/libevent_loop.h"
 
 #include <arpa/inet.h>
 #include <event2/buffer.h>
@@ -21,15 +21,15 @@
 
 namespace whinpost::net {
 
-std::string_view words(Closed c) {
+std::string_view to_string(CloseReason c) {
     switch (c) {
-        case Closed::by_peer:
+        case CloseReason::by_peer:
             return "closed by the peer";
-        case Closed::reset:
+        case CloseReason::reset:
             return "broken off";
-        case Closed::refused:
+        case CloseReason::refused:
             return "not connected";
-        case Closed::out_of_files:
+        case CloseReason::out_of_files:
             return "no file descriptor left";
     }
     return "unknown";
@@ -90,28 +90,28 @@
     return out;
 }
 
-class EventStream final : public Stream {
+class LibeventStream final : public Stream {
 public:
-    EventStream(EventLoop& loop, evutil_socket_t fd)
+    LibeventStream(LibeventLoop& loop, evutil_socket_t fd)
         : loop_(loop), bev_(bufferevent_socket_new(loop.base(), fd, BEV_OPT_CLOSE_ON_FREE)) {
         if (!bev_) throw std::runtime_error("no memory for a stream");
-        bufferevent_set_max_single_read(bev_, kReadAtOnce);
+        bufferevent_set_max_single_read(bev_, kMaxReadSize);
         if (fd >= 0) no_delay();
     }
-    ~EventStream() override {
+    ~LibeventStream() override {
         if (gone_) *gone_ = true;
         loop_.forget(*this);
         if (!lot_.empty() && !aborted_) send_lot();  // what the kernel takes now still goes out
         if (late_) event_free(late_);
         bufferevent_free(bev_);
     }
-    EventStream(const EventStream&) = delete;
-    EventStream& operator=(const EventStream&) = delete;
+    LibeventStream(const LibeventStream&) = delete;
+    LibeventStream& operator=(const LibeventStream&) = delete;
 
-    void use(StreamUser& user) {
+    void use(StreamHandler& user) {
         user_ = &user;
         bufferevent_setcb(bev_, &on_read, &on_write, &on_event, this);
-        bufferevent_setwatermark(bev_, EV_READ, 0, kLongestFrame + 4 + kReadAtOnce);
+        bufferevent_setwatermark(bev_, EV_READ, 0, kMaxFrameSize + 4 + kMaxReadSize);
         bufferevent_enable(bev_, EV_READ | EV_WRITE);
     }
     void dial(event_base* base, const std::string& address) {
@@ -124,11 +124,11 @@
             no_delay();
             return;
         }
-        failed_ = errno == EMFILE || errno == ENFILE ? Closed::out_of_files : Closed::refused;
+        failed_ = errno == EMFILE || errno == ENFILE ? CloseReason::out_of_files : CloseReason::refused;
         late_ = event_new(
             base, -1, EV_TIMEOUT,
             [](evutil_socket_t, short, void* self) {
-                auto* s = static_cast<EventStream*>(self);
+                auto* s = static_cast<LibeventStream*>(self);
                 s->loop_.enter();
                 s->user_->closed(s->failed_);
             },
@@ -214,7 +214,7 @@
         setsockopt(bufferevent_getfd(bev_), IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
     }
     static void on_read(bufferevent* bev, void* self) {
-        auto* s = static_cast<EventStream*>(self);
+        auto* s = static_cast<LibeventStream*>(self);
         s->loop_.enter();
         evbuffer* in = bufferevent_get_input(bev);
         bool gone = false;
@@ -227,41 +227,41 @@
         evbuffer_drain(in, done);
     }
     static void on_write(bufferevent*, void* self) {
-        auto* s = static_cast<EventStream*>(self);
+        auto* s = static_cast<LibeventStream*>(self);
         s->loop_.enter();
         if (s->dialling_) return;
         if (s->finishing_) s->half_close();
         s->user_->drained();
     }
     static void on_event(bufferevent*, short what, void* self) {
-        auto* s = static_cast<EventStream*>(self);
+        auto* s = static_cast<LibeventStream*>(self);
         s->loop_.enter();
         if (what & BEV_EVENT_CONNECTED) {
             s->dialling_ = false;
             s->no_delay();
             s->user_->connected();
-        } else if (s->dialling_) s->user_->closed(Closed::refused);
-        else if (what & BEV_EVENT_EOF) s->user_->closed(Closed::by_peer);
-        else if (what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) s->user_->closed(Closed::reset);
+        } else if (s->dialling_) s->user_->closed(CloseReason::refused);
+        else if (what & BEV_EVENT_EOF) s->user_->closed(CloseReason::by_peer);
+        else if (what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) s->user_->closed(CloseReason::reset);
     }
 
-    EventLoop& loop_;
+    LibeventLoop& loop_;
     bufferevent* bev_;
     std::string lot_;  // of this pass
     bool aborted_ = false;
-    StreamUser* user_ = nullptr;
+    StreamHandler* user_ = nullptr;
     event* late_ = nullptr;
-    Closed failed_ = Closed::refused;
+    CloseReason failed_ = CloseReason::refused;
     bool* gone_ = nullptr;
     bool dialling_ = false, finishing_ = false;
     std::uint64_t written_ = 0;
 };
 
-class EventListener final : public Listener {
+class LibeventListener final : public Listener {
 public:
-    EventListener(EventLoop& loop, std::function<void(std::unique_ptr<Stream>)> then)
+    LibeventListener(LibeventLoop& loop, std::function<void(std::unique_ptr<Stream>)> then)
         : loop_(loop), then_(std::move(then)) {}
-    ~EventListener() override {
+    ~LibeventListener() override {
         if (again_) event_free(again_);
         if (listener_) evconnlistener_free(listener_);
     }
@@ -282,7 +282,7 @@
         again_ = event_new(
             loop_.base(), -1, EV_TIMEOUT,
             [](evutil_socket_t, short, void* self) {
-                evconnlistener_enable(static_cast<EventListener*>(self)->listener_);
+                evconnlistener_enable(static_cast<LibeventListener*>(self)->listener_);
             },
             this);
         evconnlistener_set_error_cb(listener_, [](evconnlistener* l, void* self) {
@@ -290,7 +290,7 @@
             // closed: trying at once again would spin.
             evconnlistener_disable(l);
             const timeval pause = span(50 * kMillisecond);
-            event_add(static_cast<EventListener*>(self)->again_, &pause);
+            event_add(static_cast<LibeventListener*>(self)->again_, &pause);
         });
         return true;
     }
@@ -305,34 +305,34 @@
             const evutil_socket_t fd =
                 accept4(evconnlistener_get_fd(listener_), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
             if (fd < 0) return;
-            then_(std::make_unique<EventStream>(loop_, fd));
+            then_(std::make_unique<LibeventStream>(loop_, fd));
         }
     }
 
 private:
     static void on_accept(evconnlistener*, evutil_socket_t fd, sockaddr*, int, void* self) {
-        auto* l = static_cast<EventListener*>(self);
+        auto* l = static_cast<LibeventListener*>(self);
         l->loop_.enter();
-        l->then_(std::make_unique<EventStream>(l->loop_, fd));
+        l->then_(std::make_unique<LibeventStream>(l->loop_, fd));
     }
-    EventLoop& loop_;
+    LibeventLoop& loop_;
     std::function<void(std::unique_ptr<Stream>)> then_;
     evconnlistener* listener_ = nullptr;
     event* again_ = nullptr;
 };
 
-class EventTimer final : public Timer {
+class LibeventTimer final : public Timer {
 public:
-    EventTimer(EventLoop& loop, std::function<void()> then)
+    LibeventTimer(LibeventLoop& loop, std::function<void()> then)
         : loop_(loop), then_(std::move(then)), event_(event_new(
                                                    loop.base(), -1, EV_TIMEOUT,
                                                    [](evutil_socket_t, short, void* self) {
-                                                       auto* t = static_cast<EventTimer*>(self);
+                                                       auto* t = static_cast<LibeventTimer*>(self);
                                                        t->loop_.enter();
                                                        t->then_();
                                                    },
                                                    this)) {}
-    ~EventTimer() override { event_free(event_); }
+    ~LibeventTimer() override { event_free(event_); }
     void arm(Nanos at) override {
         const timeval wait = span(at - loop_.now());
         event_add(event_, &wait);
@@ -340,18 +340,18 @@
     void disarm() override { event_del(event_); }
 
 private:
-    EventLoop& loop_;
+    LibeventLoop& loop_;
     std::function<void()> then_;
     event* event_;
 };
 
 }  // namespace
 
-struct EventLoop::Signal {
-    EventLoop& loop;
+struct LibeventLoop::Signal {
+    LibeventLoop& loop;
     std::function<void()> then;
     event* on = nullptr;
-    Signal(EventLoop& l, std::function<void()> f) : loop(l), then(std::move(f)) {}
+    Signal(LibeventLoop& l, std::function<void()> f) : loop(l), then(std::move(f)) {}
     Signal(const Signal&) = delete;
     Signal& operator=(const Signal&) = delete;
     ~Signal() {
@@ -359,7 +359,7 @@
     }
 };
 
-EventLoop::EventLoop() : offset_(clock(CLOCK_REALTIME) - clock(CLOCK_MONOTONIC)) {
+LibeventLoop::LibeventLoop() : offset_(clock(CLOCK_REALTIME) - clock(CLOCK_MONOTONIC)) {
     std::signal(SIGPIPE, SIG_IGN);
     event_config* with = event_config_new();
     event_config_set_flag(with, EVENT_BASE_FLAG_PRECISE_TIMER);
@@ -369,46 +369,46 @@
     flush_ = event_new(
         base_, -1, 0,
         [](evutil_socket_t, short, void* self) {
-            auto* loop = static_cast<EventLoop*>(self);
+            auto* loop = static_cast<LibeventLoop*>(self);
             loop->enter();
             loop->flush();
         },
         this);
 }
-EventLoop::~EventLoop() {
+LibeventLoop::~LibeventLoop() {
     signals_.clear();
     event_free(flush_);
     event_base_free(base_);
 }
 
-Nanos EventLoop::now() const { return clock(CLOCK_MONOTONIC) + offset_; }
+Nanos LibeventLoop::now() const { return clock(CLOCK_MONOTONIC) + offset_; }
 
-Nanos EventLoop::unseen_since() const {
+Nanos LibeventLoop::unseen_since() const {
     return polled_at_ - poll_began_at_ >= kPollWaited ? polled_at_ : previous_poll_at_;
 }
 
-std::unique_ptr<Listener> EventLoop::listen(const std::string& address,
-                                            std::function<void(std::unique_ptr<Stream>)> then,
-                                            std::string& error) {
-    auto l = std::make_unique<EventListener>(*this, std::move(then));
+std::unique_ptr<Listener> LibeventLoop::listen(const std::string& address,
+                                               std::function<void(std::unique_ptr<Stream>)> then,
+                                               std::string& error) {
+    auto l = std::make_unique<LibeventListener>(*this, std::move(then));
     if (!l->open(address, error)) return nullptr;
     return l;
 }
 
-std::unique_ptr<Stream> EventLoop::dial(const std::string& address, StreamUser& user) {
-    auto s = std::make_unique<EventStream>(*this, -1);
+std::unique_ptr<Stream> LibeventLoop::dial(const std::string& address, StreamHandler& user) {
+    auto s = std::make_unique<LibeventStream>(*this, -1);
     s->use(user);
     s->dial(base_, address);
     return s;
 }
 
-void EventLoop::use(Stream& s, StreamUser& user) { static_cast<EventStream&>(s).use(user); }
+void LibeventLoop::use(Stream& s, StreamHandler& user) { static_cast<LibeventStream&>(s).use(user); }
 
-std::unique_ptr<Timer> EventLoop::timer(std::function<void()> then) {
-    return std::make_unique<EventTimer>(*this, std::move(then));
+std::unique_ptr<Timer> LibeventLoop::timer(std::function<void()> then) {
+    return std::make_unique<LibeventTimer>(*this, std::move(then));
 }
 
-void EventLoop::on_signal(int number, std::function<void()> then) {
+void LibeventLoop::on_signal(int number, std::function<void()> then) {
     auto s = std::make_unique<Signal>(*this, std::move(then));
     s->on = evsignal_new(
         base_, number,
@@ -422,37 +422,37 @@
     signals_.push_back(std::move(s));
 }
 
-void EventLoop::flush_later(Stream& s) {
+void LibeventLoop::flush_later(Stream& s) {
     if (dirty_.empty()) event_active(flush_, EV_TIMEOUT, 0);  // behind what is active already in this pass
     dirty_.push_back(&s);
 }
 
-void EventLoop::forget(Stream& s) {
+void LibeventLoop::forget(Stream& s) {
     for (Stream*& d : dirty_)
         if (d == &s) d = nullptr;
     for (Stream*& d : flushing_)
         if (d == &s) d = nullptr;
 }
 
-void EventLoop::flush() {
+void LibeventLoop::flush() {
     flushing_.swap(dirty_);
     for (std::size_t i = 0; i < flushing_.size(); ++i)
-        if (Stream* const s = std::exchange(flushing_[i], nullptr)) static_cast<EventStream*>(s)->flush();
+        if (Stream* const s = std::exchange(flushing_[i], nullptr)) static_cast<LibeventStream*>(s)->flush();
     flushing_.clear();
 }
 
-void EventLoop::pass(bool wait) {
+void LibeventLoop::pass(bool wait) {
     previous_poll_at_ = polled_at_ ? polled_at_ : now();
     poll_began_at_ = polled_at_ = now();
     entered_ = false;
     event_base_loop(base_, EVLOOP_ONCE | (wait ? EVLOOP_NO_EXIT_ON_EMPTY : EVLOOP_NONBLOCK));
 }
 
-void EventLoop::run() {
+void LibeventLoop::run() {
     for (stopping_ = false; !stopping_;) pass(true);
 }
 
-void EventLoop::stop() {
+void LibeventLoop::stop() {
     stopping_ = true;
     event_base_loopbreak(base_);
 }
--- a/src/net/event_loop.h
+++ b/src/net/libevent_loop.h
@@ -3,24 +3,24 @@
 #include <utility>
 #include <vector>
 
-#include "net/net.h"
+#include "net/stream.h"
 
 struct event_base;
 struct event;
 
 namespace whinpost::net {
 
-class EventLoop : public Loop {
+class LibeventLoop : public EventLoop {
 public:
-    EventLoop();
-    ~EventLoop() override;
+    LibeventLoop();
+    ~LibeventLoop() override;
     Nanos now() const override;
     Nanos polled_at() const override { return polled_at_; }
     Nanos unseen_since() const override;
     std::unique_ptr<Listener> listen(const std::string& address, std::function<void(std::unique_ptr<Stream>)>,
                                      std::string& error) override;
-    std::unique_ptr<Stream> dial(const std::string& address, StreamUser&) override;
-    void use(Stream&, StreamUser&) override;
+    std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) override;
+    void use(Stream&, StreamHandler&) override;
     std::unique_ptr<Timer> timer(std::function<void()>) override;
     void stop() override;
 
--- a/src/net/net.h
+++ b/src/net/stream.h
@@ -1,6 +1,6 @@
 // Time, timers and streams, as edge, planner and stand-ins see them. Two implementations: libevent with real
-// sockets (net/event_loop.h) and a simulated network in virtual time (lab/sim.h). Nothing here knows a
-// message's meaning.
+// sockets (net/libevent_loop.h) and a simulated network in virtual time (simulation/simulated_network.h).
+// Nothing here knows a message's meaning.
 //
 // One loop is one thread. Calls on its streams and timers are made from its own callbacks only.
 #pragma once
@@ -11,32 +11,32 @@
 #include <string>
 #include <string_view>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
 namespace whinpost::net {
 
-enum class Closed {
+enum class CloseReason {
     by_peer,      // its end was read
     reset,        // broken off
     refused,      // the connection was never made
     out_of_files  // nor could it be: this process has no file descriptor left
 };
-std::string_view words(Closed);
+std::string_view to_string(CloseReason);
 
 // Bytes that are read from one stream in one pass: a flood on one does not keep the others waiting. libevent
 // 2.1 reads no more at once, whatever it is asked for.
-constexpr std::size_t kReadAtOnce = 4096;
+constexpr std::size_t kMaxReadSize = 4096;
 
 // Told what happens on one stream. A stream may be destroyed within any of these calls.
-class StreamUser {
+class StreamHandler {
 public:
-    virtual ~StreamUser() = default;
+    virtual ~StreamHandler() = default;
     virtual void connected() {}  // of a stream that was dialled
     // Bytes that were read and not consumed yet; gives back how many it has consumed. Called again with the
     // rest once more has come.
     virtual std::size_t received(std::string_view) = 0;
     virtual void drained() {}  // all that was written is in the kernel's hands
-    virtual void closed(Closed) = 0;
+    virtual void closed(CloseReason) = 0;
 };
 
 // Destroying it closes it, after what the kernel has been handed; what it has not been handed is dropped.
@@ -75,9 +75,9 @@
     virtual void disarm() = 0;
 };
 
-class Loop {
+class EventLoop {
 public:
-    virtual ~Loop() = default;
+    virtual ~EventLoop() = default;
     virtual Nanos now() const = 0;  // of this pass of the loop; never backwards
     // When this pass asked the kernel what there is: what has come since then is not known yet.
     virtual Nanos polled_at() const = 0;
@@ -89,9 +89,9 @@
                                              std::function<void(std::unique_ptr<Stream>)>,
                                              std::string& error) = 0;
     // Never null; a failure is told by closed(), later.
-    virtual std::unique_ptr<Stream> dial(const std::string& address, StreamUser&) = 0;
+    virtual std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) = 0;
     virtual void use(Stream&,
-                     StreamUser&) = 0;  // for one that a listener gave; once, before anything is received
+                     StreamHandler&) = 0;  // for one that a listener gave; once, before anything is received
     virtual std::unique_ptr<Timer> timer(std::function<void()>) = 0;
     virtual void stop() = 0;  // the loop's run ends after this pass
 };
@@ -99,12 +99,12 @@
 // ---- frames: four bytes of length, the most significant first, then the message
 
 // Far over any message of the protocols (a list of 10,000 nodes is under 1 MiB), and little enough to buffer.
-constexpr std::size_t kLongestFrame = 4 << 20;
+constexpr std::size_t kMaxFrameSize = 4 << 20;
 
 // Hands each whole frame of `in` to `each(std::string_view) -> bool`, until it gives false; gives back how
 // many bytes are done with. `too_long` is set where a length is over `most`, and nothing after it is read.
 template <class F>
-std::size_t frames(std::string_view in, std::size_t most, bool& too_long, F each) {
+std::size_t decode_frames(std::string_view in, std::size_t most, bool& too_long, F each) {
     std::size_t at = 0;
     too_long = false;
     while (in.size() - at >= 4) {
@@ -125,7 +125,7 @@
 
 // Appends a protobuf message (or anything with its two calls) as one frame.
 template <class Message>
-void append_frame(std::string& out, const Message& m) {
+void encode_frame(std::string& out, const Message& m) {
     const std::size_t size = m.ByteSizeLong();
     for (int shift = 24; shift >= 0; shift -= 8) out += static_cast<char>(size >> shift & 0xff);
     const std::size_t at = out.size();
--- a/src/planner/planner.h
+++ b/src/planner/planner.h
@@ -1,61 +1,58 @@
-// The decision module's embedding: numbers become objects here, and its decisions leave as Bindings. Decides
-// nothing.
+// Between edge and planner: what the edge tells one way, what the planner decides the other. In one process
+// the two sides call each other; in two the same calls are messages, so both sides name containers and nodes
+// by numbers, which are the edge's own and are never used twice in its life.
 #pragma once
-#include <unordered_map>
-#include <vector>
+#include <cstdint>
+#include <string_view>
 
-#include "planner/planning.h"
+#include "whinpost/scheduler.h"
+#include "whinpost/stable_hash.h"
 
 namespace whinpost::planner {
 
-class Planner final : public Planning, private Port {
-public:
-    Planner(Bindings&, std::uint64_t seed, int zone, std::vector<QueueGroup>, std::vector<MachineKind>,
-            Acceptance, ColdTerms, ListTerms, LaunchTerms, Prices);
-
-    void node(Nanos now, NodeNumber, std::uint64_t mark, const Listed&) override;
-    void list_done(Nanos now, bool whole) override;
-    void list_failed(Nanos now) override;
-    void begin(Nanos now) override;
-    void take(Nanos now, ContainerNumber, std::uint64_t service, const Asked&) override;
-    void take_over(Nanos now, ContainerNumber, std::uint64_t service, const Asked&, NodeNumber) override;
-    void accepted(Nanos now, ContainerNumber, int launch) override;
-    void runs(Nanos now, ContainerNumber, int launch) override;
-    void uses_cores(Nanos now, ContainerNumber, int launch, double) override;
-    void uses_memory(Nanos now, ContainerNumber, int launch, double) override;
-    void served_share(Nanos now, ContainerNumber, int launch, double) override;
-    void machine_memory(Nanos now, ContainerNumber, int launch, double) override;
-    void ended(Nanos now, ContainerNumber, int launch, Ending, Reason, bool closed, const Report&) override;
-    void withdrawn(Nanos now, ContainerNumber) override;
-    void heard(Nanos now, NodeNumber, const Report&) override;
-    void turns(Nanos now, NodeNumber, int held) override;
-    void round(Nanos now) override;
-
-    std::size_t open() const { return containers_.size(); }
-
-private:
-    void bind(Container&, Machine&, Nanos time_out) override;
-    void defer(Container&, Nanos stay_away) override;
-    void kill(Container&) override;
-    void move(Container&) override;
-    void stop_waiting(Container&, int launch) override;
-    void probe(Machine&) override;
-    void follow_list() override { bindings_.follow_list(); }
-    void fetch_list() override { bindings_.fetch_list(); }
-    void wake(Nanos at) override { bindings_.wake(at); }
-    void log(std::string_view line) override { bindings_.note(line); }
+using TaskNumber = std::uint64_t;
+using WorkerNumber = std::uint32_t;
 
-    Container* find(ContainerNumber);
-    Service& service(std::uint64_t mark);
-    void drop_if_finished(Container&);
+class Planner {
+public:
+    virtual ~Planner() = default;
+    // `mark`: the same number for the same node, or service, at every placer; it says nothing else.
+    virtual void node(Nanos now, WorkerNumber, std::uint64_t mark, const EndpointState&) = 0;
+    virtual void list_done(Nanos now, bool whole) = 0;
+    virtual void list_failed(Nanos now) = 0;
+    virtual void begin(Nanos now) = 0;
+    virtual void take(Nanos now, TaskNumber, std::uint64_t service, const ResourceRequest&) = 0;
+    virtual void take_over(Nanos now, TaskNumber, std::uint64_t service, const ResourceRequest&,
+                           WorkerNumber) = 0;
+    virtual void accepted(Nanos now, TaskNumber, int launch) = 0;
+    virtual void runs(Nanos now, TaskNumber, int launch) = 0;
+    virtual void uses_cores(Nanos now, TaskNumber, int launch, double) = 0;
+    virtual void uses_memory(Nanos now, TaskNumber, int launch, double) = 0;
+    virtual void served_share(Nanos now, TaskNumber, int launch, double) = 0;
+    virtual void machine_memory(Nanos now, TaskNumber, int launch, double) = 0;
+    // closed: nothing more is owed for the container.
+    virtual void ended(Nanos now, TaskNumber, int launch, AttemptOutcome, OutcomeReason, bool closed,
+                       const LoadReport&) = 0;
+    virtual void withdrawn(Nanos now, TaskNumber) = 0;
+    virtual void heard(Nanos now, WorkerNumber, const LoadReport&) = 0;
+    // While it is cold, so many launches may be sent to it now; -1: it does not say.
+    virtual void turns(Nanos now, WorkerNumber, int held) = 0;
+    virtual void round(Nanos now) = 0;  // after the events of one moment
+};
 
-    Bindings& bindings_;
-    Placer placer_;
-    std::unordered_map<ContainerNumber, Container*> containers_;  // looked up, never walked
-    std::unordered_map<std::uint64_t, Service*> services_;
-    std::vector<Machine*> machines_;  // by the edge's number
-    std::unordered_map<const Machine*, NodeNumber> numbers_;
-    std::vector<ContainerNumber> answered_;  // in this round; dropped when it ends
+class PlannerHandler {
+public:
+    virtual ~PlannerHandler() = default;
+    virtual void bind(TaskNumber, WorkerNumber, Nanos time_out) = 0;
+    virtual void defer(TaskNumber, Nanos stay_away) = 0;
+    virtual void kill(TaskNumber) = 0;
+    virtual void move(TaskNumber) = 0;
+    virtual void stop_waiting(TaskNumber, int launch) = 0;
+    virtual void probe(WorkerNumber) = 0;
+    virtual void follow_list() = 0;
+    virtual void fetch_list() = 0;
+    virtual void wake(Nanos at) = 0;
+    virtual void note(std::string_view line) = 0;
 };
 
 }  // namespace whinpost::planner
--- a/src/platform/briefing.cpp
+++ b/src/platform/bootstrap_config.cpp
@@ -1,4 +1,4 @@
-#include "platform/briefing.h"
+#include "platform/bootstrap_config.h"
 
 #include <charconv>
 #include <fstream>
@@ -18,7 +18,7 @@
 }
 
 // Nested JSON to the paths of the simulator's first message.
-void flatten(const Json& v, const std::string& path, terms::Paths& out) {
+void flatten(const Json& v, const std::string& path, settings::Settings& out) {
     const std::string under = path.empty() ? path : path + ".";
     if (v.is_object()) {
         for (const auto& [key, value] : v.items()) flatten(value, under + key, out);
@@ -33,7 +33,7 @@
 }
 
 [[noreturn]] void wrong(const std::string& path, std::string_view key, std::string_view what) {
-    throw Wrong(path + ": " + std::string(key) + " " + std::string(what));
+    throw BootstrapError(path + ": " + std::string(key) + " " + std::string(what));
 }
 std::string address(const Json& at, const char* key, const std::string& path) {
     const auto it = at.find(key);
@@ -44,17 +44,17 @@
 
 }  // namespace
 
-Briefing Briefing::read(const std::string& path) {
+BootstrapConfig BootstrapConfig::read(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    if (!in || text.empty()) throw Wrong(path + ": can't be read");
+    if (!in || text.empty()) throw BootstrapError(path + ": can't be read");
     return parse(text, path);
 }
 
-Briefing Briefing::parse(std::string_view text, const std::string& path) {
+BootstrapConfig BootstrapConfig::parse(std::string_view text, const std::string& path) {
     const Json root = Json::parse(text.begin(), text.end(), nullptr, false);
-    if (root.is_discarded() || !root.is_object()) throw Wrong(path + ": not a JSON object");
-    Briefing b(path);
+    if (root.is_discarded() || !root.is_object()) throw BootstrapError(path + ": not a JSON object");
+    BootstrapConfig b(path);
     b.listen_ = address(root, "listen", path);
     b.bus_ = address(root, "bus", path);
     const auto seed = root.find("seed");
--- a/src/platform/briefing.h
+++ b/src/platform/bootstrap_config.h
@@ -4,19 +4,19 @@
 #include <string>
 #include <vector>
 
-#include "terms/terms.h"
+#include "settings/settings.h"
 
 namespace whinpost::platform {
 
-struct Wrong : std::runtime_error {
+struct BootstrapError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // The file as read; each getter checks its own key and throws Wrong or terms::Wrong, which name file and key.
-class Briefing {
+class BootstrapConfig {
 public:
-    static Briefing read(const std::string& path);
-    static Briefing parse(std::string_view text, const std::string& path);
+    static BootstrapConfig read(const std::string& path);
+    static BootstrapConfig parse(std::string_view text, const std::string& path);
 
     const std::string& listen() const { return listen_; }
     std::uint64_t seed() const { return seed_; }
@@ -24,16 +24,16 @@
     const std::string& bus() const { return bus_; }
     std::int64_t offset() const { return offset_; }
     const std::vector<std::string>& known() const { return known_; }  // events, each as JSON
-    const terms::Paths& settings() const { return settings_; }
+    const settings::Settings& settings() const { return settings_; }
 
 private:
-    explicit Briefing(std::string path) : settings_(std::move(path)) {}
+    explicit BootstrapConfig(std::string path) : settings_(std::move(path)) {}
     std::string listen_, bus_;
     std::uint64_t seed_ = 0;
     std::size_t sockets_ = 0;
     std::int64_t offset_ = 0;
     std::vector<std::string> known_;
-    terms::Paths settings_;
+    settings::Settings settings_;
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/owners.cpp
+++ b/src/platform/client_server.cpp
@@ -1,11 +1,11 @@
-#include "platform/owners.h"
+#include "platform/client_server.h"
 
 #include <algorithm>
 
 namespace whinpost::platform {
 
-using signalling::Message;
-using signalling::Type;
+using platform_codec::Message;
+using platform_codec::MessageType;
 
 namespace {
 
@@ -34,26 +34,26 @@
 
 }  // namespace
 
-Owner::Owner(Owners& owners, std::unique_ptr<net::Stream> s, bool turned_away)
+ClientConnection::ClientConnection(ClientServer& owners, std::unique_ptr<net::Stream> s, bool turned_away)
     : owners_(owners), stream_(std::move(s)), peer_(host_of(stream_->peer())), since_(owners.loop_.now()),
       used_(since_), unseen_at_accept_(owners.loop_.unseen_since()), turned_away_(turned_away),
       ending_(turned_away) {
     owners_.turned_away_ += turned_away_;
 }
-Owner::~Owner() { owners_.turned_away_ -= turned_away_; }
+ClientConnection::~ClientConnection() { owners_.turned_away_ -= turned_away_; }
 
 // Guards against a close that crosses the release: whoever says of releases that they were heard, and has not
 // said it of this one before its connection went, has not heard it.
-void Owner::release(std::uint64_t id, std::uint8_t cause) {
+void ClientConnection::release(std::uint64_t id, std::uint8_t cause) {
     if (unheard_.size() >= kMostUnheard) unheard_.erase(unheard_.begin());
     unheard_.push_back({id, cause, owners_.loop_.now()});
     refuse(id, cause);
 }
 
-void Owner::write(const Message& m) {
+void ClientConnection::write(const Message& m) {
     if (ended_) return;
     std::string bytes;
-    signalling::append(bytes, m);
+    platform_codec::encode(bytes, m);
     stream_->write(bytes);
     told_ = true;
     used_ = owners_.loop_.now();
@@ -66,9 +66,9 @@
     owners_.user_.owner_stuck();
 }
 
-void Owner::refuse(std::uint64_t id, std::uint8_t cause, Nanos stay_away) {
+void ClientConnection::refuse(std::uint64_t id, std::uint8_t cause, Nanos stay_away) {
     Message m;
-    m.type = Type::release;
+    m.type = MessageType::release;
     m.task = id;
     m.cause = cause;
     const std::string ms = std::to_string(stay_away / kMillisecond);
@@ -78,7 +78,7 @@
 
 // Guards against attempts that begin after their client has closed or given up: its word of that may lie
 // behind more bytes than one read takes, or have come while the loop was busy.
-bool Owner::may_have_gone() const {
+bool ClientConnection::may_have_gone() const {
     if (backlog_since_ || stream_->peer_closed()) return true;
     return owners_.loop_.now() - owners_.loop_.polled_at() > kLoopAway && stream_->unread();
 }
@@ -86,7 +86,7 @@
 // Guards against a close over bytes of the peer that were not read yet: the kernel would reset the
 // connection, and what was just answered would never arrive. So it is half-closed, and read on until the peer
 // closes.
-void Owner::end() {
+void ClientConnection::end() {
     if (ended_) return;
     if (reading_) {
         ending_ = true;
@@ -101,14 +101,14 @@
 
 // All whole messages that were read are gone through, also after one that ends the connection: a request that
 // was read is answered, and be it by a refusal.
-std::size_t Owner::received(std::string_view in) {
+std::size_t ClientConnection::received(std::string_view in) {
     if (ended_) return in.size();
     Nanos since = owners_.loop_.unseen_since();
     if (!spoke_ && since <= since_) since = std::min(since, unseen_at_accept_);
     if (backlog_since_) since = std::min(since, backlog_since_);
     bool spoilt = false;
     reading_ = true;
-    const std::size_t done = signalling::messages(in, spoilt, [this, since](const Message& m) {
+    const std::size_t done = platform_codec::decode_all(in, spoilt, [this, since](const Message& m) {
         heard(m, since);
         return true;
     });
@@ -118,13 +118,13 @@
         stream_->read(false);  // there may be no end of it
         ending_ = true;
     }
-    backlog_since_ = in.size() >= net::kReadAtOnce && stream_->unread() ? since : 0;
+    backlog_since_ = in.size() >= net::kMaxReadSize && stream_->unread() ? since : 0;
     half_since_ = done < in.size() ? (half_since_ ? half_since_ : owners_.loop_.now()) : 0;
     if (ending_ && (spoilt || spoke_)) end();
     return ended_ ? in.size() : done;
 }
 
-void Owner::heard(const Message& m, Nanos since) {
+void ClientConnection::heard(const Message& m, Nanos since) {
     used_ = owners_.loop_.now();
     if (!std::exchange(spoke_, true)) owners_.user_.owner_came(*this);
     if (owners_.log_.says(log::Level::debug))
@@ -139,27 +139,27 @@
                       {"figures", m.figures.value_or("-")},
                       {"description", m.description ? static_cast<int>(m.description->size()) : -1}});
     switch (m.type) {
-        case Type::set_up:
-            if (ending_ || stuck_) refuse(m.task, signalling::kTryLater);
+        case MessageType::set_up:
+            if (ending_ || stuck_) refuse(m.task, platform_codec::kTryLater);
             else owners_.user_.set_up(*this, m, since);
             break;
-        case Type::release:
+        case MessageType::release:
             owners_.user_.released(*this, m.task);
             break;
-        case Type::test: {
+        case MessageType::test: {
             Message r;
-            r.type = Type::tested;
+            r.type = MessageType::tested;
             r.task = m.task;
-            r.cause = owners_.user_.passes_tests() ? signalling::kPassed : signalling::kFailed;
+            r.cause = owners_.user_.passes_tests() ? platform_codec::kPassed : platform_codec::kFailed;
             write(r);
             owners_.user_.tested();
             break;
         }
-        case Type::release_heard:
+        case MessageType::release_heard:
             owners_.hears_ = true;
-            std::erase_if(unheard_, [&m](const Unheard& u) { return u.id == m.task; });
+            std::erase_if(unheard_, [&m](const UnacknowledgedRelease& u) { return u.id == m.task; });
             break;
-        case Type::progress:
+        case MessageType::progress:
             break;
         default:  // a host's word: no owner has any business with it
             end();
@@ -168,17 +168,18 @@
 
 // A client that closes its side may still read, so what it is owed is answered. One that has closed both
 // never sees that.
-void Owner::closed(net::Closed why) {
+void ClientConnection::closed(net::CloseReason why) {
     closed_ = true;
-    if (why == net::Closed::by_peer && !ended_) return end();
+    if (why == net::CloseReason::by_peer && !ended_) return end();
     stream_->abort();  // its descriptor is free from now on
     if (std::exchange(ended_, true)) return;
     owners_.leave(*this);
 }
 
-Owners::Owners(net::Loop& loop, const log::Log& log, OwnerUser& user) : loop_(loop), log_(log), user_(user) {}
+ClientServer::ClientServer(net::EventLoop& loop, const log::Logger& log, ClientHandler& user)
+    : loop_(loop), log_(log), user_(user) {}
 
-std::string Owners::listen(const std::string& address) {
+std::string ClientServer::listen(const std::string& address) {
     std::string error;
     listener_ = loop_.listen(
         address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); }, error);
@@ -190,17 +191,18 @@
 // Where all have something open the new one goes. Guards against owners that ask once and hold their
 // connection for good: by age alone the busy ones went first, and by use alone those with a container that
 // stands, whose end could then be told to nobody.
-void Owners::accept(std::unique_ptr<net::Stream> s) {
+void ClientServer::accept(std::unique_ptr<net::Stream> s) {
     const Nanos now = loop_.now();
     const bool room = user_.room_for_owner() || show_out(now);
     if (!room && !room_to_turn_away(now)) return s->abort();
-    Owner& o = *owners_.emplace_back(std::make_unique<Owner>(*this, std::move(s), !room));
+    ClientConnection& o =
+        *owners_.emplace_back(std::make_unique<ClientConnection>(*this, std::move(s), !room));
     loop_.use(*o.stream_, o);
 }
 
 // Guards against a reset over a first request that was written with the connection: where all have something
 // open, a few more are accepted to be refused.
-bool Owners::room_to_turn_away(Nanos now) {
+bool ClientServer::room_to_turn_away(Nanos now) {
     if (turned_away_ < kMostTurnedAway || drop_one_that_left(true)) return true;
     const auto silent = std::find_if(owners_.begin(), owners_.end(), [now](const auto& o) {
         return o->turned_away_ && !o->spoke_ && now - o->since_ >= kJustCame && !o->stream_->unread();
@@ -212,7 +214,7 @@
 }
 
 // One that lingers for its client to close, with nothing on its way that a close would destroy.
-bool Owners::drop_one_that_left(bool turned_away) {
+bool ClientServer::drop_one_that_left(bool turned_away) {
     const auto quiet = std::find_if(left_.begin(), left_.end(), [turned_away](const auto& o) {
         return o->turned_away_ == turned_away && (o->closed_ || !o->stream_->unread()) &&
                o->stream_->unsent() == 0;
@@ -223,19 +225,19 @@
 }
 
 // Called by the listener alone, so that no connection that goes here is what is calling.
-bool Owners::show_out(Nanos now) {
+bool ClientServer::show_out(Nanos now) {
     if (drop_one_that_left(false)) return true;
-    std::vector<Owner*> kept;
+    std::vector<ClientConnection*> kept;
     for (int i = 0; i < kTriesToShowOut; ++i) {
-        Owner* out = nullptr;
-        const auto may = [&kept](const Owner& o) {
+        ClientConnection* out = nullptr;
+        const auto may = [&kept](const ClientConnection& o) {
             return !o.turned_away_ && std::find(kept.begin(), kept.end(), &o) == kept.end();
         };
         for (const auto& o : owners_)
             if (!o->spoke_ && now - o->since_ >= kJustCame && may(*o) && (!out || o->since_ < out->since_))
                 out = o.get();
         if (!out) {
-            const auto rank = [](const Owner& o) { return std::pair(o.standing_ > 0, o.used_); };
+            const auto rank = [](const ClientConnection& o) { return std::pair(o.standing_ > 0, o.used_); };
             for (const auto& o : owners_)
                 if (o->spoke_ && !o->open_ && may(*o) && (!out || rank(*o) < rank(*out))) out = o.get();
         }
@@ -253,7 +255,7 @@
     return false;
 }
 
-void Owners::leave(Owner& o) {
+void ClientServer::leave(ClientConnection& o) {
     const auto it =
         std::find_if(owners_.begin(), owners_.end(), [&o](const auto& p) { return p.get() == &o; });
     if (it == owners_.end()) return;
@@ -262,15 +264,15 @@
     user_.owner_left(o);
 }
 
-Owner* Owners::from(const std::string& peer) {
+ClientConnection* ClientServer::from(const std::string& peer) {
     for (const auto& o : owners_)
         if (!o->ended_ && !o->stuck_ && o->spoke_ && o->peer_ == peer) return o.get();
     return nullptr;
 }
 
-void Owners::look(Nanos now) {
+void ClientServer::look(Nanos now) {
     std::erase_if(left_, [now](const auto& o) { return o->closed_ || now - o->ended_at_ > kLinger; });
-    std::vector<Owner*> out;
+    std::vector<ClientConnection*> out;
     for (const auto& o : owners_) {
         // Words that call for no answer count for nothing: a release of what nobody knows, a container on a
         // host that no list names.
@@ -281,25 +283,25 @@
         if (turned_away_long || (late > 0 && (late > kUnreadFor || !o->stream_->unread())))
             out.push_back(o.get());
     }
-    for (Owner* o : out) o->end();
+    for (ClientConnection* o : out) o->end();
 }
 
-void Owners::end_stuck() {
-    std::vector<Owner*> out;
+void ClientServer::end_stuck() {
+    std::vector<ClientConnection*> out;
     for (const auto& o : owners_)
         if (o->stuck_) out.push_back(o.get());
-    for (Owner* o : out) o->end();
+    for (ClientConnection* o : out) o->end();
 }
 
-bool Owners::drain(Nanos now, Nanos by) {
+bool ClientServer::drain(Nanos now, Nanos by) {
     if (listener_) {
         listener_->accept_waiting();
         listener_.reset();
     }
-    std::vector<Owner*> out;
+    std::vector<ClientConnection*> out;
     for (const auto& o : owners_)
         if (!o->open_ && !o->stream_->unread()) out.push_back(o.get());
-    for (Owner* o : out) o->end();
+    for (ClientConnection* o : out) o->end();
     look(now);
     return now >= by || (owners_.empty() && left_.empty());
 }
--- a/src/platform/descriptors.h
+++ b/src/platform/connection_budget.h
@@ -8,9 +8,9 @@
 // Hosts always have a quarter, owners always five twelfths (PROTOCOL: good owners hold at most a third of
 // all); what one side does not use the other may. What is kept back is for the standard streams, the loop's
 // own, the listener, the watch on the bus and the file: none of these ever waits for a free one.
-class DescriptorBudget {
+class ConnectionBudget {
 public:
-    explicit DescriptorBudget(std::size_t all)
+    explicit ConnectionBudget(std::size_t all)
         : usable_(all > 2 * kSpare ? all - kSpare : kSpare), hosts_always_(usable_ / 4),
           owners_always_(usable_ * 5 / 12) {}
 
--- a/src/platform/bus_door.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -1,4 +1,4 @@
-#include "platform/bus_door.h"
+#include "platform/discovery_watch.h"
 
 #include <algorithm>
 
@@ -15,58 +15,59 @@
 constexpr Nanos kPause = 50 * kMillisecond, kMostPause = 800 * kMillisecond;
 }  // namespace
 
-BusDoor::BusDoor(net::Loop& loop, const log::Log& log, BusUser& user, std::vector<std::string> zones,
-                 std::vector<std::string> kinds, std::uint64_t seed)
+DiscoveryWatch::DiscoveryWatch(net::EventLoop& loop, const log::Logger& log, DiscoveryHandler& user,
+                               std::vector<std::string> zones, std::vector<std::string> kinds,
+                               std::uint64_t seed)
     : loop_(loop), log_(log), user_(user), zones_(std::move(zones)), kinds_(std::move(kinds)),
       chance_(static_cast<std::ranlux24_base::result_type>(seed)), timer_(loop.timer([this] {
           if (asking_) ask_later("silent");
           else ask();
       })) {}
 
-void BusDoor::event(std::string_view json) {
+void DiscoveryWatch::event(std::string_view json) {
     std::string wrong;
     int odd = 0;
-    const auto e = bus::read_event(json, zones_, kinds_, wrong, odd);
+    const auto e = discovery::parse_watch_event(json, zones_, kinds_, wrong, odd);
     if (!e || odd) log_(log::Level::warning, "bus_event_odd", {{"why", wrong}, {"entries_left_out", odd}});
     if (!e || e->number <= last_) return;  // told twice
     last_ = e->number;
     user_.told(*e);
 }
 
-void BusDoor::known(std::string_view json) { event(json); }
+void DiscoveryWatch::known(std::string_view json) { event(json); }
 
-void BusDoor::follow(std::string address, std::int64_t last) {
+void DiscoveryWatch::follow(std::string address, std::int64_t last) {
     last_ = std::max(last_, last);
     moved(std::move(address));
 }
 
-void BusDoor::moved(std::string address) {
+void DiscoveryWatch::moved(std::string address) {
     address_ = std::move(address);
     failed_ = 0;
     ask();
 }
 
-void BusDoor::ask() {
-    reader_ = std::make_unique<bus::Reader>();
+void DiscoveryWatch::ask() {
+    reader_ = std::make_unique<discovery::EventStreamParser>();
     asking_ = true;
     stream_ = loop_.dial(address_, *this);
     timer_->arm(loop_.now() + kDial);
 }
 
-void BusDoor::ask_later(std::string_view why) {
+void DiscoveryWatch::ask_later(std::string_view why) {
     log_(log::Level::debug, "bus_ended", {{"why", why}, {"last", last_}});
     asking_ = false;
     const Nanos most = std::min(kMostPause, kPause << std::min(failed_++, 4));
     timer_->arm(loop_.now() + most / 2 + static_cast<Nanos>(chance_() % 1000) * (most / 2000));
 }
 
-void BusDoor::connected() {
-    stream_->write(bus::request(address_, last_));
+void DiscoveryWatch::connected() {
+    stream_->write(discovery::watch_request(address_, last_));
     line_at_ = loop_.now();
     timer_->arm(line_at_ + kSilent);
 }
 
-std::size_t BusDoor::received(std::string_view in) {
+std::size_t DiscoveryWatch::received(std::string_view in) {
     if (!asking_) return in.size();
     const std::uint64_t lines = reader_->lines();
     const bool well = reader_->read(in, [this](std::string_view data) { event(data); });
@@ -86,8 +87,8 @@
     return in.size();
 }
 
-void BusDoor::closed(net::Closed why) {
-    if (asking_) ask_later(net::words(why));
+void DiscoveryWatch::closed(net::CloseReason why) {
+    if (asking_) ask_later(net::to_string(why));
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/bus_door.h
+++ b/src/platform/discovery_watch.h
@@ -5,22 +5,22 @@
 #include <string>
 #include <vector>
 
-#include "bus/events.h"
-#include "log/log.h"
-#include "net/net.h"
+#include "discovery/event_stream.h"
+#include "log/logger.h"
+#include "net/stream.h"
 
 namespace whinpost::platform {
 
-class BusUser {
+class DiscoveryHandler {
 public:
-    virtual ~BusUser() = default;
-    virtual void told(const bus::Event&) = 0;
+    virtual ~DiscoveryHandler() = default;
+    virtual void told(const discovery::WatchEvent&) = 0;
 };
 
-class BusDoor final : private net::StreamUser {
+class DiscoveryWatch final : private net::StreamHandler {
 public:
-    BusDoor(net::Loop&, const log::Log&, BusUser&, std::vector<std::string> zones,
-            std::vector<std::string> kinds, std::uint64_t seed);
+    DiscoveryWatch(net::EventLoop&, const log::Logger&, DiscoveryHandler&, std::vector<std::string> zones,
+                   std::vector<std::string> kinds, std::uint64_t seed);
     // Events of the start, each as JSON text; then follow() goes on after `last`.
     void known(std::string_view event);
     void follow(std::string address, std::int64_t last);
@@ -30,20 +30,20 @@
 private:
     void connected() override;
     std::size_t received(std::string_view) override;
-    void closed(net::Closed) override;
+    void closed(net::CloseReason) override;
     void ask();
     void ask_later(std::string_view why);
     void event(std::string_view json);
 
-    net::Loop& loop_;
-    const log::Log& log_;
-    BusUser& user_;
+    net::EventLoop& loop_;
+    const log::Logger& log_;
+    DiscoveryHandler& user_;
     const std::vector<std::string> zones_, kinds_;
     std::ranlux24_base chance_;
     std::string address_;
     std::int64_t last_ = 0;
     std::unique_ptr<net::Stream> stream_;
-    std::unique_ptr<bus::Reader> reader_;
+    std::unique_ptr<discovery::EventStreamParser> reader_;
     std::unique_ptr<net::Timer> timer_;
     bool asking_ = false;
     Nanos line_at_ = 0;  // when the last whole line came
--- a/src/platform/set_up.cpp
+++ b/src/platform/placement_request.cpp
@@ -1,4 +1,4 @@
-#include "platform/set_up.h"
+#include "platform/placement_request.h"
 
 #include <algorithm>
 #include <charconv>
@@ -25,8 +25,10 @@
 
 }  // namespace
 
-std::string_view read_set_up(const signalling::Message& m, const std::vector<std::string>& group_names,
-                             const std::vector<QueueGroup>& groups, MachineKind largest, SetUp& out) {
+std::string_view parse_placement_request(const platform_codec::Message& m,
+                                         const std::vector<std::string>& group_names,
+                                         const std::vector<QueueGroup>& groups, WorkerKind largest,
+                                         PlacementRequest& out) {
     out = {};
     // No host can read a set-up without an id: it closes, and all else that is open on the connection is in
     // doubt.
--- a/src/platform/set_up.h
+++ b/src/platform/placement_request.h
@@ -4,20 +4,22 @@
 #include <string_view>
 #include <vector>
 
-#include "signalling/message.h"
-#include "whinpost/placer.h"
+#include "platform_codec/message.h"
+#include "whinpost/scheduler.h"
 
 namespace whinpost::platform {
 
-struct SetUp {
-    Asked asked;
+struct PlacementRequest {
+    ResourceRequest asked;
     std::string name, service, key;
     std::string at;  // the host that holds it already; empty: it is to be placed
 };
 
 // Empty where all holds, else what is wrong. `largest` is the size of the largest machine: no container can
 // ask for more.
-std::string_view read_set_up(const signalling::Message&, const std::vector<std::string>& group_names,
-                             const std::vector<QueueGroup>& groups, MachineKind largest, SetUp& out);
+std::string_view parse_placement_request(const platform_codec::Message&,
+                                         const std::vector<std::string>& group_names,
+                                         const std::vector<QueueGroup>& groups, WorkerKind largest,
+                                         PlacementRequest& out);
 
 }  // namespace whinpost::platform
--- a/src/platform/front.cpp
+++ b/src/platform/platform_server.cpp
@@ -1,14 +1,14 @@
-#include "platform/front.h"
+#include "platform/platform_server.h"
 
 #include <algorithm>
 
-#include "whinpost/mark.h"
+#include "whinpost/stable_hash.h"
 
 namespace whinpost::platform {
 
 using ledger::Answer;
-using signalling::Message;
-using signalling::Type;
+using platform_codec::Message;
+using platform_codec::MessageType;
 
 namespace {
 
@@ -28,9 +28,9 @@
 // Where hosts hold more than there are descriptors, each in turn has one for so long: all within kLost.
 constexpr Nanos kItsTurn = kSecond;
 
-MachineKind largest_of(const std::vector<MachineKind>& kinds) {
-    MachineKind most;
-    for (const MachineKind& k : kinds) {
+WorkerKind largest_of(const std::vector<WorkerKind>& kinds) {
+    WorkerKind most;
+    for (const WorkerKind& k : kinds) {
         most.cores = std::max(most.cores, k.cores);
         most.memory = std::max(most.memory, k.memory);
     }
@@ -39,13 +39,13 @@
 
 }  // namespace
 
-void Task::Deadline::due(Nanos now) { front.due(task, now); }
-void Task::LaunchEnd::due(Nanos now) { front.launch_due(task, now); }
+void InFlightTask::Deadline::due(Nanos now) { front.due(task, now); }
+void InFlightTask::AttemptTimeout::due(Nanos now) { front.launch_due(task, now); }
 
-Front::Front(net::Loop& loop, const log::Log& log, ledger::Ledger& ledger,
-             std::vector<std::string> group_names, std::vector<MachineKind> kinds,
-             std::vector<std::string> kind_names, std::vector<std::string> zone_names, Nanos dial_timeout,
-             Nanos idle, std::size_t descriptors, std::uint64_t seed)
+PlatformServer::PlatformServer(net::EventLoop& loop, const log::Logger& log, ledger::Ledger& ledger,
+                               std::vector<std::string> group_names, std::vector<WorkerKind> kinds,
+                               std::vector<std::string> kind_names, std::vector<std::string> zone_names,
+                               Nanos dial_timeout, Nanos idle, std::size_t descriptors, std::uint64_t seed)
     : loop_(loop), log_(log), ledger_(ledger), group_names_(std::move(group_names)),
       kind_names_(std::move(kind_names)), zone_names_(std::move(zone_names)), kinds_(std::move(kinds)),
       largest_(largest_of(kinds_)), dial_timeout_(dial_timeout), idle_(idle), seed_(seed), wheel_(loop.now()),
@@ -54,17 +54,17 @@
       look_timer_(loop.timer([this] { look(); })), wake_timer_(loop.timer([this] { round(); })) {
     look_timer_->arm(loop.now() + kLook);
 }
-Front::~Front() = default;
+PlatformServer::~PlatformServer() = default;
 
-void Front::plan_with(planner::Planning& p) { planner_ = &p; }
+void PlatformServer::plan_with(planner::Planner& p) { planner_ = &p; }
 
-std::size_t Front::connections() const { return owners_.size() + host_connections_; }
+std::size_t PlatformServer::connections() const { return owners_.size() + host_connections_; }
 
 // ---------------------------------------------------------------- descriptors
 
 // A host that finds no descriptor waits in line, and nobody passes it: else hosts that are used all the time
 // would keep theirs for good, and the others would never be reached.
-bool Front::room_for_host(Host& h) {
+bool PlatformServer::room_for_host(PooledWorker& h) {
     const bool free = budget_.host_fits(owners_.size(), host_connections_);
     if (!descriptor_queue_.others_first(h.number()) && (free || close_least_useful())) {
         ++host_connections_;
@@ -74,19 +74,19 @@
     return false;
 }
 
-bool Front::room_for_owner() {
+bool PlatformServer::room_for_owner() {
     if (budget_.owner_fits(owners_.size(), host_connections_)) return true;
     return budget_.hosts_make_room(owners_.size()) && close_least_useful();
 }
 
 // Guards against more hosts than descriptors: the watch on the list, or a client, would find none. Hosts
 // where nothing stands go first.
-bool Front::close_least_useful() {
+bool PlatformServer::close_least_useful() {
     const Nanos now = loop_.now();
-    Connection* out = nullptr;
+    WorkerConnection* out = nullptr;
     std::pair<bool, Nanos> least;
-    for (Host* h : hosts_) {
-        Connection* c = h->least_useful();
+    for (PooledWorker* h : hosts_) {
+        WorkerConnection* c = h->least_useful();
         if (!c) continue;
         const std::pair of(h->holds_standing(), c->idle_since());
         if ((of.first && now - of.second < kItsTurn) || (out && least <= of)) continue;
@@ -99,10 +99,10 @@
 
 // Of the connections that have had their turn, the one that is up for the longest; `closable`: among those
 // that carry nothing.
-Connection* Front::oldest_past_its_turn(Nanos now, bool closable) {
-    Connection* out = nullptr;
-    for (Host* h : hosts_) {
-        Connection* c = h->oldest_up(now - kItsTurn);
+WorkerConnection* PlatformServer::oldest_past_its_turn(Nanos now, bool closable) {
+    WorkerConnection* out = nullptr;
+    for (PooledWorker* h : hosts_) {
+        WorkerConnection* c = h->oldest_up(now - kItsTurn);
         if (!c || (closable ? !c->carries_nothing() : c->retired)) continue;
         if (!out || c->up_since() < out->up_since()) out = c;
     }
@@ -112,22 +112,22 @@
 // Gives the hosts that wait for a descriptor their turn. A connection that is used all the time is never
 // idle; once its turn is over it carries nothing new, and is closed as soon as no attempt is on it. So a host
 // waits at most as many turns as there are hosts to each descriptor, and the time of an attempt.
-void Front::serve_descriptor_queue(Nanos now) {
+void PlatformServer::serve_descriptor_queue(Nanos now) {
     while (!descriptor_queue_.empty()) {
-        Host& h = *hosts_[descriptor_queue_.front()];
+        PooledWorker& h = *hosts_[descriptor_queue_.front()];
         if (h.gone() || h.has_connection()) {
             descriptor_queue_.pop();
             continue;
         }
         if (!budget_.host_fits(owners_.size(), host_connections_)) {
-            if (Connection* past = oldest_past_its_turn(now, true)) past->close();
+            if (WorkerConnection* past = oldest_past_its_turn(now, true)) past->close();
             else if (!close_least_useful()) break;
         }
         if (!h.connect()) break;
         descriptor_queue_.pop();
     }
     for (std::size_t left = descriptor_queue_.size(); left > 0; --left) {
-        Connection* past = oldest_past_its_turn(now, false);
+        WorkerConnection* past = oldest_past_its_turn(now, false);
         if (!past) break;
         past->retired = true;
     }
@@ -135,12 +135,12 @@
 
 // ---------------------------------------------------------------- rounds and timers
 
-void Front::round_soon() {
+void PlatformServer::round_soon() {
     if (std::exchange(round_armed_, true)) return;
     round_timer_->arm(std::max(loop_.now(), last_round_ + kMillisecond));
 }
 
-void Front::round() {
+void PlatformServer::round() {
     round_armed_ = false;
     last_round_ = loop_.now();
     in_round_ = true;
@@ -155,25 +155,25 @@
     arm();
 }
 
-void Front::wake(Nanos at) { wake_timer_->arm(at); }
-void Front::note(std::string_view line) { log_(log::Level::debug, "planner", {{"says", line}}); }
+void PlatformServer::wake(Nanos at) { wake_timer_->arm(at); }
+void PlatformServer::note(std::string_view line) { log_(log::Level::debug, "planner", {{"says", line}}); }
 
-void Front::arm() {
+void PlatformServer::arm() {
     if (const Nanos next = wheel_.next()) turn_timer_->arm(next);
     else turn_timer_->disarm();
 }
-void Front::turn() {
+void PlatformServer::turn() {
     wheel_.turn(loop_.now());
     arm();
 }
 
-void Front::look() {
+void PlatformServer::look() {
     const Nanos now = loop_.now();
     owners_.look(now);
-    for (Host* h : hosts_) h->look(now);
+    for (PooledWorker* h : hosts_) h->look(now);
     serve_descriptor_queue(now);
     while (!waiting_.empty() && now - waiting_.front().since > kEarly) waiting_.pop_front();
-    std::erase_if(words_, [now](const Word& w) { return now - w.since > kWordKept; });
+    std::erase_if(words_, [now](const PendingRelease& w) { return now - w.since > kWordKept; });
     if (closing_at_ && now >= closing_at_) wind_up(now);
     look_timer_->arm(now + (gone_by_ ? kLookLast : kLook));
 }
@@ -182,18 +182,18 @@
 // in a socket or in the line of those not accepted yet, and releases of hosts that are heard and told to
 // nobody. So, once nothing is owed: hosts are heard no more, since what they say is said again to the next to
 // connect; then what owners wrote is read and refused, what was written to them leaves, and they close first.
-void Front::wind_up(Nanos now) {
+void PlatformServer::wind_up(Nanos now) {
     if (!done_) return;
     for (const auto& [id, t] : by_id_)
         if (!t->standing) return;
     if (!gone_by_) {
         gone_by_ = now + kDrain;
-        for (Host* h : hosts_) h->hush();
+        for (PooledWorker* h : hosts_) h->hush();
     }
     if (owners_.drain(now, gone_by_)) std::exchange(done_, nullptr)();
 }
 
-void Front::close(std::function<void()> done) {
+void PlatformServer::close(std::function<void()> done) {
     if (closing_at_) return;
     closing_at_ = loop_.now() + kStillTaken;
     done_ = std::move(done);
@@ -201,13 +201,13 @@
 
 // ---------------------------------------------------------------- the list
 
-void Front::told(const bus::Event& e) {
+void PlatformServer::told(const discovery::WatchEvent& e) {
     if (!e.has_list) return;
     const Nanos now = loop_.now();
     std::vector<std::string_view> named;
-    for (const bus::Entry& entry : e.hosts) {
+    for (const discovery::EndpointUpdate& entry : e.hosts) {
         named.push_back(entry.host);
-        Known& k = known_[entry.host];
+        WorkerEntry& k = known_[entry.host];
         const Nanos started = k.listed.started;
         const bool was_there = k.there();
         if (entry.address) k.address = *entry.address;
@@ -220,10 +220,10 @@
         if (entry.free_memory) k.listed.free_memory = *entry.free_memory;
         if (k.address.empty()) continue;
         if (!k.host) {
-            if (k.listed.stage == Stage::gone) continue;  // it was never here
-            HostUser& user = *this;
-            k.host = std::make_unique<Host>(entry.host, static_cast<std::uint32_t>(hosts_.size()), loop_,
-                                            log_, user, dial_timeout_, idle_, seed_);
+            if (k.listed.stage == EndpointPhase::gone) continue;  // it was never here
+            WorkerHandler& user = *this;
+            k.host = std::make_unique<PooledWorker>(entry.host, static_cast<std::uint32_t>(hosts_.size()),
+                                                    loop_, log_, user, dial_timeout_, idle_, seed_);
             hosts_.push_back(k.host.get());
             k.host->most_connections(connections_to_one_);
             k.node = &ledger_.meet(entry.host);
@@ -231,7 +231,7 @@
         hosts_there_ = hosts_there_ + k.there() - was_there;
         k.host->listed(k.address, k.listed.stage);
         ledger_.listed(now, *k.node, k.listed);
-        planner_->node(now, k.host->number(), mark_of(entry.host), k.listed);
+        planner_->node(now, k.host->number(), stable_hash(entry.host), k.listed);
         // Guards against a machine that is back before anybody missed it: it answers, so it is not lost, and
         // knows nothing of what stood there.
         if (k.listed.started > started) k.host->started_anew(k.listed.started);
@@ -239,11 +239,11 @@
     if (e.whole) {
         std::sort(named.begin(), named.end());
         for (auto& [name, k] : known_)
-            if (k.host && k.listed.stage != Stage::gone &&
+            if (k.host && k.listed.stage != EndpointPhase::gone &&
                 !std::binary_search(named.begin(), named.end(), std::string_view(name))) {
-                k.listed.stage = Stage::gone;
+                k.listed.stage = EndpointPhase::gone;
                 --hosts_there_;
-                k.host->listed(k.address, Stage::gone);
+                k.host->listed(k.address, EndpointPhase::gone);
                 ledger_.gone(now, *k.node);
             }
     }
@@ -251,7 +251,7 @@
     planner_->list_done(now, e.whole);
     if (!std::exchange(begun_, true)) planner_->begin(now);
     for (std::size_t left = waiting_.size(); left > 0; --left) {
-        const Waiting w = std::move(waiting_.front());
+        const PendingRecovery w = std::move(waiting_.front());
         waiting_.pop_front();
         if (!take_over(w.id, w.asked, nullptr, w.peer)) waiting_.push_back(w);
     }
@@ -259,18 +259,19 @@
 }
 
 // Costs a walk over all hosts only where their number changes each one's part, not for each event.
-void Front::share_connections() {
+void PlatformServer::share_connections() {
     const std::size_t hosts = std::max<std::size_t>(hosts_there_, 1);
     const std::size_t each = std::clamp<std::size_t>(budget_.for_hosts() / hosts, 1, kMostToOne);
     if (std::exchange(connections_to_one_, each) == each) return;
-    for (Host* h : hosts_) h->most_connections(each);
+    for (PooledWorker* h : hosts_) h->most_connections(each);
 }
 
 // ---------------------------------------------------------------- owners
 
-Task& Front::make(std::uint64_t id, ledger::Record& r, Owner* owner, const std::string& peer) {
-    auto task = std::make_unique<Task>(*this);
-    Task& t = *task;
+InFlightTask& PlatformServer::make(std::uint64_t id, ledger::TaskRecord& r, ClientConnection* owner,
+                                   const std::string& peer) {
+    auto task = std::make_unique<InFlightTask>(*this);
+    InFlightTask& t = *task;
     t.id = id;
     t.record = &r;
     t.owner = owner;
@@ -280,22 +281,22 @@
     return t;
 }
 
-void Front::stands_for_owner(Task& t) {
+void PlatformServer::stands_for_owner(InFlightTask& t) {
     if (!t.owner || std::exchange(t.counted, true)) return;
     owners_.stands(*t.owner, 1);
 }
 
-Task* Front::find(planner::ContainerNumber n) {
+InFlightTask* PlatformServer::find(planner::TaskNumber n) {
     const auto it = tasks_.find(n);
     return it == tasks_.end() ? nullptr : it->second.get();
 }
 
-void Front::set_up(Owner& from, const Message& m, Nanos since) {
-    SetUp s;
-    const std::string_view wrong = read_set_up(m, group_names_, ledger_.groups(), largest_, s);
+void PlatformServer::set_up(ClientConnection& from, const Message& m, Nanos since) {
+    PlacementRequest s;
+    const std::string_view wrong = parse_placement_request(m, group_names_, ledger_.groups(), largest_, s);
     if (!wrong.empty()) {
         log_(log::Level::debug, "set_up_wrong", {{"peer", from.peer()}, {"why", wrong}});
-        return from.refuse(m.task, signalling::kError);
+        return from.refuse(m.task, platform_codec::kError);
     }
     if (!s.at.empty()) {
         if (!take_over(m.task, s, &from, from.peer())) {
@@ -309,16 +310,16 @@
              {{"peer", from.peer()}, {"same", it->second->owner == &from}});
         // Two under one number: an answer to either could be read as the other's.
         if (it->second->owner == &from) return from.end();
-        return from.refuse(m.task, signalling::kError);
+        return from.refuse(m.task, platform_codec::kError);
     }
     const Nanos now = loop_.now();
     // Its client counts from when it wrote it. What lay in the kernel while the loop was busy has less left.
     s.asked.time_left -= std::max<Nanos>(0, now - since);
     if (s.asked.time_left <= 0 || (closing_at_ && now >= closing_at_))
-        return from.refuse(m.task, signalling::kTryLater);
-    const std::uint64_t service = mark_of(s.service);
-    ledger::Record& r = ledger_.take(now, s.name, service, s.asked);
-    Task& t = make(m.task, r, &from, from.peer());
+        return from.refuse(m.task, platform_codec::kTryLater);
+    const std::uint64_t service = stable_hash(s.service);
+    ledger::TaskRecord& r = ledger_.take(now, s.name, service, s.asked);
+    InFlightTask& t = make(m.task, r, &from, from.peer());
     owners_.opened(from);
     t.group = *m.group;
     t.name = s.name;
@@ -331,21 +332,22 @@
 }
 
 // False where its host is not known yet.
-bool Front::take_over(std::uint64_t id, const SetUp& s, Owner* owner, const std::string& peer) {
+bool PlatformServer::take_over(std::uint64_t id, const PlacementRequest& s, ClientConnection* owner,
+                               const std::string& peer) {
     if (by_id_.contains(id)) return true;
     if (const auto held = standing_.find(s.name); held != standing_.end()) {
-        Task& t = *held->second;
+        InFlightTask& t = *held->second;
         log_(log::Level::debug, "held_already",
              {{"task", s.name}, {"same_host", t.host && t.host->name() == s.at}});
         return true;
     }
     const auto it = known_.find(s.at);
     if (it == known_.end() || !it->second.host) return false;
-    Known& k = it->second;
+    WorkerEntry& k = it->second;
     const Nanos now = loop_.now();
-    const std::uint64_t service = mark_of(s.service);
-    ledger::Record& r = ledger_.take_over(now, s.name, service, s.asked, *k.node);
-    Task& t = make(id, r, owner, peer);
+    const std::uint64_t service = stable_hash(s.service);
+    ledger::TaskRecord& r = ledger_.take_over(now, s.name, service, s.asked, *k.node);
+    InFlightTask& t = make(id, r, owner, peer);
     t.name = s.name;
     planner_->take_over(now, r.number, service, s.asked, k.host->number());
     standing_[t.name] = &t;
@@ -353,20 +355,20 @@
     k.host->stands(t);
     log_(log::Level::debug, "taken_over", {{"task", s.name}, {"host", s.at}});
     if (std::uint8_t cause = 0; k.host->said_over(id, cause))
-        standing_ended(t, cause == signalling::kOk ? Ending::served : Ending::reset, Reason::untold, cause,
-                       {});
+        standing_ended(t, cause == platform_codec::kOk ? AttemptOutcome::served : AttemptOutcome::reset,
+                       OutcomeReason::untold, cause, {});
     round_soon();
     return true;
 }
 
-void Front::released(Owner& from, std::uint64_t id) {
+void PlatformServer::released(ClientConnection& from, std::uint64_t id) {
     const auto it = by_id_.find(id);
     if (it == by_id_.end()) {
         log_(log::Level::debug, "release_unknown", {{"peer", from.peer()}, {"task", id}});
-        std::erase_if(waiting_, [id](const Waiting& w) { return w.id == id; });
+        std::erase_if(waiting_, [id](const PendingRecovery& w) { return w.id == id; });
         return;
     }
-    Task& t = *it->second;
+    InFlightTask& t = *it->second;
     if (!t.standing) {
         // Nobody else's business. Its owner may say so on another connection: the one it asked on may be
         // broken, and we have not heard of that yet.
@@ -374,11 +376,11 @@
         return;
     }
     t.host->take_down(t, true);
-    end_launch(t, Ending::cancelled, Reason::untold, {}, true);
+    end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
 }
 
 // Given up, or its connection broke: no answer is owed.
-void Front::unanswered(Task& t) {
+void PlatformServer::unanswered(InFlightTask& t) {
     const Nanos now = loop_.now();
     if (t.record->answer != Answer::none) return;
     ledger_.give(now, *t.record, Answer::withdrawn);
@@ -387,34 +389,35 @@
     planner_->withdrawn(now, t.record->number);
     if (t.record->out) {
         t.host->give_up(t);
-        end_launch(t, Ending::cancelled, Reason::untold, {}, true);
+        end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
     } else over(t);
 }
 
-void Front::owner_came(Owner& o) {
+void PlatformServer::owner_came(ClientConnection& o) {
     // It may be the one that releases wait for.
-    std::deque<Word> kept;
-    for (Word& w : words_)
+    std::deque<PendingRelease> kept;
+    for (PendingRelease& w : words_)
         if (w.peer == o.peer()) o.release(w.id, w.cause);
         else kept.push_back(std::move(w));
     words_ = std::move(kept);
 }
 
-std::vector<Task*> Front::of(const Owner& o) {
-    std::vector<Task*> out;
+std::vector<InFlightTask*> PlatformServer::of(const ClientConnection& o) {
+    std::vector<InFlightTask*> out;
     for (const auto& [id, t] : by_id_)
         if (t->owner == &o) out.push_back(t);
-    std::sort(out.begin(), out.end(), [](Task* a, Task* b) { return a->record->number < b->record->number; });
+    std::sort(out.begin(), out.end(),
+              [](InFlightTask* a, InFlightTask* b) { return a->record->number < b->record->number; });
     return out;
 }
 
-void Front::owner_left(Owner& o) {
+void PlatformServer::owner_left(ClientConnection& o) {
     if (owners_.hears())
-        for (const Owner::Unheard& u : o.unheard()) {
-            if (Owner* other = owners_.from(o.peer())) other->release(u.id, u.cause);
+        for (const ClientConnection::UnacknowledgedRelease& u : o.unheard()) {
+            if (ClientConnection* other = owners_.from(o.peer())) other->release(u.id, u.cause);
             else words_.push_back({u.id, u.cause, o.peer(), u.since});
         }
-    for (Task* t : of(o))
+    for (InFlightTask* t : of(o))
         if (t->standing) {
             t->owner = nullptr;
             t->counted = false;
@@ -422,35 +425,36 @@
 }
 
 // We close it: nothing that was taken on it may be lost.
-void Front::owner_ends(Owner& o) {
-    for (Task* t : of(o)) {
+void PlatformServer::owner_ends(ClientConnection& o) {
+    for (InFlightTask* t : of(o)) {
         if (t->standing || t->record->answer != Answer::none) continue;
-        const planner::ContainerNumber n = t->record->number;
+        const planner::TaskNumber n = t->record->number;
         answer(*t, ledger_.honest(*t->record), 0);
         planner_->withdrawn(loop_.now(), n);
     }
 }
 
-void Front::owner_stuck() {
+void PlatformServer::owner_stuck() {
     later_.push_back([this] { owners_.end_stuck(); });
     round_soon();
 }
 
-void Front::tested() {
+void PlatformServer::tested() {
     if (!std::exchange(was_tested_, true)) log_(log::Level::info, "first_test", {{"passed", passes_tests()}});
 }
 
 // ---------------------------------------------------------------- answers
 
-void Front::give(Task& t, Answer a, Nanos stay_away) {
+void PlatformServer::give(InFlightTask& t, Answer a, Nanos stay_away) {
     ledger_.give(loop_.now(), *t.record, a);
     if (!t.owner) return;
     owners_.answered(*t.owner);
-    t.owner->refuse(t.id, a == Answer::deferred ? signalling::kTryLater : signalling::kReset, stay_away);
+    t.owner->refuse(t.id, a == Answer::deferred ? platform_codec::kTryLater : platform_codec::kReset,
+                    stay_away);
     t.owner = nullptr;
 }
 
-void Front::answer(Task& t, Answer a, Nanos stay_away) {
+void PlatformServer::answer(InFlightTask& t, Answer a, Nanos stay_away) {
     if (t.record->answer != Answer::none) return;
     // What may have run is not to be deferred, whoever asks.
     give(t, a == Answer::deferred ? ledger_.honest(*t.record) : a, stay_away);
@@ -458,32 +462,32 @@
         t.host->give_up(t);
         if (in_round_)
             later_.push_back([this, n = t.record->number] {
-                if (Task* still = find(n); still && still->record->out)
-                    end_launch(*still, Ending::cancelled, Reason::untold, {}, true);
+                if (InFlightTask* still = find(n); still && still->record->out)
+                    end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
             });
-        else end_launch(t, Ending::cancelled, Reason::untold, {}, true);
+        else end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
     } else over(t);
 }
 
-void Front::defer(planner::ContainerNumber n, Nanos stay_away) {
-    if (Task* t = find(n)) answer(*t, Answer::deferred, stay_away);
+void PlatformServer::defer(planner::TaskNumber n, Nanos stay_away) {
+    if (InFlightTask* t = find(n)) answer(*t, Answer::deferred, stay_away);
 }
-void Front::kill(planner::ContainerNumber n) {
-    if (Task* t = find(n)) answer(*t, Answer::killed, 0);
+void PlatformServer::kill(planner::TaskNumber n) {
+    if (InFlightTask* t = find(n)) answer(*t, Answer::killed, 0);
 }
 
 // The clock's own answer, if the planner has said nothing in time.
-void Front::due(Task& t, Nanos now) {
+void PlatformServer::due(InFlightTask& t, Nanos now) {
     if (t.record->answer != Answer::none) return;
     ++ledger_.tally().answered_by_clock;
     log_(log::Level::warning, "answered_by_clock", {{"task", t.name}});
-    const planner::ContainerNumber n = t.record->number;
+    const planner::TaskNumber n = t.record->number;
     answer(t, ledger_.honest(*t.record), 0);
     planner_->withdrawn(now, n);
     round_soon();
 }
 
-void Front::over(Task& t) {
+void PlatformServer::over(InFlightTask& t) {
     t.deadline.disarm();
     t.launch_end.disarm();
     const auto it = tasks_.find(t.record->number);
@@ -501,19 +505,19 @@
 
 // ---------------------------------------------------------------- launches
 
-void Front::bind(planner::ContainerNumber n, planner::NodeNumber to, Nanos time_out) {
-    Task* t = find(n);
+void PlatformServer::bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
+    InFlightTask* t = find(n);
     if (!t) return;
     const Nanos now = loop_.now();
-    Host& host = *hosts_.at(to);
+    PooledWorker& host = *hosts_.at(to);
     ledger::Refusal why = ledger::Refusal::none;
-    ledger::Launch* l =
+    ledger::Attempt* l =
         ledger_.launch(now, *t->record, *known_.find(host.name())->second.node, time_out, why);
     if (!l) {
         log_(log::Level::warning, "bind_refused",
-             {{"task", t->name}, {"host", host.name()}, {"why", ledger::words(why)}});
+             {{"task", t->name}, {"host", host.name()}, {"why", ledger::to_string(why)}});
         later_.push_back([this, n] {
-            planner_->ended(loop_.now(), n, 0, Ending::unsent, Reason::untold, false, {});
+            planner_->ended(loop_.now(), n, 0, AttemptOutcome::unsent, OutcomeReason::untold, false, {});
             round_soon();
         });
         return;
@@ -528,27 +532,28 @@
           {"ms", time_out / kMillisecond}});
     if (!host.launch(*t))
         later_.push_back([this, n] {
-            if (Task* still = find(n); still && still->record->out && !still->standing && !still->on)
-                end_launch(*still, Ending::unsent, Reason::untold, {}, false);
+            if (InFlightTask* still = find(n); still && still->record->out && !still->standing && !still->on)
+                end_launch(*still, AttemptOutcome::unsent, OutcomeReason::untold, {}, false);
         });
 }
 
-bool Front::may_write(Task& t) {
+bool PlatformServer::may_write(InFlightTask& t) {
     return t.record->out && !(t.owner && t.owner->may_have_gone()) &&
            ledger_.may_still_send(loop_.now(), *t.record->out);
 }
 
-void Front::launch_due(Task& t, Nanos) {
+void PlatformServer::launch_due(InFlightTask& t, Nanos) {
     if (!t.record->out || t.standing) return;
     t.host->give_up(t);
-    end_launch(t, Ending::timed_out, Reason::untold, {}, false);
+    end_launch(t, AttemptOutcome::timed_out, OutcomeReason::untold, {}, false);
 }
 
 // What became of the launch that is out, or of the container that stands; `closed`: nothing is owed any more.
-void Front::end_launch(Task& t, Ending how, Reason why, const Report& report, bool closed) {
+void PlatformServer::end_launch(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
+                                const LoadReport& report, bool closed) {
     const Nanos now = loop_.now();
-    ledger::Record& r = *t.record;
-    const planner::ContainerNumber n = r.number;
+    ledger::TaskRecord& r = *t.record;
+    const planner::TaskNumber n = r.number;
     t.launch_end.disarm();
     t.host = nullptr;
     t.standing = false;
@@ -562,24 +567,24 @@
           {"closed", closed}});
     planner_->ended(now, n, number, how, why, closed, report);
     if (closed)
-        if (Task* still = find(n)) over(*still);
+        if (InFlightTask* still = find(n)) over(*still);
     round_soon();
 }
 
-void Front::launch_answered(Task& t, std::string_view description) {
+void PlatformServer::launch_answered(InFlightTask& t, std::string_view description) {
     const Nanos now = loop_.now();
-    ledger::Record& r = *t.record;
+    ledger::TaskRecord& r = *t.record;
     if (!r.out || !ledger_.accepted(now, *r.out)) return;
     t.launch_end.disarm();
     t.deadline.disarm();
-    Host& host = *t.host;
+    PooledWorker& host = *t.host;
     host.stands(t);
     standing_[t.name] = &t;
     stands_for_owner(t);
     if (t.owner) {
         owners_.answered(*t.owner);
         Message m;
-        m.type = Type::answer;
+        m.type = MessageType::answer;
         m.task = t.id;
         m.description = description;
         t.owner->write(m);
@@ -590,19 +595,21 @@
     round_soon();
 }
 
-void Front::launch_ended(Task& t, Ending how, Reason why, const Report& report) {
+void PlatformServer::launch_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
+                                  const LoadReport& report) {
     if (!t.record->out) return;
     // Its time may run out between the bind and the write, in the same round.
     if (in_round_) {
         later_.push_back([this, n = t.record->number, how, why, report] {
-            if (Task* still = find(n); still && !still->on) launch_ended(*still, how, why, report);
+            if (InFlightTask* still = find(n); still && !still->on) launch_ended(*still, how, why, report);
         });
         return;
     }
     // Answers can be late, or lost, while what they tell of stands and comes to its end: the platform wants
     // that end told to the owner, who asks again. Launched anew in silence, the container counted as lost.
-    if (t.stood && (how == Ending::reset || how == Ending::served || how == Ending::cancelled)) {
-        const planner::ContainerNumber n = t.record->number;
+    if (t.stood &&
+        (how == AttemptOutcome::reset || how == AttemptOutcome::served || how == AttemptOutcome::cancelled)) {
+        const planner::TaskNumber n = t.record->number;
         give(t, Answer::killed, 0);
         planner_->withdrawn(loop_.now(), n);
         return end_launch(t, how, why, report, true);
@@ -610,21 +617,22 @@
     end_launch(t, how, why, report, false);
 }
 
-void Front::standing_ended(Task& t, Ending how, Reason why, std::uint8_t cause, const Report& report) {
+void PlatformServer::standing_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
+                                    std::uint8_t cause, const LoadReport& report) {
     t.host->take_down(t, false);
-    if (cause != signalling::kCancelled) release_owner(t, cause);
+    if (cause != platform_codec::kCancelled) release_owner(t, cause);
     end_launch(t, how, why, report, true);
 }
 
-void Front::release_owner(Task& t, std::uint8_t cause) {
-    Owner* to = t.owner ? t.owner : owners_.from(t.peer);
+void PlatformServer::release_owner(InFlightTask& t, std::uint8_t cause) {
+    ClientConnection* to = t.owner ? t.owner : owners_.from(t.peer);
     if (to) return to->release(t.id, cause);
     words_.push_back({t.id, cause, t.peer, loop_.now()});
 }
 
-void Front::noted(Task& t, std::string_view what, double figure) {
+void PlatformServer::noted(InFlightTask& t, std::string_view what, double figure) {
     const Nanos now = loop_.now();
-    const planner::ContainerNumber n = t.record->number;
+    const planner::TaskNumber n = t.record->number;
     const int launch = static_cast<int>(t.record->launches.size()) - 1;
     t.stood = true;
     if (what == "runs") {
@@ -636,39 +644,39 @@
     round_soon();
 }
 
-void Front::reported(Host& h, const Report& r) {
+void PlatformServer::reported(PooledWorker& h, const LoadReport& r) {
     planner_->heard(loop_.now(), h.number(), r);
     round_soon();
 }
 
-void Front::move(planner::ContainerNumber n) {
-    Task* t = find(n);
+void PlatformServer::move(planner::TaskNumber n) {
+    InFlightTask* t = find(n);
     if (!t || !t->standing) return;
     Message m;
-    m.type = Type::move;
+    m.type = MessageType::move;
     m.task = t->id;
-    if (Owner* to = t->owner ? t->owner : owners_.from(t->peer)) to->write(m);
+    if (ClientConnection* to = t->owner ? t->owner : owners_.from(t->peer)) to->write(m);
     else return;  // nobody to tell: it stays
     later_.push_back([this, n] {
-        Task* still = find(n);
+        InFlightTask* still = find(n);
         if (!still || !still->standing) return;
         still->host->take_down(*still, true);
-        end_launch(*still, Ending::cancelled, Reason::untold, {}, true);
+        end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
     });
     round_soon();
 }
 
-void Front::stop_waiting(planner::ContainerNumber n, int) {
+void PlatformServer::stop_waiting(planner::TaskNumber n, int) {
     later_.push_back([this, n] {
-        Task* t = find(n);
+        InFlightTask* t = find(n);
         if (!t || !t->record->out || t->standing) return;
         t->host->give_up(*t);
-        end_launch(*t, Ending::cancelled, Reason::untold, {}, false);
+        end_launch(*t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, false);
     });
     round_soon();
 }
 
-void Front::probe(planner::NodeNumber n) {
+void PlatformServer::probe(planner::WorkerNumber n) {
     if (n < hosts_.size()) hosts_[n]->test();
 }
 
