--- a/src/platform/hosts.cpp
+++ b/src/platform/worker_pool.cpp
@@ -1,16 +1,16 @@
-#include "platform/hosts.h"
+#include "platform/worker_pool.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <utility>
 
-#include "terms/terms.h"
+#include "settings/settings.h"
 
 namespace whinpost::platform {
 
-using signalling::Message;
-using signalling::Type;
+using platform_codec::Message;
+using platform_codec::MessageType;
 
 namespace {
 
@@ -31,20 +31,22 @@
 constexpr std::size_t kMostSaidOver = 256;
 constexpr Nanos kNoUse = 50 * kMillisecond;  // a connection that is calling just now was heard just now
 
-constexpr std::pair<std::string_view, Reason> kReasons[] = {
-    {"no_cores", Reason::no_cores},  {"no_memory", Reason::no_memory}, {"queue_full", Reason::queue_full},
-    {"not_here", Reason::not_here},  {"evicted", Reason::evicted},     {"pushed_out", Reason::pushed_out},
-    {"sent_away", Reason::sent_away}};
+constexpr std::pair<std::string_view, OutcomeReason> kReasons[] = {
+    {"no_cores", OutcomeReason::no_cores},     {"no_memory", OutcomeReason::no_memory},
+    {"queue_full", OutcomeReason::queue_full}, {"not_here", OutcomeReason::not_here},
+    {"evicted", OutcomeReason::evicted},       {"pushed_out", OutcomeReason::pushed_out},
+    {"sent_away", OutcomeReason::sent_away}};
 
-Reason reason_of(const Message& m) {
+OutcomeReason reason_of(const Message& m) {
     if (m.notes)
         for (const auto& [word, reason] : kReasons)
             if (*m.notes == word) return reason;
-    return Reason::untold;
+    return OutcomeReason::untold;
 }
-Report report_of(const Message& m) {
-    Report r;
-    if (m.report && !terms::read_report(*m.report, ';', r)) r = {};  // what can't be read says nothing
+LoadReport report_of(const Message& m) {
+    LoadReport r;
+    if (m.report && !settings::parse_load_report(*m.report, ';', r))
+        r = {};  // what can't be read says nothing
     return r;
 }
 
@@ -52,7 +54,8 @@
 
 // ---------------------------------------------------------------- one connection
 
-Connection::Connection(Host& h, net::Loop& loop, const std::string& address, Nanos dial_timeout)
+WorkerConnection::WorkerConnection(PooledWorker& h, net::EventLoop& loop, const std::string& address,
+                                   Nanos dial_timeout)
     : host_(h), stream_(loop.dial(address, *this)), timer_(loop.timer([this] {
           if (up_) unreadable("half a message");
           else abandon();  // the dial takes too long
@@ -63,34 +66,34 @@
 
 // Launches wait here while anything written is not in the kernel's hands. Guards against one that would leave
 // long after its owner has gone: here it can still be taken back.
-bool Connection::room() const { return up_ && !broken_ && stream_->unsent() == 0; }
+bool WorkerConnection::room() const { return up_ && !broken_ && stream_->unsent() == 0; }
 
-void Connection::write(const Message& m) {
+void WorkerConnection::write(const Message& m) {
     std::string bytes;
-    signalling::append(bytes, m);
+    platform_codec::encode(bytes, m);
     stream_->write(bytes);
 }
 
-void Connection::launch(Task& t) {
+void WorkerConnection::launch(InFlightTask& t) {
     t.on = this;
     waiting_.push_back(&t);
     flush();
 }
 
-void Connection::flush() {
+void WorkerConnection::flush() {
     while (!waiting_.empty() && room()) {
-        Task& t = *waiting_.front();
+        InFlightTask& t = *waiting_.front();
         waiting_.pop_front();
         if (!host_.user_.may_write(t)) {
             t.on = nullptr;
-            host_.user_.launch_ended(t, Ending::unsent, Reason::untold, {});
+            host_.user_.launch_ended(t, AttemptOutcome::unsent, OutcomeReason::untold, {});
             continue;
         }
         const Nanos now = host_.loop_.now();
         const std::string wait =
             std::to_string(std::max<Nanos>(1, (t.record->out->until - now) / kMillisecond));
         Message m;
-        m.type = Type::set_up;
+        m.type = MessageType::set_up;
         m.task = t.id;
         m.group = t.group;
         m.wait = wait;
@@ -103,7 +106,7 @@
     }
 }
 
-void Connection::give_up(Task& t) {
+void WorkerConnection::give_up(InFlightTask& t) {
     t.on = nullptr;
     const auto it = std::find(waiting_.begin(), waiting_.end(), &t);
     if (it != waiting_.end()) {
@@ -115,37 +118,37 @@
     // find them by their name.
     given_up_[t.id] = t.record->group->effect == Effect::idempotent;
     Message m;
-    m.type = Type::release;
+    m.type = MessageType::release;
     m.task = t.id;
-    m.cause = signalling::kGivenUp;
+    m.cause = platform_codec::kGivenUp;
     if (up_ && !broken_) write(m);
 }
 
-void Connection::test() {
+void WorkerConnection::test() {
     if (!up_) {
         test_due_ = true;
         return;
     }
     Message m;
-    m.type = Type::test;
+    m.type = MessageType::test;
     m.task = host_.next_test_++;
-    m.cause = signalling::kPassed;  // asks for a report
+    m.cause = platform_codec::kPassed;  // asks for a report
     tests_.insert(m.task);
     used_ = host_.loop_.now();
     write(m);
 }
 
-void Connection::cut(std::uint64_t id) {
+void WorkerConnection::cut(std::uint64_t id) {
     if (!up_) return cuts_.push_back(id);
     Message m;
-    m.type = Type::release;
+    m.type = MessageType::release;
     m.task = id;
-    m.cause = signalling::kCancelled;
+    m.cause = platform_codec::kCancelled;
     used_ = host_.loop_.now();
     write(m);
 }
 
-void Connection::connected() {
+void WorkerConnection::connected() {
     up_ = true;
     timer_->disarm();
     heard_ = used_ = up_since_ = host_.loop_.now();
@@ -157,10 +160,10 @@
     flush();
 }
 
-std::size_t Connection::received(std::string_view in) {
+std::size_t WorkerConnection::received(std::string_view in) {
     heard_ = host_.heard_ = host_.loop_.now();
     bool spoilt = false;
-    const std::size_t done = signalling::messages(in, spoilt, [this](const Message& m) {
+    const std::size_t done = platform_codec::decode_all(in, spoilt, [this](const Message& m) {
         heard(m);
         return !broken_;
     });
@@ -172,8 +175,8 @@
     return done;
 }
 
-void Connection::heard(const Message& m) {
-    HostUser& user = host_.user_;
+void WorkerConnection::heard(const Message& m) {
+    WorkerHandler& user = host_.user_;
     if (host_.log_.says(log::Level::debug))
         host_.log_(log::Level::debug, "host_says",
                    {{"host", host_.name_},
@@ -185,12 +188,12 @@
                     {"report", m.report.value_or("-")},
                     {"description", m.description ? static_cast<int>(m.description->size()) : -1}});
     switch (m.type) {
-        case Type::answer: {
+        case MessageType::answer: {
             const auto it = launches_.find(m.task);
             if (it != launches_.end()) {
                 if (!m.description || m.description->empty())
                     return unreadable("an answer without description");
-                Task& t = *it->second;
+                InFlightTask& t = *it->second;
                 launches_.erase(it);
                 t.on = nullptr;
                 return user.launch_answered(t, *m.description);
@@ -204,33 +207,33 @@
             host_.log_(log::Level::debug, "host_answer_unknown", {{"host", host_.name_}, {"task", m.task}});
             return;  // a second copy, or one under an id that is none of ours
         }
-        case Type::release: {
+        case MessageType::release: {
             const std::uint8_t cause = m.cause.value_or(0);
             const auto it = launches_.find(m.task);
             if (it != launches_.end()) {
-                Task& t = *it->second;
+                InFlightTask& t = *it->second;
                 launches_.erase(it);
                 t.on = nullptr;
                 // It has stood and ended by now: the host gives its answer and its end in one. Taken for a
                 // reset, a short container was launched four times over, each time to its end.
-                if (cause == signalling::kOk && m.description && !m.description->empty()) {
-                    const Report report = report_of(m);
+                if (cause == platform_codec::kOk && m.description && !m.description->empty()) {
+                    const LoadReport report = report_of(m);
                     user.launch_answered(t, *m.description);
-                    if (Task* stands = host_.stands_here(m.task))
-                        user.standing_ended(*stands, Ending::served, reason_of(m), cause, report);
+                    if (InFlightTask* stands = host_.stands_here(m.task))
+                        user.standing_ended(*stands, AttemptOutcome::served, reason_of(m), cause, report);
                     return;
                 }
-                const Ending how = cause == signalling::kFull        ? Ending::refused
-                                   : cause == signalling::kError     ? Ending::error
-                                   : cause == signalling::kNeverLeft ? Ending::unsent
-                                                                     : Ending::reset;
+                const AttemptOutcome how = cause == platform_codec::kFull        ? AttemptOutcome::refused
+                                           : cause == platform_codec::kError     ? AttemptOutcome::error
+                                           : cause == platform_codec::kNeverLeft ? AttemptOutcome::unsent
+                                                                                 : AttemptOutcome::reset;
                 return user.launch_ended(t, how, reason_of(m), report_of(m));
             }
             if (given_up_.erase(m.task)) return;
-            if (Task* t = host_.stands_here(m.task)) {
-                const Ending how = cause == signalling::kOk          ? Ending::served
-                                   : cause == signalling::kCancelled ? Ending::cancelled
-                                                                     : Ending::reset;
+            if (InFlightTask* t = host_.stands_here(m.task)) {
+                const AttemptOutcome how = cause == platform_codec::kOk          ? AttemptOutcome::served
+                                           : cause == platform_codec::kCancelled ? AttemptOutcome::cancelled
+                                                                                 : AttemptOutcome::reset;
                 return user.standing_ended(*t, how, reason_of(m), cause, report_of(m));
             }
             host_.log_(log::Level::debug, "host_release_unknown",
@@ -241,8 +244,8 @@
             host_.said_over_.push_back({m.task, cause, host_.heard_});
             return;
         }
-        case Type::note: {
-            Task* t = host_.stands_here(m.task);
+        case MessageType::note: {
+            InFlightTask* t = host_.stands_here(m.task);
             if (!t) {
                 const auto it = launches_.find(m.task);
                 if (it != launches_.end()) t = it->second;
@@ -263,8 +266,9 @@
             }
             return user.noted(*t, *m.notes, figure);
         }
-        case Type::tested:
-            if (tests_.erase(m.task) && m.cause == signalling::kPassed) user.reported(host_, report_of(m));
+        case MessageType::tested:
+            if (tests_.erase(m.task) && m.cause == platform_codec::kPassed)
+                user.reported(host_, report_of(m));
             return;
         default:
             return;
@@ -272,108 +276,112 @@
 }
 
 // Nothing after such bytes can be trusted: the connection goes, and each launch on it is in doubt.
-void Connection::unreadable(std::string_view why) {
+void WorkerConnection::unreadable(std::string_view why) {
     host_.log_(log::Level::info, "host_unreadable",
                {{"host", host_.name_}, {"why", why}, {"launches", launches_.size()}});
     abandon();
 }
 
-void Connection::abandon() {
+void WorkerConnection::abandon() {
     if (broken_) return;
     stream_->abort();
     broke(false);
 }
 
-void Connection::broke(bool refused) {
+void WorkerConnection::broke(bool refused) {
     broken_ = true;
     timer_->disarm();
     host_.broke(*this, up_, refused);
 }
 
-Nanos Connection::idle_since() const {
+Nanos WorkerConnection::idle_since() const {
     const Nanos last = std::max(used_, heard_);
     if (!usable() || !up_ || busy() || !cuts_.empty() || host_.loop_.now() - last < kNoUse) return 0;
     return stream_->unread() || stream_->unsent() ? 0 : last;
 }
 
-bool Connection::carries_nothing() const {
+bool WorkerConnection::carries_nothing() const {
     return up_ && !broken_ && waiting_.empty() && launches_.empty() && cuts_.empty() && !stream_->unread() &&
            stream_->unsent() == 0;
 }
 
-void Connection::close() {
+void WorkerConnection::close() {
     stream_.reset();
     broke(false);
 }
 
-void Connection::closed(net::Closed why) {
+void WorkerConnection::closed(net::CloseReason why) {
     if (broken_) return;
     stream_->abort();  // its descriptor is free from now on
     host_.log_(
         log::Level::debug, "host_connection_ended",
-        {{"host", host_.name_}, {"why", net::words(why)}, {"up", up_}, {"launches", launches_.size()}});
+        {{"host", host_.name_}, {"why", net::to_string(why)}, {"up", up_}, {"launches", launches_.size()}});
     // A descriptor that we lack says nothing about the host.
-    if (why == net::Closed::out_of_files) host_.heard_ = host_.loop_.now();
-    broke(!up_ && why == net::Closed::refused);
+    if (why == net::CloseReason::out_of_files) host_.heard_ = host_.loop_.now();
+    broke(!up_ && why == net::CloseReason::refused);
 }
 
 // Told after the connection is out of the host's list, so that what the user does next meets none of it.
-void Connection::end_all(bool connected) {
-    std::vector<Task*> written;
+void WorkerConnection::end_all(bool connected) {
+    std::vector<InFlightTask*> written;
     for (const auto& [id, t] : launches_) written.push_back(t);
-    std::sort(written.begin(), written.end(), [](Task* a, Task* b) { return a->id < b->id; });
+    std::sort(written.begin(), written.end(), [](InFlightTask* a, InFlightTask* b) { return a->id < b->id; });
     launches_.clear();
-    const std::vector<Task*> unwritten(waiting_.begin(), waiting_.end());
+    const std::vector<InFlightTask*> unwritten(waiting_.begin(), waiting_.end());
     waiting_.clear();
-    for (Task* t : written) t->on = nullptr;
-    for (Task* t : unwritten) t->on = nullptr;
-    for (Task* t : written) host_.user_.launch_ended(*t, Ending::reset, Reason::untold, {});
-    for (Task* t : unwritten)
-        host_.user_.launch_ended(*t, connected ? Ending::unsent : Ending::unconnected, Reason::untold, {});
+    for (InFlightTask* t : written) t->on = nullptr;
+    for (InFlightTask* t : unwritten) t->on = nullptr;
+    for (InFlightTask* t : written)
+        host_.user_.launch_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, {});
+    for (InFlightTask* t : unwritten)
+        host_.user_.launch_ended(*t, connected ? AttemptOutcome::unsent : AttemptOutcome::unconnected,
+                                 OutcomeReason::untold, {});
 }
 
 // ---------------------------------------------------------------- one host
 
-Host::Host(std::string name, std::uint32_t number, net::Loop& loop, const log::Log& log, HostUser& user,
-           Nanos dial_timeout, Nanos idle, std::uint64_t seed)
+PooledWorker::PooledWorker(std::string name, std::uint32_t number, net::EventLoop& loop,
+                           const log::Logger& log, WorkerHandler& user, Nanos dial_timeout, Nanos idle,
+                           std::uint64_t seed)
     : name_(std::move(name)), number_(number), loop_(loop), log_(log), user_(user),
       dial_timeout_(dial_timeout), idle_(idle), heard_(loop.now()),
       next_test_(seed ^ (static_cast<std::uint64_t>(number) << 40)) {}
-Host::~Host() = default;
+PooledWorker::~PooledWorker() = default;
 
-void Host::listed(const std::string& address, Stage stage) {
+void PooledWorker::listed(const std::string& address, EndpointPhase stage) {
     const bool moved = address_ != address && !address_.empty();
-    const bool left = stage == Stage::gone && stage_ != Stage::gone;
+    const bool left = stage == EndpointPhase::gone && stage_ != EndpointPhase::gone;
     if (left) gone_at_ = loop_.now();
     address_ = address;
     stage_ = stage;
     if (!moved && !left) return;
     // Guards against a dial that comes up at the host that has the address now: launches, cuts and tests of
     // this one would reach that one. What is up still leads here; after a move it carries nothing new.
-    std::vector<Connection*> dialling;
+    std::vector<WorkerConnection*> dialling;
     for (const auto& c : connections_) {
         if (!c->up()) dialling.push_back(c.get());
         else if (moved) c->retired = true;
     }
-    for (Connection* c : dialling) c->abandon();
+    for (WorkerConnection* c : dialling) c->abandon();
 }
 
-void Host::started_anew(Nanos at) {
+void PooledWorker::started_anew(Nanos at) {
     const auto all = standing_;
     for (const auto& [id, t] : all)
         if (standing_.contains(id) && t->record->out && t->record->out->sent < at) {
             log_(log::Level::info, "host_started_anew", {{"host", name_}, {"task", t->name}});
-            user_.standing_ended(*t, Ending::reset, Reason::untold, signalling::kReset, {});
+            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, platform_codec::kReset,
+                                 {});
         }
 }
 
-void Host::hush() {
+void PooledWorker::hush() {
     hushed_ = true;
     for (const auto& c : connections_) c->stream_->read(false);
 }
 
-bool Host::said_over(std::uint64_t id, std::uint8_t& cause) const {
-    for (const Over& o : said_over_)
+bool PooledWorker::said_over(std::uint64_t id, std::uint8_t& cause) const {
+    for (const EndedTask& o : said_over_)
         if (o.id == id) {
             cause = o.cause;
             return true;
@@ -381,8 +389,8 @@
     return false;
 }
 
-Connection* Host::least_useful() {
-    Connection* out = nullptr;
+WorkerConnection* PooledWorker::least_useful() {
+    WorkerConnection* out = nullptr;
     Nanos since = 0;
     for (const auto& c : connections_)
         if (const Nanos s = c->idle_since(); s && (!out || s < since)) {
@@ -392,29 +400,29 @@
     return out;
 }
 
-Connection* Host::oldest_up(Nanos before) const {
-    Connection* out = nullptr;
+WorkerConnection* PooledWorker::oldest_up(Nanos before) const {
+    WorkerConnection* out = nullptr;
     for (const auto& c : connections_)
         if (c->up_since() && c->up_since() < before && (!out || c->up_since() < out->up_since()))
             out = c.get();
     return out;
 }
 
-bool Host::connect() {
-    Connection* c = current();
+bool PooledWorker::connect() {
+    WorkerConnection* c = current();
     if (!c) c = dial();
     if (c && std::exchange(test_due_, false)) c->test();
     return c != nullptr;
 }
 
-Task* Host::stands_here(std::uint64_t id) const {
+InFlightTask* PooledWorker::stands_here(std::uint64_t id) const {
     const auto it = standing_.find(id);
     return it == standing_.end() ? nullptr : it->second;
 }
 
-Connection* Host::current() const {
+WorkerConnection* PooledWorker::current() const {
     // One that was idle for long may be closed while a launch is on its way, which would leave that in doubt.
-    Connection* least = nullptr;
+    WorkerConnection* least = nullptr;
     for (const auto& c : connections_)
         if (c->usable() && (c->busy() || loop_.now() - c->used_ < idle_ * 8 / 10) &&
             (!least || c->load() < least->load()))
@@ -422,65 +430,65 @@
     return least;
 }
 
-Connection* Host::dial() {
+WorkerConnection* PooledWorker::dial() {
     if (hushed_ || !user_.room_for_host(*this)) return nullptr;
-    connections_.push_back(std::make_unique<Connection>(*this, loop_, address_, dial_timeout_));
+    connections_.push_back(std::make_unique<WorkerConnection>(*this, loop_, address_, dial_timeout_));
     return connections_.back().get();
 }
 
 // A connection that breaks leaves all launches on it in doubt, so each goes on one of its own while there are
 // enough.
-bool Host::launch(Task& t) {
+bool PooledWorker::launch(InFlightTask& t) {
     t.host = this;
-    Connection* c = current();
+    WorkerConnection* c = current();
     // The same id went out on it before, and that launch's end may still come there.
     if (c && c->knows(t.id)) {
         c->retired = true;
         c = nullptr;
     }
     if (!c || (c->load() > 0 && connections_.size() < most_))
-        if (Connection* more = dial()) c = more;
+        if (WorkerConnection* more = dial()) c = more;
     if (c) c->launch(t);
     return c != nullptr;
 }
 
-void Host::give_up(Task& t) {
+void PooledWorker::give_up(InFlightTask& t) {
     if (t.on) t.on->give_up(t);
     t.host = nullptr;
 }
 
-void Host::test() {
-    Connection* c = current();
-    if (!c && stage_ == Stage::gone) return;  // whoever asked finds that it does not answer
+void PooledWorker::test() {
+    WorkerConnection* c = current();
+    if (!c && stage_ == EndpointPhase::gone) return;  // whoever asked finds that it does not answer
     if (!c) c = dial();
     if (c) c->test();
     else test_due_ = true;
 }
 
-void Host::stands(Task& t) {
+void PooledWorker::stands(InFlightTask& t) {
     t.host = this;
     t.standing = true;
     standing_[t.id] = &t;
-    if (!current() && stage_ != Stage::gone) dial();
+    if (!current() && stage_ != EndpointPhase::gone) dial();
 }
 
-void Host::take_down(Task& t, bool cut) {
+void PooledWorker::take_down(InFlightTask& t, bool cut) {
     standing_.erase(t.id);
     t.standing = false;
     t.host = nullptr;
-    if (!cut || stage_ == Stage::gone) return;
-    Host::cut(t.id);
+    if (!cut || stage_ == EndpointPhase::gone) return;
+    PooledWorker::cut(t.id);
 }
 
 // Over any connection; what goes out on that one later, the same id again too, comes after it.
-void Host::cut(std::uint64_t id) {
-    if (stage_ == Stage::gone) return;
-    if (Connection* c = current()) return c->cut(id);
+void PooledWorker::cut(std::uint64_t id) {
+    if (stage_ == EndpointPhase::gone) return;
+    if (WorkerConnection* c = current()) return c->cut(id);
     cuts_.push_back(id);
     dial();
 }
 
-void Host::broke(Connection& c, bool was_up, bool refused) {
+void PooledWorker::broke(WorkerConnection& c, bool was_up, bool refused) {
     const auto it =
         std::find_if(connections_.begin(), connections_.end(), [&c](const auto& p) { return p.get() == &c; });
     if (it == connections_.end()) return;
@@ -493,37 +501,38 @@
     for (const std::uint64_t id : std::exchange(c.cuts_, {})) cuts_.push_back(id);
     // What is in doubt may stand by now, where no word of it reaches us: a copy that earns nothing and fills
     // the machine. Where a repeat does no harm it is cut.
-    if (was_up && stage_ != Stage::gone) {
+    if (was_up && stage_ != EndpointPhase::gone) {
         std::vector<std::uint64_t> doubtful;
         for (const auto& [id, t] : c.launches_)
             if (t->record->group->effect == Effect::idempotent) doubtful.push_back(id);
         std::sort(doubtful.begin(), doubtful.end());
         for (const std::uint64_t id : doubtful) {
-            if (Connection* other = current(); other && other->up()) other->cut(id);
+            if (WorkerConnection* other = current(); other && other->up()) other->cut(id);
             else cuts_.push_back(id);
         }
     }
     c.end_all(was_up);
 }
 
-void Host::all_over(std::string_view why) {
+void PooledWorker::all_over(std::string_view why) {
     if (standing_.empty()) return;
     log_(log::Level::info, "host_lost", {{"host", name_}, {"why", why}, {"standing", standing_.size()}});
     const auto all = standing_;
     for (const auto& [id, t] : all)
         if (standing_.contains(id))
-            user_.standing_ended(*t, Ending::reset, Reason::untold, signalling::kReset, {});
+            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, platform_codec::kReset,
+                                 {});
 }
 
-void Host::look(Nanos now) {
+void PooledWorker::look(Nanos now) {
     left_.clear();
     bool up = false, dialling = false;
     for (std::size_t i = 0; i < connections_.size();) {
-        Connection& c = *connections_[i];
+        WorkerConnection& c = *connections_[i];
         // A live one is never closed from here: the host's last words on what stands could be on their way.
         // It closes idle ones itself, with all that it wrote before.
         const bool forgotten = !c.busy() && now - std::max(c.used_, c.heard_) > 2 * idle_;
-        const bool useless = stage_ == Stage::gone && standing_.empty() && !c.busy();
+        const bool useless = stage_ == EndpointPhase::gone && standing_.empty() && !c.busy();
         if (c.up() && (forgotten || useless)) {
             c.abandon();
             continue;
@@ -534,12 +543,12 @@
     }
     while (!said_over_.empty() && now - said_over_.front().since > kSaidOver) said_over_.pop_front();
     // Nobody is there for them any more.
-    if (stage_ == Stage::gone || refused_ >= kRefusedForGood || now - heard_ > kLost) cuts_.clear();
+    if (stage_ == EndpointPhase::gone || refused_ >= kRefusedForGood || now - heard_ > kLost) cuts_.clear();
     if (up || dialling || (standing_.empty() && cuts_.empty())) return;
     if (refused_ >= kRefusedForGood) return all_over("no process listens there");
-    if (stage_ == Stage::gone && now - gone_at_ > kLastWords) return all_over("left");
+    if (stage_ == EndpointPhase::gone && now - gone_at_ > kLastWords) return all_over("left");
     if (now - heard_ > kLost) return all_over("silent");
-    if (now < dial_again_ || stage_ == Stage::gone)
+    if (now < dial_again_ || stage_ == EndpointPhase::gone)
         return;                 // a new host may have the address of one that left
     if (!dial()) heard_ = now;  // a descriptor that we lack says nothing about the host
     dial_again_ = now + kDialPause;
--- a/src/signalling/message.cpp
+++ b/src/platform_codec/message.cpp
@@ -1,9 +1,9 @@
-#include "signalling/message.h"
+#include "platform_codec/message.h"
 
 #include <algorithm>
 #include <utility>
 
-namespace whinpost::signalling {
+namespace whinpost::platform_codec {
 namespace {
 
 constexpr std::size_t kHeader = 9;  // type and task
@@ -29,39 +29,39 @@
 
 }  // namespace
 
-Read read(std::string_view in, Message& out, std::size_t& used) {
+DecodeStatus decode(std::string_view in, Message& out, std::size_t& used) {
     used = 0;
-    if (in.size() >= 3 && !known(static_cast<std::uint8_t>(in[2]))) return Read::unreadable;
-    if (in.size() < 2) return Read::more;
+    if (in.size() >= 3 && !known(static_cast<std::uint8_t>(in[2]))) return DecodeStatus::unreadable;
+    if (in.size() < 2) return DecodeStatus::more;
     const std::size_t length = number(in, 0, 2);
-    if (length < kHeader || length + 2 > kLongest) return Read::unreadable;
-    if (in.size() < length + 2) return Read::more;
+    if (length < kHeader || length + 2 > kMaxMessageSize) return DecodeStatus::unreadable;
+    if (in.size() < length + 2) return DecodeStatus::more;
     out = {};
-    out.type = static_cast<Type>(in[2]);
+    out.type = static_cast<MessageType>(in[2]);
     out.task = number(in, 3, 8);
     for (std::size_t at = 2 + kHeader; at < length + 2;) {
-        if (length + 2 - at < 3) return Read::unreadable;
+        if (length + 2 - at < 3) return DecodeStatus::unreadable;
         const auto code = static_cast<std::uint8_t>(in[at]);
         const std::size_t size = number(in, at + 1, 2);
         at += 3;
-        if (size > length + 2 - at) return Read::unreadable;
+        if (size > length + 2 - at) return DecodeStatus::unreadable;
         const std::string_view value = in.substr(at, size);
         at += size;
         if (code == kCauseCode) {
-            if (size != 1 || out.cause) return Read::unreadable;
+            if (size != 1 || out.cause) return DecodeStatus::unreadable;
             out.cause = static_cast<std::uint8_t>(value[0]);
         }
         for (const auto& [c, text] : kTexts)
             if (c == code) {
-                if (out.*text) return Read::unreadable;  // twice: which one was meant?
+                if (out.*text) return DecodeStatus::unreadable;  // twice: which one was meant?
                 out.*text = value;
             }
     }
     used = length + 2;
-    return Read::whole;
+    return DecodeStatus::whole;
 }
 
-void append(std::string& out, const Message& m) {
+void encode(std::string& out, const Message& m) {
     const std::size_t start = out.size();
     put(out, 0, 2);
     put(out, static_cast<std::uint8_t>(m.type), 1);
@@ -79,4 +79,4 @@
     out[start + 1] = static_cast<char>(length & 0xff);
 }
 
-}  // namespace whinpost::signalling
+}  // namespace whinpost::platform_codec
--- a/src/signalling/message.h
+++ b/src/platform_codec/message.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <string_view>
 
-namespace whinpost::signalling {
+namespace whinpost::platform_codec {
 
-enum class Type : std::uint8_t {
+enum class MessageType : std::uint8_t {
     set_up = 1,
     progress = 6,
     answer = 9,
@@ -28,37 +28,37 @@
 
 // The texts point into what was read.
 struct Message {
-    Type type = Type::progress;
+    MessageType type = MessageType::progress;
     std::uint64_t task = 0;
     std::optional<std::string_view> group, wait, retry, name, figures, stay_away, notes, report, figure, key,
         description;
     std::optional<std::uint8_t> cause;
 };
 
-constexpr std::size_t kLongest = 16 << 10;  // the protocol's
+constexpr std::size_t kMaxMessageSize = 16 << 10;  // the protocol's
 
-enum class Read { whole, more, unreadable };
+enum class DecodeStatus { whole, more, unreadable };
 // One message from the front of `in`; `used` bytes are done with where it is whole. What is too long, of no
 // known type, or does not add up can't be read, and nothing after it can be trusted.
-Read read(std::string_view in, Message& out, std::size_t& used);
+DecodeStatus decode(std::string_view in, Message& out, std::size_t& used);
 
-void append(std::string& out, const Message&);
+void encode(std::string& out, const Message&);
 
 // Hands each whole message of `in` to `each(const Message&) -> bool`, until it gives false; gives back how
 // many bytes are done with. `unreadable` is set where what follows can't be read.
 template <class F>
-std::size_t messages(std::string_view in, bool& unreadable, F each) {
+std::size_t decode_all(std::string_view in, bool& unreadable, F each) {
     std::size_t done = 0;
     unreadable = false;
     for (;;) {
         Message m;
         std::size_t used = 0;
-        const Read how = read(in.substr(done), m, used);
-        unreadable = how == Read::unreadable;
-        if (how != Read::whole) return done;
+        const DecodeStatus how = decode(in.substr(done), m, used);
+        unreadable = how == DecodeStatus::unreadable;
+        if (how != DecodeStatus::whole) return done;
         done += used;
         if (!each(m)) return done;
     }
 }
 
-}  // namespace whinpost::signalling
+}  // namespace whinpost::platform_codec
--- a/src/regain/regain.cpp
+++ b/src/recovery/recovery_queue.cpp
@@ -1,9 +1,9 @@
-#include "regain/regain.h"
+#include "recovery/recovery_queue.h"
 
 #include <algorithm>
 #include <vector>
 
-namespace whinpost::regain {
+namespace whinpost::recovery {
 
 namespace {
 // Whole lists are asked for while any container waits: soon, since its owner wants to hear, and then ever
@@ -14,7 +14,7 @@
 constexpr Nanos kBelieved = 60 * kSecond;
 }  // namespace
 
-Handed& Regain::wait(Nanos now, std::string_view node, void* tag) {
+PendingRecovery& RecoveryQueue::wait(Nanos now, std::string_view node, void* tag) {
     all_.push_back({std::string(node), now, tag});
     const auto at = std::prev(all_.end());
     by_node_.emplace(at->node, at);
@@ -27,7 +27,7 @@
     return *at;
 }
 
-void Regain::drop(Handed& h) {
+void RecoveryQueue::drop(PendingRecovery& h) {
     for (auto [it, last] = by_node_.equal_range(h.node); it != last; ++it)
         if (&*it->second == &h) {
             all_.erase(it->second);
@@ -36,21 +36,21 @@
         }
 }
 
-void Regain::end(Where::iterator at, Nanos now, bool found) {
+void RecoveryQueue::end(Where::iterator at, Nanos now, bool found) {
     const auto it = at->second;
     by_node_.erase(at);
-    Handed h = std::move(*it);
+    PendingRecovery h = std::move(*it);
     all_.erase(it);
     ++(found ? counts_.found : counts_.lost);
     if (found) port_.found(now, h);
     else port_.lost(now, h);
 }
 
-void Regain::named(Nanos now, std::string_view node) {
+void RecoveryQueue::named(Nanos now, std::string_view node) {
     for (auto it = by_node_.find(node); it != by_node_.end(); it = by_node_.find(node)) end(it, now, true);
 }
 
-void Regain::listed(Nanos now, Nanos as_of, bool whole) {
+void RecoveryQueue::listed(Nanos now, Nanos as_of, bool whole) {
     list_ = true;
     if (whole) {
         std::vector<Where::iterator> out;
@@ -68,7 +68,7 @@
     }
 }
 
-void Regain::turn(Nanos now) {
+void RecoveryQueue::turn(Nanos now) {
     if (!ask_at_ || now < ask_at_) return;
     ask_at_ = 0;
     if (all_.empty()) return;
@@ -79,4 +79,4 @@
     port_.list_again(now);
 }
 
-}  // namespace whinpost::regain
+}  // namespace whinpost::recovery
--- a/src/regain/regain.h
+++ b/src/recovery/recovery_queue.h
@@ -10,39 +10,39 @@
 #include <string>
 #include <string_view>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::regain {
+namespace whinpost::recovery {
 
 // One container that was handed over. The owner of the handle is the embedder; drop() ends it.
-struct Handed {
+struct PendingRecovery {
     std::string node;
     Nanos since = 0;
     void* tag = nullptr;  // the embedder's own
 };
 
-class Port {
+class RecoveryHandler {
 public:
-    virtual ~Port() = default;
-    virtual void found(Nanos now, Handed&) = 0;  // its node is known; the handle has ended
-    virtual void lost(Nanos now, Handed&) = 0;   // its node is not there; the handle has ended
-    virtual void list_again(Nanos now) = 0;      // ask for the whole list
-    virtual void wake(Nanos at) = 0;             // call turn() then
+    virtual ~RecoveryHandler() = default;
+    virtual void found(Nanos now, PendingRecovery&) = 0;  // its node is known; the handle has ended
+    virtual void lost(Nanos now, PendingRecovery&) = 0;   // its node is not there; the handle has ended
+    virtual void list_again(Nanos now) = 0;               // ask for the whole list
+    virtual void wake(Nanos at) = 0;                      // call turn() then
 };
 
-struct Counts {
+struct RecoveryStatistics {
     std::uint64_t waited = 0, found = 0, lost = 0, asked = 0;
 };
 
-class Regain {
+class RecoveryQueue {
 public:
-    explicit Regain(Port& port) : port_(port) {}
-    Regain(const Regain&) = delete;
-    Regain& operator=(const Regain&) = delete;
+    explicit RecoveryQueue(RecoveryHandler& port) : port_(port) {}
+    RecoveryQueue(const RecoveryQueue&) = delete;
+    RecoveryQueue& operator=(const RecoveryQueue&) = delete;
 
     // A container on a node that no list has named. Valid until found(), lost() or drop().
-    Handed& wait(Nanos now, std::string_view node, void* tag);
-    void drop(Handed&);
+    PendingRecovery& wait(Nanos now, std::string_view node, void* tag);
+    void drop(PendingRecovery&);
 
     void named(Nanos now, std::string_view node);  // a list names it, and not as gone
     // All entries of a message were told by named(). `as_of`: the time of which it speaks.
@@ -50,19 +50,19 @@
     void turn(Nanos now);
 
     std::size_t waiting() const { return all_.size(); }
-    const Counts& counts() const { return counts_; }
+    const RecoveryStatistics& counts() const { return counts_; }
 
 private:
-    using Where = std::multimap<std::string, std::list<Handed>::iterator, std::less<>>;
+    using Where = std::multimap<std::string, std::list<PendingRecovery>::iterator, std::less<>>;
     void ask(Nanos now);
     void end(Where::iterator, Nanos now, bool found);
 
-    Port& port_;
-    std::list<Handed> all_;  // by age
+    RecoveryHandler& port_;
+    std::list<PendingRecovery> all_;  // by age
     Where by_node_;
     bool list_ = false;  // any came
     Nanos ask_at_ = 0, pause_ = 0;
-    Counts counts_;
+    RecoveryStatistics counts_;
 };
 
-}  // namespace whinpost::regain
+}  // namespace whinpost::recovery
--- a/src/decide.cpp
+++ b/src/scheduler/scheduler.cpp
@@ -1,11 +1,11 @@
 // The decisions of one placer. Tell it, with the time, what lists, machines and owners say (calls on Placer
 // and on the Container handles it gives), then call round() once for each moment; decisions leave through the
 // Port. Interface and plain types: include/whinpost/placer.h. The design: docs/design.md.
+#include "whinpost/scheduler.h"
+
 #include <algorithm>
 #include <cmath>
 
-#include "whinpost/placer.h"
-
 namespace whinpost {
 namespace {
 
@@ -22,8 +22,8 @@
 double fade_to(double old, double seen, double pace) { return old + pace * (seen - old); }
 double seconds(Nanos t) { return static_cast<double>(t) / 1e9; }
 Nanos nanos(double s) { return static_cast<Nanos>(s * 1e9); }
-bool proves_not_run(Ending e) {
-    return e == Ending::refused || e == Ending::unconnected || e == Ending::unsent;
+bool proves_not_run(AttemptOutcome e) {
+    return e == AttemptOutcome::refused || e == AttemptOutcome::unconnected || e == AttemptOutcome::unsent;
 }
 // The same mixed number at every placer, for a mark that means nothing in itself.
 std::uint64_t mixed(std::uint64_t mark, std::uint64_t i) {
@@ -32,15 +32,15 @@
     x = (x ^ (x >> 27)) * 0x94d049bb133111ebu;
     return x ^ (x >> 31);
 }
-Neighbour* find(Machine& m, const Service* s) {
-    for (Neighbour& n : m.neighbours)
+ColocatedService* find(Worker& m, const Service* s) {
+    for (ColocatedService& n : m.neighbours)
         if (n.service == s) return &n;
     return nullptr;
 }
 
 constexpr Nanos kProgramKept = 5 * kSecond;  // a few programs stay for a while after their last container
-bool warm(Nanos now, Machine& m, const Service* s) {
-    const Neighbour* n = find(m, s);
+bool warm(Nanos now, Worker& m, const Service* s) {
+    const ColocatedService* n = find(m, s);
     return n && (n->containers > 0 || (n->last_ran && now - n->last_ran < kProgramKept));
 }
 
@@ -49,12 +49,12 @@
 constexpr Nanos kTally = 250 * kMillisecond;  // 16 buckets: four seconds of own changes and of launches' ends
 constexpr double kLine = 8;  // unanswered launches at one machine, at first: a short line, shared
 
-Machine::Machine(int its_number, std::uint64_t its_mark, Nanos turn)
+Worker::Worker(int its_number, std::uint64_t its_mark, Nanos turn)
     : number(its_number), mark(its_mark), new_cores(kTally), new_memory(kTally), offers(turn), line(kLine) {}
 
-Placer::Placer(Port& port, std::uint64_t seed, int zone, std::vector<QueueGroup> groups,
-               std::vector<MachineKind> kinds, Acceptance accepts, ColdTerms cold, ListTerms list,
-               LaunchTerms launch, Prices prices)
+Scheduler::Scheduler(DecisionHandler& port, std::uint64_t seed, int zone, std::vector<QueueGroup> groups,
+                     std::vector<WorkerKind> kinds, WorkerAcceptance accepts, SlowStartSettings cold,
+                     DiscoverySettings list, RetrySettings launch, Prices prices)
     : port_(port), chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48))),
       zone_(zone), groups_(std::move(groups)), kinds_(std::move(kinds)), accepts_(accepts), cold_(cold),
       list_(list), launch_(launch), prices_(prices), calm_(1), mean_value_(kStartingPair), answer_s_(0.1) {
@@ -72,12 +72,12 @@
     for (const QueueGroup& g : groups_) calm_ = std::min(calm_, g.calm);
 }
 
-Machine& Placer::meet_machine(std::uint64_t mark) {
-    Machine& m = machines_.emplace_back(static_cast<int>(machines_.size()), mark, cold_.window);
-    m.failed = m.begun = std::vector<Ring<16>>(groups_.size(), Ring<16>(kTally));
+Worker& Scheduler::meet_machine(std::uint64_t mark) {
+    Worker& m = machines_.emplace_back(static_cast<int>(machines_.size()), mark, cold_.window);
+    m.failed = m.begun = std::vector<SlidingCounter<16>>(groups_.size(), SlidingCounter<16>(kTally));
     return m;
 }
-Service& Placer::meet_service(std::uint64_t mark) {
+Service& Scheduler::meet_service(std::uint64_t mark) {
     Service& s = services_.emplace_back(static_cast<int>(services_.size()), mark);
     s.mean_value = kStartingPair;
     return s;
@@ -85,19 +85,19 @@
 
 // ---------------------------------------------------------------- the list of machines
 
-void Placer::begin(Nanos now) {
+void Scheduler::begin(Nanos now) {
     begun_ = now;
     if (list_.on_request) port_.follow_list();
 }
 
-void Placer::list_entry(Nanos, Machine& m, const Listed& entry) {
+void Scheduler::list_entry(Nanos, Worker& m, const EndpointState& entry) {
     m.named_in = lists_;
     if (!m.known) fleet_.push_back(&m);
     if (m.known && entry.started > m.listed.started) {  // started anew: it holds and knows nothing
-        for (Ring<16>& r : m.failed) r.clear();
+        for (SlidingCounter<16>& r : m.failed) r.clear();
         m.excess = m.memory_used = 0;
         m.blocked_until = 0;
-        for (Neighbour& n : m.neighbours) n.last_ran = 0;
+        for (ColocatedService& n : m.neighbours) n.last_ran = 0;
     }
     if ((!m.known || m.listed.stage != entry.stage) && !std::exchange(m.changed, true))
         changed_.push_back(&m);
@@ -114,23 +114,23 @@
 
 // Costs by what has changed, except where a whole list was told: a zone that is lost machine by machine would
 // else stop the placer for as long as it has machines.
-void Placer::list_done(Nanos now, bool whole) {
-    for (Machine* m : fleet_)
-        if (whole && m->named_in != lists_ && m->listed.stage != Stage::gone) {
-            m->listed.stage = Stage::gone;
+void Scheduler::list_done(Nanos now, bool whole) {
+    for (Worker* m : fleet_)
+        if (whole && m->named_in != lists_ && m->listed.stage != EndpointPhase::gone) {
+            m->listed.stage = EndpointPhase::gone;
             if (!std::exchange(m->changed, true)) changed_.push_back(m);
         }
     ++lists_;
-    std::vector<Machine*> joined;
+    std::vector<Worker*> joined;
     std::size_t left = 0;
-    for (Machine* m : std::exchange(changed_, {})) {
+    for (Worker* m : std::exchange(changed_, {})) {
         m->changed = false;
-        if (m->listed.stage == Stage::gone) left += std::exchange(m->known, false);
-        if (m->listed.stage != Stage::serving) ring_.erase(m);
+        if (m->listed.stage == EndpointPhase::gone) left += std::exchange(m->known, false);
+        if (m->listed.stage != EndpointPhase::serving) ring_.erase(m);
         else if (!m->on_ring) joined.push_back(m);
     }
-    if (left) std::erase_if(fleet_, [](Machine* m) { return !m->known; });
-    ring_.insert(joined, [](const Machine& m, auto add) {
+    if (left) std::erase_if(fleet_, [](Worker* m) { return !m->known; });
+    ring_.insert(joined, [](const Worker& m, auto add) {
         for (std::uint64_t i = 0; i < kPoints; ++i) add(mixed(m.mark, i));
     });
     retry_gap_ = retry_list_ = 0;
@@ -141,7 +141,7 @@
 // on an overrun list service, and well inside the time after which not asking counts as having been told.
 constexpr Nanos kListPause = 500 * kMillisecond;  // about a call's usual time-out
 
-void Placer::list_failed(Nanos now) {
+void Scheduler::list_failed(Nanos now) {
     const Nanos most = std::max(kListPause, list_.ask_every / 5);
     retry_gap_ = retry_gap_ ? std::min(most, 2 * retry_gap_) : kListPause;
     retry_list_ = now + retry_gap_ / 2 + nanos(seconds(retry_gap_) * 0.5 * (chance_() % 1000) / 1000.0);
@@ -150,8 +150,8 @@
 
 // ---------------------------------------------------------------- taking and answering
 
-Container& Placer::take(Nanos now, Service& service, const Asked& asked, std::uint64_t tag) {
-    Container& c = *containers_.emplace_back(std::make_unique<Container>());
+Task& Scheduler::take(Nanos now, Service& service, const ResourceRequest& asked, std::uint64_t tag) {
+    Task& c = *containers_.emplace_back(std::make_unique<Task>());
     c.self_ = std::prev(containers_.end());
     c.placer_ = this;
     c.tag = tag;
@@ -165,8 +165,9 @@
     return c;
 }
 
-Container& Placer::take_over(Nanos now, Service& service, const Asked& asked, Machine& m, std::uint64_t tag) {
-    Container& c = take(now, service, asked, tag);
+Task& Scheduler::take_over(Nanos now, Service& service, const ResourceRequest& asked, Worker& m,
+                           std::uint64_t tag) {
+    Task& c = take(now, service, asked, tag);
     if (std::exchange(c.in_queue_, false)) queue_.erase(c.queued_);
     c.launches = 1;
     put(now, c, m);
@@ -174,36 +175,36 @@
     m.new_memory.clear();
     c.placed = c.running = true;
     --m.waiting;
-    Neighbour* n = find(m, &service);
+    ColocatedService* n = find(m, &service);
     ++n->running;
     n->last_ran = now;
     return c;
 }
 
-void Placer::release(Container& c) {
+void Scheduler::release(Task& c) {
     settle(c);
     containers_.erase(c.self_);
 }
 
-void Placer::enqueue(Container& c) {
+void Scheduler::enqueue(Task& c) {
     c.queued_ = queue_.insert(queue_.end(), &c);
     c.in_queue_ = true;
 }
 
-void Placer::settle(Container& c) {
+void Scheduler::settle(Task& c) {
     c.settled = true;
     if (std::exchange(c.in_queue_, false)) queue_.erase(c.queued_);
 }
 
 // A deferral says that trying again is harmless: only while no launch may have run, or where any machine
 // would drop the repeat. Else the answer is a kill, which promises nothing.
-bool Placer::may_defer(const Container& c) const {
+bool Scheduler::may_defer(const Task& c) const {
     if (c.out) return c.group->effect == Effect::idempotent;
     return !c.first_maybe || c.group->effect == Effect::idempotent ||
-           (c.group->effect == Effect::fingerprinted && c.group->repeats_dropped_by == Place::all);
+           (c.group->effect == Effect::fingerprinted && c.group->repeats_dropped_by == FailureDomain::all);
 }
 
-void Placer::answer(Nanos, Container& c) {
+void Scheduler::answer(Nanos, Task& c) {
     if (c.settled) return;
     const bool defer = may_defer(c);
     settle(c);
@@ -214,27 +215,27 @@
 // The rules, at each bind: never two launches out, no more than the stated number, nothing to a machine that
 // drains or is gone, nothing again where it could take effect twice, no service above its stated spread, no
 // cold machine pushed.
-bool Placer::may_bind(Nanos now, const Container& c, const Machine& m) const {
+bool Scheduler::may_bind(Nanos now, const Task& c, const Worker& m) const {
     if (c.settled || c.out || c.launches >= launch_.most || now >= c.until) return false;
-    if (!m.known || m.listed.stage != Stage::serving) return false;
+    if (!m.known || m.listed.stage != EndpointPhase::serving) return false;
     if (c.group->kind >= 0 && m.listed.kind != c.group->kind) return false;
     if (c.first_maybe && c.group->effect == Effect::side_effecting) return false;
     if (c.first_maybe && c.group->effect == Effect::fingerprinted) {
         if (now - c.first_maybe_at >= c.group->repeat_window) return false;
-        const Listed& first = c.first_maybe->listed;
-        if (c.group->repeats_dropped_by == Place::zone && first.zone != m.listed.zone) return false;
-        if (c.group->repeats_dropped_by == Place::cell && first.cell != m.listed.cell) return false;
-        if (c.group->repeats_dropped_by == Place::machine && c.first_maybe != &m) return false;
+        const EndpointState& first = c.first_maybe->listed;
+        if (c.group->repeats_dropped_by == FailureDomain::zone && first.zone != m.listed.zone) return false;
+        if (c.group->repeats_dropped_by == FailureDomain::cell && first.cell != m.listed.cell) return false;
+        if (c.group->repeats_dropped_by == FailureDomain::machine && c.first_maybe != &m) return false;
     }
-    return c.group->spread == Place::none || in_place(c, m, c.group->spread) < c.group->most;
+    return c.group->spread == FailureDomain::none || in_place(c, m, c.group->spread) < c.group->most;
 }
 
-int Placer::in_place(const Container& c, const Machine& m, Place place) const {
+int Scheduler::in_place(const Task& c, const Worker& m, FailureDomain place) const {
     int count = 0;
-    for (Machine* other : c.service->at) {  // machines that left the list may still hold some
-        if (place == Place::machine && other != &m) continue;
-        if (place == Place::cell && other->listed.cell != m.listed.cell) continue;
-        if (place == Place::zone && other->listed.zone != m.listed.zone) continue;
+    for (Worker* other : c.service->at) {  // machines that left the list may still hold some
+        if (place == FailureDomain::machine && other != &m) continue;
+        if (place == FailureDomain::cell && other->listed.cell != m.listed.cell) continue;
+        if (place == FailureDomain::zone && other->listed.zone != m.listed.zone) continue;
         count += find(*other, c.service)->containers;
     }
     return count;
@@ -246,9 +247,9 @@
 // Predicted slow-down of a service on a machine: over its known neighbours, the sum of weight times pair
 // value, and for the load that this placer does not know, the average pair value times the share asked of the
 // machine beyond its own.
-double Placer::predicted(const Machine& m, const Service& s) const {
+double Scheduler::predicted(const Worker& m, const Service& s) const {
     double sum = 0;
-    for (const Neighbour& n : m.neighbours) {
+    for (const ColocatedService& n : m.neighbours) {
         if (!n.containers) continue;
         const auto it = s.beside.find(n.service->number);
         sum += it == s.beside.end() ? kStartingPair : it->second.weight * it->second.value;
@@ -260,20 +261,21 @@
 // One observation of a running container's slow-down, less the part of the load that is not known here: among
 // many placers one bad note would else put the only known neighbour past the bound everywhere. With one known
 // neighbour it teaches the pair's value; with several, the error moves weights; the rest is the machine's.
-void Placer::observe(Container& c, double seen) {
-    Machine& m = *c.out;
+void Scheduler::observe(Task& c, double seen) {
+    Worker& m = *c.out;
     Service& s = *c.service;
-    std::vector<Pair*> known;
-    for (Neighbour& n : m.neighbours)
+    std::vector<PairInterference*> known;
+    for (ColocatedService& n : m.neighbours)
         if (n.containers - (n.service == &s) > 0 &&
             (s.beside.size() < kMostPairs || s.beside.contains(n.service->number)))
-            known.push_back(&s.beside.try_emplace(n.service->number, Pair{kStartingPair, 1.0}).first->second);
+            known.push_back(
+                &s.beside.try_emplace(n.service->number, PairInterference{kStartingPair, 1.0}).first->second);
     if (known.empty()) return;
     const double mine = std::max(0.0, m.own_cores - c.asked.cores);
     seen *= mine / std::max({mine, m.size->cores - m.listed.free_cores - c.asked.cores, 1e-9});
     if (known.size() == 1) known[0]->value = std::max(0.0, fade_to(known[0]->value, seen, kPairPace));
     const double error = seen - predicted(m, s);
-    for (Pair* p : known)
+    for (PairInterference* p : known)
         if (known.size() > 1) p->weight = std::max(0.0, p->weight + kCoefficient * error);
     const double each = seen / static_cast<double>(known.size());
     s.mean_value = fade_to(s.mean_value, each, kCoefficient);
@@ -285,9 +287,9 @@
 constexpr double kLateStart = 2.5;  // times the slow fifth of starts; fewer shun machines on quiet days
 constexpr Nanos kExcessHalves = 3 * kSecond;  // notes come once a second: three missed halve it
 
-void Container::served_share(Nanos now, int, double share) {
+void Task::served_share(Nanos now, int, double share) {
     if (!out || !placed) return;
-    Placer& p = *placer_;
+    Scheduler& p = *placer_;
     const double seen = 1.0 / std::max(share, 0.05) - 1.0;
     noted_quality = true;
     // Guards against whatever slows a machine and no neighbour explains: a slow or shared machine, containers
@@ -301,7 +303,7 @@
 
 constexpr double kForget = 0.995;  // use over asks is that of the last few hundred notes
 
-void Container::uses_cores(Nanos, int, double cores) {
+void Task::uses_cores(Nanos, int, double cores) {
     if (!out) return;
     cores_used = cores;
     service->cores_notes += 1;
@@ -310,13 +312,13 @@
     placer_->ask_cores_ = placer_->ask_cores_ * kForget + asked.cores;
 }
 
-void Container::uses_memory(Nanos, int, double memory) {
+void Task::uses_memory(Nanos, int, double memory) {
     if (!out) return;
     placer_->use_memory_ = placer_->use_memory_ * kForget + memory;
     placer_->ask_memory_ = placer_->ask_memory_ * kForget + asked.memory;
 }
 
-void Container::machine_memory(Nanos now, int, double share) {
+void Task::machine_memory(Nanos now, int, double share) {
     if (!out) return;
     out->memory_used = share;
     out->memory_noted = now;
@@ -330,7 +332,7 @@
 constexpr double kSilent = 4;                         // times the usual answer
 constexpr Nanos kSilentAtLeast = 200 * kMillisecond;  // a few offers' time on a slow machine
 
-void Container::accepted(Nanos now, int) {
+void Task::accepted(Nanos now, int) {
     if (settled || !out) return;
     placed = true;
     out->waiting -= 1;
@@ -340,18 +342,18 @@
     if (placer_->accepts_.yes_on_running) placer_->started(now, *this);
 }
 
-void Container::runs(Nanos now, int) {
+void Task::runs(Nanos now, int) {
     if (out && !running) placer_->started(now, *this);
 }
 
 // Guards against what a placer that stood still would read out of it: all that came meanwhile is told at
 // once, and says nothing of how long machines took. Seldom true without a stall: some note comes in each
 // second.
-bool Placer::stalled(Nanos now) const { return now - last_round_ > kSecond; }
+bool Scheduler::stalled(Nanos now) const { return now - last_round_ > kSecond; }
 
-void Placer::started(Nanos now, Container& c) {
+void Scheduler::started(Nanos now, Task& c) {
     c.running = true;
-    Neighbour* n = find(*c.out, c.service);
+    ColocatedService* n = find(*c.out, c.service);
     c.out->begun[static_cast<std::size_t>(c.asked.group)].add(now, 1);
     ++n->running;
     n->last_ran = now;
@@ -378,9 +380,9 @@
     if (s.warm.size() >= 3) observe(c, std::clamp(took / std::max(s.median_warm, 1e-4) - 1, -0.5, 2.0));
 }
 
-void Placer::heard(Nanos now, Machine& m, const Report& r) {
+void Scheduler::heard(Nanos now, Worker& m, const LoadReport& r) {
     m.heard_at = now;
-    for (Container* c : queue_)
+    for (Task* c : queue_)
         if (c->looks) c->not_before = 0;
     if (!r.has_free_cores && !r.has_busy && !r.has_free_memory) return;
     m.report = r;
@@ -392,13 +394,14 @@
 constexpr Nanos kNotHereHolds = 2 * kSecond;          // it drains, and the list will soon say so
 constexpr Nanos kSendsAwayHolds = 5 * kSecond;        // it drains for sure; late lists come within that
 
-void Container::ended(Nanos now, int, Ending how, Reason why, bool closed, const Report& report) {
-    Placer& p = *placer_;
+void Task::ended(Nanos now, int, AttemptOutcome how, OutcomeReason why, bool closed,
+                 const LoadReport& report) {
+    Scheduler& p = *placer_;
     if (!out) return;
-    Machine& m = *out;
+    Worker& m = *out;
     p.heard(now, m, report);
     const bool was_placed = placed;
-    if (how == Ending::served) {
+    if (how == AttemptOutcome::served) {
         double& life = service->mean_life_s;
         life = fade_to(life > 0 ? life : seconds(now - sent), seconds(now - sent), 0.1);
         if (p.accepts_.notes_pressure && !noted_quality && running)
@@ -408,20 +411,20 @@
         first_maybe = &m;
         first_maybe_at = sent;
     }
-    if (why == Reason::evicted) machine_memory(now, 0, 1);
+    if (why == OutcomeReason::evicted) machine_memory(now, 0, 1);
     // Guards against the rush back: what a draining machine sends away comes again at once, seconds before
     // the list names the drain, and would be offered to the very machine that last held its program.
-    if (why == Reason::sent_away) m.blocked_until = now + kSendsAwayHolds;
+    if (why == OutcomeReason::sent_away) m.blocked_until = now + kSendsAwayHolds;
     p.leave(now, *this);
-    if (how == Ending::refused) {
-        if (why == Reason::no_cores || why == Reason::no_memory) {
+    if (how == AttemptOutcome::refused) {
+        if (why == OutcomeReason::no_cores || why == OutcomeReason::no_memory) {
             m.refused_until = now + kRefusalHolds;
-            m.refused_cores = why == Reason::no_cores ? asked.cores : 1e18;
-            m.refused_memory = why == Reason::no_memory ? asked.memory : 1e18;
-        } else if (why == Reason::queue_full) {
+            m.refused_cores = why == OutcomeReason::no_cores ? asked.cores : 1e18;
+            m.refused_memory = why == OutcomeReason::no_memory ? asked.memory : 1e18;
+        } else if (why == OutcomeReason::queue_full) {
             m.blocked_until = now + kFullLineHolds;
             m.line = std::max(1.0, m.line / 2);
-        } else if (why == Reason::untold) {
+        } else if (why == OutcomeReason::untold) {
             // Guards against a machine that turns away what it has room for: nothing in its report or the
             // view will show it. Counted like a failed start, which heals; harms little, since others have
             // room.
@@ -430,15 +433,16 @@
             m.blocked_until = now + kNotHereHolds;
         }
         turned_down.push_back(&m);
-    } else if (how == Ending::error || how == Ending::unconnected || how == Ending::timed_out ||
-               (how == Ending::reset && (!was_placed || why == Reason::untold))) {
+    } else if (how == AttemptOutcome::error || how == AttemptOutcome::unconnected ||
+               how == AttemptOutcome::timed_out ||
+               (how == AttemptOutcome::reset && (!was_placed || why == OutcomeReason::untold))) {
         // Guards against containers that no machine can use: what errs at a second machine speaks against
         // itself, and its first error is taken back. Else a few bad owners make all machines look as if they
         // failed. Could hide two failing machines that the same container met.
         const std::size_t g = static_cast<std::size_t>(asked.group);
-        if (how != Ending::error || !erred_at) m.failed[g].add(now, 1);
+        if (how != AttemptOutcome::error || !erred_at) m.failed[g].add(now, 1);
         else if (!std::exchange(faulty, true)) erred_at->failed[g].add(now, -1);
-        if (how == Ending::error && !erred_at) erred_at = &m;
+        if (how == AttemptOutcome::error && !erred_at) erred_at = &m;
         turned_down.push_back(&m);
     }
     if (closed) p.settle(*this);
@@ -453,14 +457,14 @@
     else p.enqueue(*this);
 }
 
-void Container::withdrawn(Nanos) { placer_->settle(*this); }
+void Task::withdrawn(Nanos) { placer_->settle(*this); }
 
-void Placer::put(Nanos now, Container& c, Machine& m) {
+void Scheduler::put(Nanos now, Task& c, Worker& m) {
     c.out = &m;
     c.sent = now;
-    Neighbour* n = find(m, c.service);
+    ColocatedService* n = find(m, c.service);
     if (!n) {
-        n = &m.neighbours.emplace_back(Neighbour{c.service, 0, 0, 0});
+        n = &m.neighbours.emplace_back(ColocatedService{c.service, 0, 0, 0});
         c.service->at.push_back(&m);
     }
     m.held.push_back(&c);
@@ -474,14 +478,14 @@
     m.new_memory.add(now, c.asked.memory);
 }
 
-void Placer::leave(Nanos now, Container& c) {
-    Machine& m = *c.out;
-    Neighbour* n = find(m, c.service);
+void Scheduler::leave(Nanos now, Task& c) {
+    Worker& m = *c.out;
+    ColocatedService* n = find(m, c.service);
     --n->containers;
     n->running -= c.running;
     if (c.running) n->last_ran = now;
     std::erase(m.held, &c);
-    std::erase_if(m.neighbours, [now, &m](const Neighbour& n) {
+    std::erase_if(m.neighbours, [now, &m](const ColocatedService& n) {
         if (n.containers || now - n.last_ran <= 15 * kSecond) return false;
         std::erase(n.service->at, &m);
         return true;
@@ -517,11 +521,11 @@
 
 // What a machine is taken to hold: the view's asks and this placer's own changes that the view cannot show
 // yet, their use by the usual ratio, and where a report is fresher and says more, that.
-Placer::Load Placer::load(Nanos now, Machine& m, const Asked& more) const {
+Scheduler::Load Scheduler::load(Nanos now, Worker& m, const ResourceRequest& more) const {
     const double cores = used(use_cores_, ask_cores_), memory = used(use_memory_, ask_memory_);
     Load l{m.size->cores - m.listed.free_cores + m.new_cores.sum(now, kViewLag),
            m.size->memory - m.listed.free_memory + m.new_memory.sum(now, kViewLag), 0, 0};
-    const Report& r = m.report;
+    const LoadReport& r = m.report;
     const bool fresh = m.reported_at && now - m.reported_at < kReportHolds;
     const double told_cores = m.size->cores - r.free_cores, told_memory = m.size->memory - r.free_memory;
     const double late_cores = m.new_cores.sum(now, 3), late_memory = m.new_memory.sum(now, 3);
@@ -547,7 +551,7 @@
 }
 
 constexpr double kLeave = 0.9;  // of the room; a fifth less cost more starts than it spared push-outs
-bool Placer::has_room(Nanos now, const Container& c, Machine& m) const {
+bool Scheduler::has_room(Nanos now, const Task& c, Worker& m) const {
     if (m.probed_at > m.heard_at && now - m.probed_at >= kLookWait && now - m.probed_at < kSilentFor)
         return false;
     if (now < m.blocked_until || m.waiting >= m.line || (young(now, m) && !young_bears(now, m))) return false;
@@ -569,7 +573,7 @@
 
 // ---------------------------------------------------------------- young machines
 
-bool Placer::young(Nanos now, const Machine& m) const {
+bool Scheduler::young(Nanos now, const Worker& m) const {
     return m.listed.started > 0 && now - m.listed.started < cold_.warm_after + cold_.window;
 }
 
@@ -582,7 +586,7 @@
 // by however many placers at once. It needs clocks that agree to a part of the window. Nothing is dealt out
 // at the start of a turn, for as long as an attempt may be on its way and clocks may differ: else what leaves
 // at the end of one turn, in the next, and at the start of the third could arrive within one window.
-std::int64_t Placer::slow_start_tokens(const ColdTerms& cold, std::uint64_t mark, Nanos now) {
+std::int64_t Scheduler::slow_start_tokens(const SlowStartSettings& cold, std::uint64_t mark, Nanos now) {
     if (now % cold.window < std::min(kTurnGap, cold.window / 8)) return 0;
     const std::int64_t all = cold.placers, half = static_cast<std::int64_t>(cold.always_borne / 2);
     const std::int64_t turn = now / cold.window + static_cast<std::int64_t>(mark % 1'000'003);
@@ -590,7 +594,7 @@
     return (place + 1) * half / all - place * half / all;
 }
 
-bool Placer::young_bears(Nanos now, Machine& m) const {
+bool Scheduler::young_bears(Nanos now, Worker& m) const {
     if (m.turns >= 0) return m.turns > 0;  // it knows best what it bears
     // Who started anew in this turn has forgotten what it sent in it before, and may have sent its part.
     if (begun_ && now / cold_.window == begun_ / cold_.window) return false;
@@ -603,16 +607,16 @@
 // that fail starts, of one group or all, stand still, are cut off or lose what they hold; heals as the tally
 // turns over. It is added as slow-down (launches needed for one start, less one): where all look bad, the
 // least bad is still used.
-double Placer::failing(Nanos now, Machine& m, std::size_t group) const {
+double Scheduler::failing(Nanos now, Worker& m, std::size_t group) const {
     const double bad = m.failed[group].sum(now);
     return bad <= 0 ? 0 : bad / (bad + m.begun[group].sum(now) + 1);
 }
 
-double Placer::excess(Nanos now, const Machine& m) const {
+double Scheduler::excess(Nanos now, const Worker& m) const {
     double most =
         m.excess > 0 ? m.excess * std::exp2(-seconds(now - m.excess_at) / seconds(kExcessHalves)) : 0;
     if (accepts_.notes_pressure) return most;
-    for (const Container* c : m.held)
+    for (const Task* c : m.held)
         if (c->placed && !c->running) most = std::max(most, late_start(*c, now));
     return most;
 }
@@ -620,14 +624,14 @@
 // Departure (late starts): where no note says how a container is served, what a start takes far beyond the
 // usual one of its queue group stands in for the machine's own slow-down. Guards against slow and shared
 // machines; young ones are slow by nature. One odd start could shun a machine for some seconds.
-double Placer::late_start(const Container& c, Nanos now) const {
+double Scheduler::late_start(const Task& c, Nanos now) const {
     const double usual = usual_start_[2 * static_cast<std::size_t>(c.asked.group) + c.warm_start];
     return usual <= 0 || young(c.sent, *c.out)
                ? 0
                : std::clamp(seconds(now - c.sent) / (kLateStart * usual) - 1, 0.0, 1.0);
 }
 
-double Placer::slow_down(Nanos now, Container& c, Machine& m, double wary, double& start) {
+double Scheduler::slow_down(Nanos now, Task& c, Worker& m, double wary, double& start) {
     double sum = predicted(m, *c.service);
     // Departure (crowding): where running containers suddenly use more, the weights lag; what the machine is
     // known to use then counts at once, by the queue group's own curve.
@@ -655,12 +659,12 @@
 constexpr double kTargetFill = 0.80;                 // of what a machine may be filled to
 constexpr Nanos kWorkingEvery = 250 * kMillisecond;  // the view moves about so often
 
-void Placer::choose_working(Nanos now) {
+void Scheduler::choose_working(Nanos now) {
     next_working_ = now + kWorkingEvery;
-    std::vector<std::pair<double, Machine*>> ranked;  // by how full
+    std::vector<std::pair<double, Worker*>> ranked;  // by how full
     double total = 0, all = 0, held = 0;
-    for (Machine* m : fleet_) {
-        if (m->listed.stage != Stage::serving) continue;
+    for (Worker* m : fleet_) {
+        if (m->listed.stage != EndpointPhase::serving) continue;
         const double cores = 1 - m->listed.free_cores / m->size->cores;
         const double memory = 1 - m->listed.free_memory / m->size->memory;
         const double fill = std::max({cores / accepts_.cores_multiple, memory / accepts_.memory_multiple,
@@ -696,18 +700,18 @@
 constexpr double kOpening = 4;                 // times the price of machines in use; twelve did no more
 constexpr std::uint64_t kDraws = 8 * kSample;  // to find so many with room; past it the fleet is full
 
-bool Placer::fits_nowhere(Nanos now, const Container& c) const {
+bool Scheduler::fits_nowhere(Nanos now, const Task& c) const {
     const NoRoom& none = no_room_[static_cast<std::size_t>(c.asked.group)];
     return now < none.until && c.asked.cores >= none.cores && c.asked.memory >= none.memory;
 }
 
-Machine* Placer::pick(Nanos now, Container& c, bool under_bound) {
+Worker* Scheduler::pick(Nanos now, Task& c, bool under_bound) {
     if (fits_nowhere(now, c)) return nullptr;
-    Machine* best = nullptr;
+    Worker* best = nullptr;
     double best_sum = 0;
     std::size_t seen = 0;
     ++looks_;
-    const auto consider = [&](Machine* m, double cold) {
+    const auto consider = [&](Worker* m, double cold) {
         if (std::exchange(m->seen_in, looks_) == looks_) return false;
         ++seen;
         if ((under_bound && !m->working) || !may_bind(now, c, *m) || !has_room(now, c, *m)) return false;
@@ -722,17 +726,17 @@
         }
         return true;
     };
-    for (Machine* m : c.service->at)
+    for (Worker* m : c.service->at)
         if (warm(now, *m, c.service)) consider(m, 1);
     const double unknown = std::pow(1 - 1.0 / cold_.placers, kTogether);  // one there, and none of them ours
     std::size_t drawn = ring_.empty() ? kSample : 0;
     for (std::uint64_t i = 0; i < kDraws && drawn < kSample && seen < fleet_.size(); ++i)
         drawn += consider(ring_.at(mixed(c.service->mark, i)), 1 - kWarm[drawn] * unknown);
     if (!best && !under_bound)  // nothing in the sample: a wider look
-        for (Machine* m : fleet_) consider(m, 1);
+        for (Worker* m : fleet_) consider(m, 1);
     // Said of all only by one that any machine might have taken.
     if (!best && !under_bound && fleet_.size() > kLargeFleet && c.turned_down.empty() && !c.first_maybe &&
-        c.group->spread == Place::none)
+        c.group->spread == FailureDomain::none)
         no_room_[static_cast<std::size_t>(c.asked.group)] = {c.asked.cores, c.asked.memory,
                                                              now + kWorkingEvery};
     return best;
@@ -747,8 +751,8 @@
 constexpr double kMoveGain = 1.5;   // the gain is an estimate; it must be clear
 constexpr double kMoveBelow = 0.8;  // fuller than this, a move only carries the crowding elsewhere
 
-void Placer::relieve(Nanos now, Container& c) {
-    Machine& m = *c.out;
+void Scheduler::relieve(Nanos now, Task& c) {
+    Worker& m = *c.out;
     if (fleet_fill_ > kMoveBelow || m.excess < kMoveFrom || now - m.relieved_at < kSecond) return;
     m.relieved_at = now;
     if (c.settled || c.group->effect != Effect::idempotent) return;
@@ -767,7 +771,7 @@
 // a machine not heard of lately is probed first, and the container waits that long; the choice is then made
 // anew by what it says. One that does not answer is left alone for a while. Guards against machines that are
 // slow, shared, crowded, standing still, cut off or dead before the list says so.
-bool Placer::look_first(Nanos now, Container& c, Machine& m) {
+bool Scheduler::look_first(Nanos now, Task& c, Worker& m) {
     if (!accepts_.can_probe || prices_.probes > kLookPrice) return false;
     if (now - m.heard_at < kHeardOf || c.looks >= kLooks) return false;
     if (now - m.probed_at >= kLookWait) {
@@ -785,7 +789,7 @@
 constexpr double kGiveUp = 0.5;  // of the queue timeout: tried so long without a machine, it is answered
 // A launch that says nothing is given up so that another still fits, but never before many times the usual
 // answer: a hasty time-out leaves a copy. A container whose repeat could do harm waits for its queue timeout.
-Nanos Placer::time_out(Nanos now, const Container& c) const {
+Nanos Scheduler::time_out(Nanos now, const Task& c) const {
     const Nanos left = c.until - now;
     if (c.group->effect == Effect::side_effecting || c.launches + 1 >= launch_.most) return left;
     const double usual = std::max(8 * answer_s_, accepts_.yes_on_running ? seconds(left) * 0.6 : 0.4);
@@ -793,7 +797,7 @@
     return wait > left * 7 / 10 ? left : wait;
 }
 
-void Placer::launch(Nanos now, Container& c, Machine& m) {
+void Scheduler::launch(Nanos now, Task& c, Worker& m) {
     if (std::exchange(c.in_queue_, false)) queue_.erase(c.queued_);
     const Nanos wait = time_out(now, c);
     put(now, c, m);
@@ -805,13 +809,13 @@
     port_.bind(c, m, wait);
 }
 
-void Placer::wake_by(Nanos now, Nanos at) {
+void Scheduler::wake_by(Nanos now, Nanos at) {
     if (next_wake_ > now && next_wake_ <= at) return;
     next_wake_ = at;
     port_.wake(at);
 }
 
-void Placer::round(Nanos now) {
+void Scheduler::round(Nanos now) {
     if (retry_list_ && now >= retry_list_) {
         retry_list_ = 0;
         port_.follow_list();
@@ -819,18 +823,18 @@
     last_round_ = now;
     if (queue_.empty()) return;
     if (now >= next_working_) choose_working(now);
-    std::vector<Container*> due;
-    for (Container* c : queue_) {
+    std::vector<Task*> due;
+    for (Task* c : queue_) {
         const Service& s = *c->service;
         const double cores = s.cores_notes > 0 ? s.mean_cores : c->asked.cores;
         c->order = cores / std::max(kLeastSlowDown, s.mean_value);
         due.push_back(c);
     }
     std::stable_sort(due.begin(), due.end(),
-                     [](const Container* a, const Container* b) { return a->order > b->order; });
-    for (Container* c : due) {
+                     [](const Task* a, const Task* b) { return a->order > b->order; });
+    for (Task* c : due) {
         if (now >= c->not_before) {
-            Machine* m = pick(now, *c, true);
+            Worker* m = pick(now, *c, true);
             if (!m && c->rounds_without > 0) m = pick(now, *c, false);
             if (m && look_first(now, *c, *m)) continue;
             if (m) {
@@ -847,7 +851,7 @@
         if (now >= c->taken + nanos(seconds(c->until - c->taken) * kGiveUp)) answer(now, *c);
     }
     Nanos next = 0;
-    for (Container* c : queue_)
+    for (Task* c : queue_)
         if (!next || c->not_before < next) next = c->not_before;
     if (next) wake_by(now, std::max(next, now + kMillisecond));
 }
--- a/src/edge/owner_door.cpp
+++ b/src/server/client_endpoint.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "edge/held.h"
+#include "server/endpoints.h"
 
-namespace whinpost::edge {
+namespace whinpost::server {
 
 namespace {
 using log::Level;
@@ -16,12 +16,12 @@
 constexpr std::size_t kLongestMessage = 64 << 10;  // an offer is some hundred bytes
 }  // namespace
 
-OwnerDoor::OwnerDoor(Edge& e, std::unique_ptr<net::Listener> l)
+ClientEndpoint::ClientEndpoint(PlacerServer& e, std::unique_ptr<net::Listener> l)
     : edge_(e), listener_(std::move(l)), sweep_(e.loop_.timer([this] { left_.clear(); })) {}
 
-void OwnerDoor::accept(std::unique_ptr<net::Stream> s) {
+void ClientEndpoint::accept(std::unique_ptr<net::Stream> s) {
     if (static_cast<std::int64_t>(sessions_.size()) >= edge_.intake_.limits().owners) {
-        Sender<v1::ToOwner> sender;
+        MessageWriter<v1::ToOwner> sender;
         v1::ToOwner m;
         m.mutable_error()->set_text("intake.owners: as many owners are connected as are allowed");
         sender.send(s.get(), m);
@@ -29,11 +29,11 @@
         return;
     }
     net::Stream& stream = *s;
-    sessions_.push_back(std::make_unique<OwnerSession>(*this, std::move(s)));
+    sessions_.push_back(std::make_unique<ClientConnection>(*this, std::move(s)));
     edge_.loop_.use(stream, *sessions_.back());
 }
 
-void OwnerDoor::leave(OwnerSession& s) {
+void ClientEndpoint::leave(ClientConnection& s) {
     const auto it =
         std::find_if(sessions_.begin(), sessions_.end(), [&s](const auto& p) { return p.get() == &s; });
     if (it == sessions_.end()) return;
@@ -44,15 +44,16 @@
     sweep_->arm(edge_.loop_.now());
 }
 
-bool OwnerDoor::flushed() const {
+bool ClientEndpoint::flushed() const {
     for (const auto& s : sessions_)
         if (s->stream_ && s->stream_->unsent()) return false;
     return true;
 }
 
-OwnerSession::OwnerSession(OwnerDoor& d, std::unique_ptr<net::Stream> s) : door_(d), stream_(std::move(s)) {}
+ClientConnection::ClientConnection(ClientEndpoint& d, std::unique_ptr<net::Stream> s)
+    : door_(d), stream_(std::move(s)) {}
 
-void OwnerSession::send(const v1::ToOwner& m) {
+void ClientConnection::send(const v1::ToOwner& m) {
     if (!stream_ || leaving_) return;
     sender_.send(stream_.get(), m);
     const std::size_t waits = stream_->unsent();
@@ -71,13 +72,13 @@
     }
 }
 
-void OwnerSession::drained() {
+void ClientConnection::drained() {
     if (!paused_ || leaving_) return;
     paused_ = false;
     stream_->read(true);
 }
 
-bool OwnerSession::refuse(const std::string& why) {
+bool ClientConnection::refuse(const std::string& why) {
     ++door_.edge_.counts_.bad_peers;
     door_.edge_.log_(Level::warning, "bad_owner",
                      {{"owner", name_.empty() ? "?" : name_}, {"peer", stream_->peer()}, {"reason", why}});
@@ -91,38 +92,38 @@
     return false;
 }
 
-std::size_t OwnerSession::received(std::string_view in) {
+std::size_t ClientConnection::received(std::string_view in) {
     if (leaving_) return in.size();
     bool too_long = false;
     const std::size_t done =
-        net::frames(in, kLongestMessage, too_long, [this](std::string_view f) { return message(f); });
+        net::decode_frames(in, kLongestMessage, too_long, [this](std::string_view f) { return message(f); });
     if (too_long) refuse("a message is longer than " + std::to_string(kLongestMessage) + " bytes");
     return leaving_ ? in.size() : done;
 }
 
-void OwnerSession::closed(net::Closed) {
+void ClientConnection::closed(net::CloseReason) {
     if (leaving_) return;
     leaving_ = true;
     door_.leave(*this);
 }
 
-bool OwnerSession::message(std::string_view bytes) {
-    Edge& edge = door_.edge_;
+bool ClientConnection::message(std::string_view bytes) {
+    PlacerServer& edge = door_.edge_;
     v1::FromOwner m;
     if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return refuse("not a message of this protocol");
     if (!greeted_) {
         if (m.of_case() != v1::FromOwner::kHello) return refuse("the first message must be a hello");
-        if (m.hello().version() != kVersion)
+        if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
-                          std::to_string(kVersion));
+                          std::to_string(kProtocolVersion));
         if (m.hello().name().empty() || m.hello().name().size() > 256)
             return refuse("hello.name: must have 1 to 256 bytes");
         greeted_ = true;
         name_ = m.hello().name();
         share.emplace(edge.intake_);
         v1::ToOwner back;
-        back.mutable_hello()->set_version(kVersion);
+        back.mutable_hello()->set_version(kProtocolVersion);
         back.mutable_hello()->set_name(edge.identity_.name);
         back.mutable_hello()->set_incarnation(edge.identity_.incarnation);
         send(back);
@@ -165,4 +166,4 @@
     return true;
 }
 
-}  // namespace whinpost::edge
+}  // namespace whinpost::server
--- a/src/edge/list_door.cpp
+++ b/src/server/discovery_client.cpp
@@ -1,12 +1,12 @@
 #include <cmath>
 
-#include "edge/held.h"
+#include "server/endpoints.h"
 
-namespace whinpost::edge {
+namespace whinpost::server {
 
 namespace {
 using log::Level;
-constexpr std::size_t kLongestMessage = net::kLongestFrame;
+constexpr std::size_t kLongestMessage = net::kMaxFrameSize;
 constexpr Nanos kFirstPause = 100 * kMillisecond, kLongestPause = 5 * kSecond;
 // A call for the list that has no answer by then has failed: a few times what a busy list service takes.
 constexpr Nanos kCallTimeOut = 2 * kSecond;
@@ -23,23 +23,23 @@
 }
 }  // namespace
 
-ListDoor::ListDoor(Edge& e, std::string address, bool on_request)
+DiscoveryClient::DiscoveryClient(PlacerServer& e, std::string address, bool on_request)
     : edge_(e), address_(std::move(address)), on_request_(on_request),
       again_(e.loop_.timer([this] { connect(); })),
       deadline_(e.loop_.timer([this] { lost("no answer in time"); })),
       chance_(static_cast<std::ranlux24_base::result_type>(e.identity_.seed ^ 0x715)) {}
 
-void ListDoor::connect() {
+void DiscoveryClient::connect() {
     greeted_ = false;
     stream_ = edge_.loop_.dial(address_, *this);
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
 }
 
-void ListDoor::send(const v1::ToList& m) { sender_.send(stream_.get(), m); }
+void DiscoveryClient::send(const v1::ToList& m) { sender_.send(stream_.get(), m); }
 
-void ListDoor::connected() {
+void DiscoveryClient::connected() {
     v1::ToList m;
-    m.mutable_hello()->set_version(kVersion);
+    m.mutable_hello()->set_version(kProtocolVersion);
     m.mutable_hello()->set_name(edge_.identity_.name);
     m.mutable_hello()->set_incarnation(edge_.identity_.incarnation);
     send(m);
@@ -47,7 +47,7 @@
 
 // The view that stands is kept. On a push list a new connection brings a whole one; where it must be asked
 // for, the planner asks again after its own pause, and the connection is made meanwhile.
-void ListDoor::lost(std::string_view why) {
+void DiscoveryClient::lost(std::string_view why) {
     deadline_->disarm();
     stream_.reset();
     asked_ = false;
@@ -57,14 +57,14 @@
     edge_.list_failed(why);
 }
 
-void ListDoor::closed(net::Closed why) { lost(net::words(why)); }
+void DiscoveryClient::closed(net::CloseReason why) { lost(net::to_string(why)); }
 
-std::size_t ListDoor::received(std::string_view in) {
+std::size_t DiscoveryClient::received(std::string_view in) {
     bool too_long = false;
     net::Stream* const on = stream_.get();
-    const std::size_t done = net::frames(in, kLongestMessage, too_long, [this, on](std::string_view f) {
-        return message(f) && stream_.get() == on;
-    });
+    const std::size_t done =
+        net::decode_frames(in, kLongestMessage, too_long,
+                           [this, on](std::string_view f) { return message(f) && stream_.get() == on; });
     if (too_long && stream_.get() == on) {
         ++edge_.counts_.bad_peers;
         lost("a message is longer than " + std::to_string(kLongestMessage) + " bytes");
@@ -72,7 +72,7 @@
     return done;
 }
 
-bool ListDoor::message(std::string_view bytes) {
+bool DiscoveryClient::message(std::string_view bytes) {
     const auto refuse = [this](const std::string& why) {
         ++edge_.counts_.bad_peers;
         edge_.log_(Level::warning, "bad_list", {{"reason", why}});
@@ -87,9 +87,9 @@
         return refuse("not a message of this protocol");
     if (!greeted_) {
         if (m.of_case() != v1::FromList::kHello) return refuse("the first message must be a hello");
-        if (m.hello().version() != kVersion)
+        if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
-                          std::to_string(kVersion));
+                          std::to_string(kProtocolVersion));
         greeted_ = true;
         pause_ = 0;
         deadline_->disarm();
@@ -139,7 +139,7 @@
     return true;
 }
 
-void ListDoor::follow() {
+void DiscoveryClient::follow() {
     if (!on_request_) return;  // all changes come anyway
     if (!stream_ || !greeted_) {
         edge_.later([this] { edge_.list_failed("not connected"); });
@@ -152,7 +152,7 @@
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
 }
 
-void ListDoor::fetch() {
+void DiscoveryClient::fetch() {
     if (!stream_ || !greeted_) return;
     v1::ToList m;
     m.mutable_fetch();
@@ -161,4 +161,4 @@
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
 }
 
-}  // namespace whinpost::edge
+}  // namespace whinpost::server
--- a/src/edge/edge.cpp
+++ b/src/server/placer_server.cpp
@@ -1,11 +1,11 @@
-#include "edge/edge.h"
+#include "server/placer_server.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "edge/held.h"
+#include "server/endpoints.h"
 
-namespace whinpost::edge {
+namespace whinpost::server {
 
 namespace {
 
@@ -42,49 +42,51 @@
 constexpr Nanos kLongestWait = 24 * 3600 * kSecond;
 constexpr std::size_t kLongestName = 256;
 
-Reason reason_of(v1::Reason r) { return r >= 0 && r <= 7 ? static_cast<Reason>(r) : Reason::untold; }
+OutcomeReason reason_of(v1::Reason r) {
+    return r >= 0 && r <= 7 ? static_cast<OutcomeReason>(r) : OutcomeReason::untold;
+}
 
-std::string_view words(Reason r) {
+std::string_view to_string(OutcomeReason r) {
     switch (r) {
-        case Reason::untold:
+        case OutcomeReason::untold:
             break;
-        case Reason::no_cores:
+        case OutcomeReason::no_cores:
             return "no cores";
-        case Reason::no_memory:
+        case OutcomeReason::no_memory:
             return "no memory";
-        case Reason::queue_full:
+        case OutcomeReason::queue_full:
             return "too many offers wait";
-        case Reason::not_here:
+        case OutcomeReason::not_here:
             return "not here";
-        case Reason::evicted:
+        case OutcomeReason::evicted:
             return "evicted";
-        case Reason::pushed_out:
+        case OutcomeReason::pushed_out:
             return "pushed out";
-        case Reason::sent_away:
+        case OutcomeReason::sent_away:
             return "sent away";
     }
     return "no reason told";
 }
 
-std::string_view words(Ending e) {
+std::string_view to_string(AttemptOutcome e) {
     switch (e) {
-        case Ending::served:
+        case AttemptOutcome::served:
             return "served";
-        case Ending::error:
+        case AttemptOutcome::error:
             return "error";
-        case Ending::refused:
+        case AttemptOutcome::refused:
             return "refused";
-        case Ending::timed_out:
+        case AttemptOutcome::timed_out:
             return "no answer in time";
-        case Ending::unconnected:
+        case AttemptOutcome::unconnected:
             return "not connected";
-        case Ending::reset:
+        case AttemptOutcome::reset:
             return "broken off";
-        case Ending::cancelled:
+        case AttemptOutcome::cancelled:
             return "stopped";
-        case Ending::unsent:
+        case AttemptOutcome::unsent:
             return "never sent";
-        case Ending::unknown:
+        case AttemptOutcome::unknown:
             break;
     }
     return "unknown";
@@ -92,8 +94,8 @@
 
 }  // namespace
 
-Report report_of(const v1::Report& r) {
-    Report out;
+LoadReport report_of(const v1::Report& r) {
+    LoadReport out;
     const auto take = [](bool has, double v, double& to, bool& flag) {
         flag = has && std::isfinite(v);
         if (flag) to = v;
@@ -105,17 +107,19 @@
     return out;
 }
 
-Edge::Edge(net::Loop& loop, const log::Log& log, Identity identity, ledger::Ledger& ledger,
-           intake::Intake& intake, std::vector<std::string> group_names, std::size_t machine_kinds,
-           link::Terms terms, int dials_at_once, int dials_a_second, bool report_is_free, Nanos cold_for)
+PlacerServer::PlacerServer(net::EventLoop& loop, const log::Logger& log, PlacerIdentity identity,
+                           ledger::Ledger& ledger, admission::AdmissionController& intake,
+                           std::vector<std::string> group_names, std::size_t machine_kinds,
+                           worker_connection::ConnectionSettings terms, int dials_at_once, int dials_a_second,
+                           bool report_is_free, Nanos cold_for)
     : loop_(loop), log_(log), identity_(std::move(identity)), ledger_(ledger), intake_(intake),
       group_names_(std::move(group_names)), kinds_(machine_kinds), wheel_(loop.now()),
       fleet_(*this, loop.now(), terms.drain_grace, report_is_free), taker_(*this, cold_for), regain_(*this),
       fleet_due_(*this), view_due_(*this), tick_(loop.timer([this] { turn(); })),
       round_(loop.timer([this] { round(); })),
-      nodes_(std::make_unique<NodeDoor>(*this, terms, dials_at_once, dials_a_second, identity_.seed)) {}
+      nodes_(std::make_unique<WorkerEndpoint>(*this, terms, dials_at_once, dials_a_second, identity_.seed)) {}
 
-Edge::~Edge() {
+PlacerServer::~PlacerServer() {
     // Sessions and links point into `held_` and the wheel: they go first.
     planning_ = nullptr;
     owners_.reset();
@@ -124,29 +128,29 @@
     nodes_.reset();
 }
 
-std::string Edge::start(const std::string& listen, const std::string& list, bool list_on_request) {
+std::string PlacerServer::start(const std::string& listen, const std::string& list, bool list_on_request) {
     std::string error;
     auto listener = loop_.listen(
         listen, [this](std::unique_ptr<net::Stream> s) { owners_->accept(std::move(s)); }, error);
     if (!listener) return listen + ": " + error;
-    owners_ = std::make_unique<OwnerDoor>(*this, std::move(listener));
-    list_ = std::make_unique<ListDoor>(*this, list, list_on_request);
+    owners_ = std::make_unique<ClientEndpoint>(*this, std::move(listener));
+    list_ = std::make_unique<DiscoveryClient>(*this, list, list_on_request);
     list_->connect();
     log_(Level::info, "listening",
          {{"placer", identity_.name}, {"address", owners_->address()}, {"list", list}});
     return "";
 }
 
-std::string Edge::address() const { return owners_ ? owners_->address() : ""; }
+std::string PlacerServer::address() const { return owners_ ? owners_->address() : ""; }
 
-link::Link* Edge::link(std::string_view node) {
-    NodePeer* p = nodes_->find(node);
+worker_connection::WorkerConnection* PlacerServer::link(std::string_view node) {
+    WorkerPeer* p = nodes_->find(node);
     return p ? &p->link : nullptr;
 }
 
 // ---------------------------------------------------------------- time
 
-void Edge::arm(wheel::Timer& t, Nanos at) {
+void PlacerServer::arm(timer_wheel::Timer& t, Nanos at) {
     wheel_.arm(t, at);
     if (!tick_at_ || at < tick_at_) {
         tick_at_ = at;
@@ -154,26 +158,26 @@
     }
 }
 
-void Edge::turn() {
+void PlacerServer::turn() {
     tick_at_ = 0;
     wheel_.turn(loop_.now());
     const Nanos next = wheel_.next();
     if (next && (!tick_at_ || next < tick_at_)) {
-        tick_at_ = std::max(next, loop_.now() + wheel::Wheel::kTick / 2);
+        tick_at_ = std::max(next, loop_.now() + timer_wheel::TimerWheel::kTick / 2);
         tick_->arm(tick_at_);
     }
 }
 
-void Edge::round_by(Nanos at) {
+void PlacerServer::round_by(Nanos at) {
     at = std::max({at, loop_.now(), last_round_ + pace_});
     if (round_at_ && round_at_ <= at) return;
     round_at_ = at;
     round_->arm(at);
 }
 
-void Edge::touch() { round_by(loop_.now()); }
+void PlacerServer::touch() { round_by(loop_.now()); }
 
-void Edge::run_later() {
+void PlacerServer::run_later() {
     while (!later_.empty()) {
         const auto f = std::move(later_.front());
         later_.pop_front();
@@ -181,7 +185,7 @@
     }
 }
 
-void Edge::round() {
+void PlacerServer::round() {
     round_at_ = 0;
     const Nanos now = loop_.now();
     last_round_ = now;
@@ -201,23 +205,23 @@
     round_by(wake_at_ ? std::min(wake_at_, now + kIdleRound) : now + kIdleRound);
 }
 
-void Edge::wake(Nanos at) {
+void PlacerServer::wake(Nanos at) {
     if (!wake_at_ || at < wake_at_) wake_at_ = at;
     round_by(at);
 }
 
-void Edge::note(std::string_view line) { log_(Level::info, "planner", {{"says", line}}); }
+void PlacerServer::note(std::string_view line) { log_(Level::info, "planner", {{"says", line}}); }
 
 // ---------------------------------------------------------------- from owners
 
-Held* Edge::held(planner::ContainerNumber n) {
+InFlightTask* PlacerServer::held(planner::TaskNumber n) {
     const auto it = held_.find(n);
     return it == held_.end() ? nullptr : it->second.get();
 }
 
 // Of an offer that was checked.
-Asked Edge::asked_of(const v1::Offer& o) const {
-    Asked asked;
+ResourceRequest PlacerServer::asked_of(const v1::Offer& o) const {
+    ResourceRequest asked;
     asked.cores = o.cores();
     asked.memory = o.memory();
     asked.group = static_cast<int>(std::find(group_names_.begin(), group_names_.end(), o.group()) -
@@ -229,12 +233,12 @@
 }
 
 // It counts no more among what waits at the door.
-void Edge::waits_no_more(Held& h) {
+void PlacerServer::waits_no_more(InFlightTask& h) {
     if (std::exchange(h.waiting, false))
         intake_.answered(h.owner ? &*h.owner->share : nullptr, h.record->group_index);
 }
 
-void Edge::stop(const ledger::Launch& l) {
+void PlacerServer::stop(const ledger::Attempt& l) {
     v1::ToNode m;
     m.mutable_stop()->set_launch(l.number);
     nodes_->find(l.node->name)->send(m);
@@ -242,30 +246,30 @@
 }
 
 // What was to be stopped while the node could not be reached runs on there, and nobody wants it.
-void Edge::stop_again(NodePeer& peer) {
-    for (const ledger::Launch* l : peer.link.in_order())
-        if (const Held* h = held(l->record->number); h && h->stopping && !l->over) stop(*l);
+void PlacerServer::stop_again(WorkerPeer& peer) {
+    for (const ledger::Attempt* l : peer.link.in_order())
+        if (const InFlightTask* h = held(l->record->number); h && h->stopping && !l->over) stop(*l);
 }
 
-void Edge::offer(OwnerSession& from, const v1::Offer& o) {
+void PlacerServer::offer(ClientConnection& from, const v1::Offer& o) {
     const Nanos now = loop_.now();
-    Asked asked = asked_of(o);
+    ResourceRequest asked = asked_of(o);
     asked.time_left -= early(o.time_left());
-    const intake::Limit limit = intake_.take(now, *from.share, asked.group);
-    if (limit != intake::Limit::none) {
+    const admission::AdmissionLimit limit = intake_.take(now, *from.share, asked.group);
+    if (limit != admission::AdmissionLimit::none) {
         ++counts_.turned_away;
         v1::ToOwner m;
         m.mutable_deferred()->set_id(o.id());
         m.mutable_deferred()->set_stay_away(kStayAway);
-        m.mutable_deferred()->set_why(std::string(intake::name(limit)));
+        m.mutable_deferred()->set_why(std::string(admission::to_string(limit)));
         from.send(m);
         log_(Level::debug, "turned_away",
-             {{"owner", from.name()}, {"container", o.container()}, {"limit", intake::name(limit)}});
+             {{"owner", from.name()}, {"container", o.container()}, {"limit", admission::to_string(limit)}});
         return;
     }
-    const std::uint64_t service = mark_of(o.service());
-    ledger::Record& r = ledger_.take(now, o.container(), service, asked);
-    auto h = std::make_unique<Held>(*this, r);
+    const std::uint64_t service = stable_hash(o.service());
+    ledger::TaskRecord& r = ledger_.take(now, o.container(), service, asked);
+    auto h = std::make_unique<InFlightTask>(*this, r);
     h->owner = &from;
     h->id = o.id();
     h->service = o.service();
@@ -280,32 +284,32 @@
     touch();
 }
 
-void Edge::lost_to_owner(OwnerSession& owner, std::uint64_t id) {
+void PlacerServer::lost_to_owner(ClientConnection& owner, std::uint64_t id) {
     v1::ToOwner m;
     m.mutable_over()->set_id(id);
     m.mutable_over()->set_how(v1::Over::LOST);
     owner.send(m);
 }
 
-void Edge::hand_over(OwnerSession& from, const v1::HandOver& h) {
-    NodePeer* peer = nodes_->find(h.node());
+void PlacerServer::hand_over(ClientConnection& from, const v1::HandOver& h) {
+    WorkerPeer* peer = nodes_->find(h.node());
     if (peer && peer->member.list.ever) {
         // Gone by the list, and it can't be reached to say otherwise: its owner is to ask anew.
-        if (!peer->node.known && peer->member.standing == fleet::Standing::gone)
+        if (!peer->node.known && peer->member.standing == membership::WorkerState::gone)
             lost_to_owner(from, h.offer().id());
         else take_over(from, h, *peer);
         return;
     }
-    auto a = std::make_unique<Awaited>(Awaited{from, h, nullptr});
+    auto a = std::make_unique<PendingAdoption>(PendingAdoption{from, h, nullptr});
     a->handle = &regain_.wait(loop_.now(), h.node(), a.get());
     from.awaited[h.offer().id()] = std::move(a);
 }
 
-void Edge::found(Nanos now, regain::Handed& h) {
-    Awaited& a = *static_cast<Awaited*>(h.tag);
-    OwnerSession& owner = a.owner;
+void PlacerServer::found(Nanos now, recovery::PendingRecovery& h) {
+    PendingAdoption& a = *static_cast<PendingAdoption*>(h.tag);
+    ClientConnection& owner = a.owner;
     const auto it = owner.awaited.find(a.told.offer().id());
-    const std::unique_ptr<Awaited> kept = std::move(it->second);
+    const std::unique_ptr<PendingAdoption> kept = std::move(it->second);
     owner.awaited.erase(it);
     log_(Level::info, "found_again",
          {{"container", kept->told.offer().container()},
@@ -315,22 +319,22 @@
     if (kept->withdrawn) withdraw(*owner.open.at(kept->told.offer().id()));
 }
 
-void Edge::lost(Nanos, regain::Handed& h) {
-    Awaited& a = *static_cast<Awaited*>(h.tag);
-    OwnerSession& owner = a.owner;
+void PlacerServer::lost(Nanos, recovery::PendingRecovery& h) {
+    PendingAdoption& a = *static_cast<PendingAdoption*>(h.tag);
+    ClientConnection& owner = a.owner;
     const std::uint64_t id = a.told.offer().id();
     log_(Level::warning, "lost", {{"container", a.told.offer().container()}, {"node", h.node}});
     if (!a.withdrawn) lost_to_owner(owner, id);
     owner.awaited.erase(id);
 }
 
-void Edge::take_over(OwnerSession& from, const v1::HandOver& h, NodePeer& peer) {
+void PlacerServer::take_over(ClientConnection& from, const v1::HandOver& h, WorkerPeer& peer) {
     const Nanos now = loop_.now();
     const v1::Offer& o = h.offer();
-    const Asked asked = asked_of(o);
-    const std::uint64_t service = mark_of(o.service());
-    ledger::Record& r = ledger_.take_over(now, o.container(), service, asked, peer.node);
-    auto held = std::make_unique<Held>(*this, r);
+    const ResourceRequest asked = asked_of(o);
+    const std::uint64_t service = stable_hash(o.service());
+    ledger::TaskRecord& r = ledger_.take_over(now, o.container(), service, asked, peer.node);
+    auto held = std::make_unique<InFlightTask>(*this, r);
     held->owner = &from;
     held->id = o.id();
     held->waiting = false;
@@ -345,32 +349,33 @@
 
 // The owner wants it no more: a waiting one is out of the planner's hands at once; what may be at a node is
 // stopped.
-void Edge::withdraw(Held& h) {
+void PlacerServer::withdraw(InFlightTask& h) {
     const Nanos now = loop_.now();
-    ledger::Record& r = *h.record;
+    ledger::TaskRecord& r = *h.record;
     h.stopping = true;
     ledger_.give(now, r, ledger::Answer::withdrawn);
     waits_no_more(h);
     planning_->withdrawn(now, r.number);
-    if (ledger::Launch* l = r.out) {
-        NodePeer& peer = *nodes_->find(l->node->name);
-        if (peer.link.take_back(*l)) launch_over(*l, Ending::unsent, Reason::untold, {});
+    if (ledger::Attempt* l = r.out) {
+        WorkerPeer& peer = *nodes_->find(l->node->name);
+        if (peer.link.take_back(*l)) launch_over(*l, AttemptOutcome::unsent, OutcomeReason::untold, {});
         else stop(*l);
     }
     finish(h);
     touch();
 }
 
-void Edge::owner_left(OwnerSession& s) {
+void PlacerServer::owner_left(ClientConnection& s) {
     for (const auto& [id, a] : s.awaited) regain_.drop(*a->handle);
     s.awaited.clear();
-    std::vector<Held*> theirs;
+    std::vector<InFlightTask*> theirs;
     for (auto& [number, h] : held_)
         if (h->owner == &s) theirs.push_back(h.get());
-    std::sort(theirs.begin(), theirs.end(),
-              [](const Held* a, const Held* b) { return a->record->number < b->record->number; });
+    std::sort(theirs.begin(), theirs.end(), [](const InFlightTask* a, const InFlightTask* b) {
+        return a->record->number < b->record->number;
+    });
     log_(Level::info, "owner_left", {{"owner", s.name()}, {"containers", theirs.size()}});
-    for (Held* h : theirs) {
+    for (InFlightTask* h : theirs) {
         waits_no_more(*h);
         h->owner = nullptr;
         // What has been placed runs on: its owner hands it to a placer when it is back. What waits is not
@@ -382,30 +387,30 @@
 
 // ---------------------------------------------------------------- decisions
 
-void Edge::fault(std::string_view what, planner::ContainerNumber n, std::string_view why) {
+void PlacerServer::fault(std::string_view what, planner::TaskNumber n, std::string_view why) {
     ++counts_.planner_faults;
     log_(Level::warning, "planner_fault", {{"decision", what}, {"container", n}, {"reason", why}});
 }
 
-void Edge::bind(planner::ContainerNumber n, planner::NodeNumber to, Nanos time_out) {
+void PlacerServer::bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
     const Nanos now = loop_.now();
-    Held* h = held(n);
+    InFlightTask* h = held(n);
     if (!h) return fault("bind", n, "the container is not held here");
     const int index = h->bound++;
     const auto untaken = [this, n, index](std::string_view why) {
         fault("bind", n, why);
         // The planner counts it as out: it hears that nothing was sent, once this round is over.
         later([this, n, index] {
-            const Held* still = held(n);
-            planning_->ended(loop_.now(), n, index, Ending::unsent, Reason::untold,
+            const InFlightTask* still = held(n);
+            planning_->ended(loop_.now(), n, index, AttemptOutcome::unsent, OutcomeReason::untold,
                              !still || still->record->answer != ledger::Answer::none, {});
         });
     };
     if (to >= nodes_->size()) return untaken("no such node");
-    NodePeer& peer = nodes_->at(to);
+    WorkerPeer& peer = nodes_->at(to);
     ledger::Refusal why{};
-    ledger::Launch* l = ledger_.launch(now, *h->record, peer.node, time_out, why);
-    if (!l) return untaken(ledger::words(why));
+    ledger::Attempt* l = ledger_.launch(now, *h->record, peer.node, time_out, why);
+    if (!l) return untaken(ledger::to_string(why));
     ++binds_;
     ++out_;
     taker_.spend(now, peer.cold);
@@ -417,8 +422,8 @@
     peer.link.offer(now, *l);
 }
 
-void Edge::defer(planner::ContainerNumber n, Nanos stay_away) {
-    Held* h = held(n);
+void PlacerServer::defer(planner::TaskNumber n, Nanos stay_away) {
+    InFlightTask* h = held(n);
     if (!h) return fault("defer", n, "the container is not held here");
     if (h->record->answer != ledger::Answer::none)
         return;  // crossed: withdrawn, placed, or answered by the clock
@@ -426,56 +431,57 @@
     answer(*h, ledger::Answer::deferred, stay_away, h->why.empty() ? "no node has room" : h->why);
 }
 
-void Edge::kill(planner::ContainerNumber n) {
-    Held* h = held(n);
+void PlacerServer::kill(planner::TaskNumber n) {
+    InFlightTask* h = held(n);
     if (!h) return fault("kill", n, "the container is not held here");
     if (h->record->answer != ledger::Answer::none) return;
     answer(*h, ledger::Answer::killed, 0, h->why.empty() ? "no launch was answered" : h->why);
 }
 
-void Edge::move(planner::ContainerNumber n) {
-    Held* h = held(n);
+void PlacerServer::move(planner::TaskNumber n) {
+    InFlightTask* h = held(n);
     if (!h || !h->record->holds) return fault("move", n, "no node holds the container");
     h->moving = true;
     stop(*h->record->holds);
     log_(Level::info, "move", {{"container", h->record->container}, {"node", h->record->holds->node->name}});
 }
 
-void Edge::stop_waiting(planner::ContainerNumber n, int) {
-    Held* h = held(n);
+void PlacerServer::stop_waiting(planner::TaskNumber n, int) {
+    InFlightTask* h = held(n);
     if (!h || !h->record->out || h->record->holds) return;
-    ledger::Launch& l = *h->record->out;
+    ledger::Attempt& l = *h->record->out;
     later([this, number = l.number] {
-        ledger::Launch* l = launch(number);
+        ledger::Attempt* l = launch(number);
         if (!l || l->over || l->accepted) return;
         const bool here = nodes_->find(l->node->name)->link.take_back(*l);
-        launch_over(*l, here ? Ending::unsent : Ending::cancelled, Reason::untold, {});
+        launch_over(*l, here ? AttemptOutcome::unsent : AttemptOutcome::cancelled, OutcomeReason::untold, {});
     });
 }
 
-void Edge::probe(planner::NodeNumber n) {
+void PlacerServer::probe(planner::WorkerNumber n) {
     if (n >= nodes_->size()) return fault("probe", 0, "no such node");
-    NodePeer& peer = nodes_->at(n);
-    if (peer.link.state() != link::State::up) return;  // no answer: the planner takes it as silent
+    WorkerPeer& peer = nodes_->at(n);
+    if (peer.link.state() != worker_connection::ConnectionState::up)
+        return;  // no answer: the planner takes it as silent
     v1::ToNode m;
     m.mutable_probe()->set_probe(++counts_.probes);
     peer.send(m);
 }
 
-void Edge::follow_list() { list_->follow(); }
-void Edge::fetch_list() { list_->fetch(); }
+void PlacerServer::follow_list() { list_->follow(); }
+void PlacerServer::fetch_list() { list_->fetch(); }
 
 // ---------------------------------------------------------------- from nodes
 
-ledger::Launch* Edge::launch(std::uint64_t number) {
+ledger::Attempt* PlacerServer::launch(std::uint64_t number) {
     const auto it = launches_.find(number);
     return it == launches_.end() ? nullptr : it->second;
 }
 
-void Edge::node_accepted(ledger::Launch& l) {
+void PlacerServer::node_accepted(ledger::Attempt& l) {
     const Nanos now = loop_.now();
     if (l.accepted && !l.over) return;  // said twice
-    Held& h = *held(l.record->number);
+    InFlightTask& h = *held(l.record->number);
     if (!ledger_.accepted(now, l)) {
         // Too late: another copy is wanted, or none. One that must not run twice is never stopped behind its
         // owner's back: the owner is told where it is as soon as it has its answer.
@@ -507,10 +513,10 @@
     touch();
 }
 
-void Edge::node_runs(ledger::Launch& l) {
+void PlacerServer::node_runs(ledger::Attempt& l) {
     const Nanos now = loop_.now();
     if (!ledger_.runs(now, l)) return;
-    Held& h = *held(l.record->number);
+    InFlightTask& h = *held(l.record->number);
     if (h.owner) {
         v1::ToOwner m;
         m.mutable_runs()->set_id(h.id);
@@ -520,34 +526,34 @@
     touch();
 }
 
-void Edge::node_ended(ledger::Launch& l, const v1::Ended& e) {
-    Ending how = Ending::unknown;
+void PlacerServer::node_ended(ledger::Attempt& l, const v1::Ended& e) {
+    AttemptOutcome how = AttemptOutcome::unknown;
     switch (e.how()) {
         case v1::Ended::SERVED:
-            how = Ending::served;
+            how = AttemptOutcome::served;
             break;
         case v1::Ended::ERROR:
-            how = Ending::error;
+            how = AttemptOutcome::error;
             break;
         case v1::Ended::REFUSED:
             // After a yes it is no refusal any more: it was placed, and is lost.
-            how = l.accepted ? Ending::reset : Ending::refused;
+            how = l.accepted ? AttemptOutcome::reset : AttemptOutcome::refused;
             break;
         case v1::Ended::RESET:
-            how = Ending::reset;
+            how = AttemptOutcome::reset;
             break;
         case v1::Ended::STOPPED:
-            how = Ending::cancelled;
+            how = AttemptOutcome::cancelled;
             break;
         default:
             break;
     }
-    const Report report = report_of(e.report());
+    const LoadReport report = report_of(e.report());
     fleet_.reported(loop_.now(), nodes_->find(l.node->name)->member, report);
     launch_over(l, how, reason_of(e.reason()), report);
 }
 
-void Edge::node_note(ledger::Launch& l, const v1::Note& n) {
+void PlacerServer::node_note(ledger::Attempt& l, const v1::Note& n) {
     if (l.over || !std::isfinite(n.value())) return;
     const Nanos now = loop_.now();
     const int index = held(l.record->number)->bound - 1;
@@ -570,7 +576,7 @@
     touch();
 }
 
-void Edge::node_heard(NodePeer& peer, const Report& r) {
+void PlacerServer::node_heard(WorkerPeer& peer, const LoadReport& r) {
     const Nanos now = loop_.now();
     planning_->heard(now, peer.number, r);
     fleet_.reported(now, peer.member, r);
@@ -579,18 +585,19 @@
 
 // ---------------------------------------------------------------- ends and answers
 
-void Edge::launch_over(ledger::Launch& l, Ending how, Reason why, const Report& report) {
+void PlacerServer::launch_over(ledger::Attempt& l, AttemptOutcome how, OutcomeReason why,
+                               const LoadReport& report) {
     const Nanos now = loop_.now();
-    ledger::Record& r = *l.record;
-    Held& h = *held(r.number);
+    ledger::TaskRecord& r = *l.record;
+    InFlightTask& h = *held(r.number);
     if (!ledger_.ended(now, l, how)) {
         if (h.found == &l) h.found = nullptr;  // a copy that nobody waited for has gone
         return;
     }
-    if (NodePeer* peer = nodes_->find(l.node->name)) {
-        const bool given_up = how == Ending::timed_out || how == Ending::cancelled;
+    if (WorkerPeer* peer = nodes_->find(l.node->name)) {
+        const bool given_up = how == AttemptOutcome::timed_out || how == AttemptOutcome::cancelled;
         peer->link.forget(l, !given_up);
-        if (how == Ending::unsent) taker_.unsent(peer->cold);
+        if (how == AttemptOutcome::unsent) taker_.unsent(peer->cold);
         if (given_up) {
             // Best effort, so that no copy stands idle; one that may not run twice is left for its owner to
             // decide on.
@@ -601,24 +608,25 @@
     const bool was_placed = l.accepted;
     if (!was_placed) --out_;
     if (!was_placed)
-        h.why = l.node->name + ": " + std::string(how == Ending::refused ? words(why) : words(how));
+        h.why = l.node->name + ": " +
+                std::string(how == AttemptOutcome::refused ? to_string(why) : to_string(how));
     if (log_.says(Level::debug))
         log_(Level::debug, "launch_over",
              {{"container", r.container},
               {"launch", l.number},
               {"node", l.node->name},
-              {"end", words(how)},
-              {"reason", words(why)}});
+              {"end", to_string(how)},
+              {"reason", to_string(why)}});
     if (was_placed && h.owner) {
         v1::ToOwner m;
         v1::Over& over = *m.mutable_over();
         over.set_id(h.id);
-        over.set_how(h.moving && how == Ending::cancelled ? v1::Over::MOVED
-                     : how == Ending::served              ? v1::Over::SERVED
-                     : how == Ending::error               ? v1::Over::ERROR
-                     : how == Ending::cancelled           ? v1::Over::STOPPED
-                     : why == Reason::untold              ? v1::Over::LOST
-                                                          : v1::Over::RESET);
+        over.set_how(h.moving && how == AttemptOutcome::cancelled ? v1::Over::MOVED
+                     : how == AttemptOutcome::served              ? v1::Over::SERVED
+                     : how == AttemptOutcome::error               ? v1::Over::ERROR
+                     : how == AttemptOutcome::cancelled           ? v1::Over::STOPPED
+                     : why == OutcomeReason::untold               ? v1::Over::LOST
+                                                                  : v1::Over::RESET);
         over.set_reason(static_cast<v1::Reason>(why));
         h.owner->send(m);
     }
@@ -627,9 +635,9 @@
     touch();
 }
 
-void Edge::answer(Held& h, ledger::Answer a, Nanos stay_away, std::string_view why) {
+void PlacerServer::answer(InFlightTask& h, ledger::Answer a, Nanos stay_away, std::string_view why) {
     const Nanos now = loop_.now();
-    ledger::Record& r = *h.record;
+    ledger::TaskRecord& r = *h.record;
     if (!ledger_.give(now, r, a)) return;
     h.answer_by.disarm();
     waits_no_more(h);
@@ -655,48 +663,49 @@
         log_(Level::debug, a == ledger::Answer::deferred ? "deferred" : "killed",
              {{"container", r.container}, {"reason", why}});
     later([this, n = r.number] {
-        if (Held* still = held(n)) finish(*still);
+        if (InFlightTask* still = held(n)) finish(*still);
     });
 }
 
 // Nothing more can come of it, but for a late yes: it is kept in mind for that long, and then forgotten.
-void Edge::finish(Held& h) {
-    ledger::Record& r = *h.record;
+void PlacerServer::finish(InFlightTask& h) {
+    ledger::TaskRecord& r = *h.record;
     if (!r.over) return;
     h.answer_by.disarm();
     h.launch_by.disarm();
     bool late = false;
-    for (const ledger::Launch& l : r.launches) late = late || (l.may_have_run && !l.accepted);
+    for (const ledger::Attempt& l : r.launches) late = late || (l.may_have_run && !l.accepted);
     if (h.owner && !h.found && (!late || r.answer == ledger::Answer::placed)) h.owner->open.erase(h.id);
     if (h.forget_at.armed()) return;
     // Also what ended well is kept to the end of this pass: calls on it may be under way.
     arm(h.forget_at, loop_.now() + (late ? kRemembered : kMillisecond));
 }
 
-void Edge::drop(Held& h) {
-    ledger::Record& r = *h.record;
+void PlacerServer::drop(InFlightTask& h) {
+    ledger::TaskRecord& r = *h.record;
     if (h.owner) h.owner->open.erase(h.id);
-    for (ledger::Launch& l : r.launches) launches_.erase(l.number);
+    for (ledger::Attempt& l : r.launches) launches_.erase(l.number);
     const std::uint64_t number = r.number;
     ledger_.forget(r);
     held_.erase(number);  // destroys `h`
 }
 
 // The launch has had its time. Where it still lies here, nothing of it was sent.
-void Edge::launch_due(Held& h) {
-    ledger::Launch* l = h.record->out;
+void PlacerServer::launch_due(InFlightTask& h) {
+    ledger::Attempt* l = h.record->out;
     if (!l || l->accepted) return;
-    NodePeer& peer = *nodes_->find(l->node->name);
-    launch_over(*l, peer.link.take_back(*l) ? Ending::unsent : Ending::timed_out, Reason::untold, {});
+    WorkerPeer& peer = *nodes_->find(l->node->name);
+    launch_over(*l, peer.link.take_back(*l) ? AttemptOutcome::unsent : AttemptOutcome::timed_out,
+                OutcomeReason::untold, {});
 }
 
 // The owner is about to give up. The planner is heard first: told that the launch that is out has had its
 // time, it answers. If it says nothing, the ledger knows what can honestly be said.
-void Edge::answer_due(Held& h) {
+void PlacerServer::answer_due(InFlightTask& h) {
     const std::uint64_t n = h.record->number;
     if (h.record->answer != ledger::Answer::none) return;
     launch_due(h);
-    Held* still = held(n);
+    InFlightTask* still = held(n);
     if (!still || still->record->answer != ledger::Answer::none) return;
     ++ledger_.tally().answered_by_clock;
     planning_->withdrawn(loop_.now(), n);
@@ -711,22 +720,22 @@
 // holds at once.
 constexpr Nanos kViewEvery = 100 * kMillisecond;
 
-void Edge::entries(const v1::Entries& list) {
+void PlacerServer::entries(const v1::Entries& list) {
     const Nanos now = loop_.now();
     ++counts_.lists;
     list_failing_ = false;
     fleet_.list_begins(now, std::max<Nanos>(list.age(), 0), list.whole());
     for (const v1::Entry& e : list.entries()) {
-        NodePeer& peer = nodes_->meet(e.node());
-        Listed l;
+        WorkerPeer& peer = nodes_->meet(e.node());
+        EndpointState l;
         l.zone = static_cast<int>(e.zone());
         l.cell = static_cast<int>(e.cell());
         l.kind = static_cast<int>(e.kind());
         l.free_cores = e.free_cores();
         l.free_memory = e.free_memory();
-        l.stage = e.stage() == v1::Entry::SERVING    ? Stage::serving
-                  : e.stage() == v1::Entry::DRAINING ? Stage::draining
-                                                     : Stage::gone;
+        l.stage = e.stage() == v1::Entry::SERVING    ? EndpointPhase::serving
+                  : e.stage() == v1::Entry::DRAINING ? EndpointPhase::draining
+                                                     : EndpointPhase::gone;
         l.started = e.up_for() > 0 ? now - e.up_for() : 0;
         fleet_.entry(now, peer.member, l, e.address());
     }
@@ -748,7 +757,7 @@
     touch();
 }
 
-void Edge::list_failed(std::string_view why) {
+void PlacerServer::list_failed(std::string_view why) {
     log_(Level::warning, "list_failed", {{"reason", why}});
     list_failing_ = true;
     if (planning_ && begun_) planning_->list_failed(loop_.now());
@@ -757,22 +766,24 @@
 
 // ---------------------------------------------------------------- the fleet
 
-void Edge::stands(Nanos now, fleet::Member& m, bool) {
-    NodePeer& peer = nodes_->at(m.number);
+void PlacerServer::stands(Nanos now, membership::WorkerEntry& m, bool) {
+    WorkerPeer& peer = nodes_->at(m.number);
     // The ledger holds what was said, not what was made of it: it is a guard of its own.
-    Listed said = m.list.entry;
+    EndpointState said = m.list.entry;
     said.started = m.told.started;
     if (m.list.left_out) ledger_.gone(now, peer.node);
     else ledger_.listed(now, peer.node, said);
-    planning_->node(now, peer.number, mark_of(m.name), m.told);
+    planning_->node(now, peer.number, stable_hash(m.name), m.told);
     holds(now, peer.cold);
-    taker_.stands(now, peer.cold, m.standing == fleet::Standing::serving, m.told.started);
-    const bool gone = m.told.stage == Stage::gone;
+    taker_.stands(now, peer.cold, m.standing == membership::WorkerState::serving, m.told.started);
+    const bool gone = m.told.stage == EndpointPhase::gone;
     if (gone) peer.link.gone(now);
     else peer.link.want(now, true);
     if (log_.says(Level::debug))
         log_(Level::debug, "node_stands",
-             {{"node", m.name}, {"standing", fleet::words(m.standing)}, {"because", fleet_.why(now, m)}});
+             {{"node", m.name},
+              {"standing", membership::to_string(m.standing)},
+              {"because", fleet_.why(now, m)}});
     if (!view_changed_) {
         view_changed_ = true;
         arm(view_due_, now + kViewEvery);
@@ -780,16 +791,16 @@
     touch();
 }
 
-void Edge::drains(Nanos now, fleet::Member& m) {
+void PlacerServer::drains(Nanos now, membership::WorkerEntry& m) {
     nodes_->at(m.number).link.drain_heard(now);
     log_(Level::info, "node_drains", {{"node", m.name}, {"because", fleet_.why(now, m)}});
 }
 
-void Edge::back(Nanos now, fleet::Member& m) {
+void PlacerServer::back(Nanos now, membership::WorkerEntry& m) {
     log_(Level::info, "node_back", {{"node", m.name}, {"because", fleet_.why(now, m)}});
 }
 
-void Edge::list_again(Nanos now) {
+void PlacerServer::list_again(Nanos now) {
     log_(Level::info, "list_again",
          {{"known", fleet_.size()},
           {"doubted", fleet_.doubts()},
@@ -798,33 +809,33 @@
     list_->fetch();
 }
 
-void Edge::dial_anew(Nanos, fleet::Member& m) {
+void PlacerServer::dial_anew(Nanos, membership::WorkerEntry& m) {
     later([this, &m] { nodes_->at(m.number).link.dial_anew(loop_.now()); });
 }
-void Edge::ask(turns::Cold& c, std::uint64_t number, int held, int more) {
+void PlacerServer::ask(slow_start::WarmingWorker& c, std::uint64_t number, int held, int more) {
     v1::ToNode m;
     m.mutable_turns()->set_number(number);
     m.mutable_turns()->set_held(static_cast<std::uint32_t>(held));
     m.mutable_turns()->set_more(static_cast<std::uint32_t>(more));
-    static_cast<NodePeer*>(c.tag)->send(m);
+    static_cast<WorkerPeer*>(c.tag)->send(m);
 }
 
-void Edge::holds(Nanos now, turns::Cold& c) {
-    NodePeer& peer = *static_cast<NodePeer*>(c.tag);
+void PlacerServer::holds(Nanos now, slow_start::WarmingWorker& c) {
+    WorkerPeer& peer = *static_cast<WorkerPeer*>(c.tag);
     peer.node.turns = c.allowed();
     planning_->turns(now, peer.number, peer.node.turns);
     if (c.held() > 0) touch();
 }
 
-void Edge::turn_at(Nanos at) {
+void PlacerServer::turn_at(Nanos at) {
     if (!fleet_due_.armed() || at < fleet_due_.at()) arm(fleet_due_, at);
 }
-void Edge::fleet_due() { fleet_.turn(loop_.now()); }
-void Edge::view_due() {
+void PlacerServer::fleet_due() { fleet_.turn(loop_.now()); }
+void PlacerServer::view_due() {
     if (view_changed_) view_done(loop_.now());
 }
 
-void Edge::view_done(Nanos now) {
+void PlacerServer::view_done(Nanos now) {
     view_changed_ = false;
     view_due_.disarm();
     planning_->list_done(now, false);
@@ -835,7 +846,7 @@
 
 // ---------------------------------------------------------------- closing
 
-void Edge::close(std::function<void()> done) {
+void PlacerServer::close(std::function<void()> done) {
     done_ = std::move(done);
     intake_.close();
     if (owners_) owners_->stop_listening();
@@ -844,7 +855,7 @@
     check_closed();
 }
 
-void Edge::check_closed() {
+void PlacerServer::check_closed() {
     if (!done_) return;
     if (intake_.waiting() == 0 && (!owners_ || owners_->flushed())) {
         const auto done = std::exchange(done_, nullptr);
@@ -874,4 +885,4 @@
     return "";
 }
 
-}  // namespace whinpost::edge
+}  // namespace whinpost::server
--- a/src/edge/node_door.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -1,8 +1,8 @@
 #include <algorithm>
 
-#include "edge/held.h"
+#include "server/endpoints.h"
 
-namespace whinpost::edge {
+namespace whinpost::server {
 
 namespace {
 using log::Level;
@@ -11,44 +11,45 @@
 
 // ---------------------------------------------------------------- the door
 
-NodeDoor::NodeDoor(Edge& e, link::Terms t, int dials_at_once, int dials_a_second, std::uint64_t seed)
+WorkerEndpoint::WorkerEndpoint(PlacerServer& e, worker_connection::ConnectionSettings t, int dials_at_once,
+                               int dials_a_second, std::uint64_t seed)
     : edge(e), terms(t), dialler(dials_at_once, dials_a_second), seed_(seed) {}
 
-NodePeer& NodeDoor::meet(std::string_view name) {
-    if (NodePeer* p = find(name)) return *p;
+WorkerPeer& WorkerEndpoint::meet(std::string_view name) {
+    if (WorkerPeer* p = find(name)) return *p;
     // Another jitter for each link, and for each placer: the same for the same seed.
-    const std::uint64_t seed = (seed_ ^ mark_of(name)) * 0x9e3779b97f4a7c15u;
+    const std::uint64_t seed = (seed_ ^ stable_hash(name)) * 0x9e3779b97f4a7c15u;
     peers_.push_back(
-        std::make_unique<NodePeer>(*this, edge.ledger_.meet(name), edge.fleet_.meet(name), seed));
+        std::make_unique<WorkerPeer>(*this, edge.ledger_.meet(name), edge.fleet_.meet(name), seed));
     names_[std::string(name)] = peers_.back().get();
     return *peers_.back();
 }
 
-NodePeer* NodeDoor::find(std::string_view name) {
+WorkerPeer* WorkerEndpoint::find(std::string_view name) {
     const auto it = names_.find(name);
     return it == names_.end() ? nullptr : it->second;
 }
 
 namespace {
-NodePeer& peer_of(const link::Link& l) { return *static_cast<NodePeer*>(l.tag); }
+WorkerPeer& peer_of(const worker_connection::WorkerConnection& l) { return *static_cast<WorkerPeer*>(l.tag); }
 }  // namespace
 
-void NodeDoor::dial(link::Link& l) {
-    NodePeer& p = peer_of(l);
+void WorkerEndpoint::dial(worker_connection::WorkerConnection& l) {
+    WorkerPeer& p = peer_of(l);
     p.stream = edge.loop_.dial(p.member.address, p);
 }
-void NodeDoor::drop(link::Link& l, bool at_once) {
-    NodePeer& p = peer_of(l);
+void WorkerEndpoint::drop(worker_connection::WorkerConnection& l, bool at_once) {
+    WorkerPeer& p = peer_of(l);
     if (p.stream && at_once) p.stream->abort();
     p.stream.reset();
 }
-void NodeDoor::write(link::Link& l, ledger::Launch& launch) {
-    const ledger::Record& r = *launch.record;
+void WorkerEndpoint::write(worker_connection::WorkerConnection& l, ledger::Attempt& launch) {
+    const ledger::TaskRecord& r = *launch.record;
     v1::ToNode m;
     v1::Launch& out = *m.mutable_launch();
     out.set_launch(launch.number);
     out.set_container(r.container);
-    if (const Held* h = edge.held(r.number)) out.set_service(h->service);
+    if (const InFlightTask* h = edge.held(r.number)) out.set_service(h->service);
     out.set_group(static_cast<std::uint32_t>(r.group_index));
     out.set_cores(r.asked.cores);
     out.set_memory(r.asked.memory);
@@ -57,42 +58,45 @@
     out.set_not_after(l.there(launch.until));
     peer_of(l).send(m);
 }
-void NodeDoor::ask_for_life(link::Link& l) {
+void WorkerEndpoint::ask_for_life(worker_connection::WorkerConnection& l) {
     v1::ToNode m;
     m.mutable_probe()->set_probe(0);  // no probe of the planner's: its answer is only a sign of life
     peer_of(l).send(m);
 }
-void NodeDoor::ask_after(link::Link& l, ledger::Launch& launch) {
+void WorkerEndpoint::ask_after(worker_connection::WorkerConnection& l, ledger::Attempt& launch) {
     v1::ToNode m;
     m.mutable_adopt()->set_launch(launch.number);
     m.mutable_adopt()->set_container(launch.record->container);
     peer_of(l).send(m);
 }
-std::size_t NodeDoor::unsent(const link::Link& l) const {
-    const NodePeer& p = peer_of(l);
+std::size_t WorkerEndpoint::unsent(const worker_connection::WorkerConnection& l) const {
+    const WorkerPeer& p = peer_of(l);
     return p.stream ? p.stream->unsent() : 0;
 }
-std::uint64_t NodeDoor::handed(const link::Link& l) const {
-    const NodePeer& p = peer_of(l);
+std::uint64_t WorkerEndpoint::handed(const worker_connection::WorkerConnection& l) const {
+    const WorkerPeer& p = peer_of(l);
     return p.stream ? p.stream->handed() : 0;
 }
-std::uint64_t NodeDoor::written(const link::Link& l) const {
-    const NodePeer& p = peer_of(l);
+std::uint64_t WorkerEndpoint::written(const worker_connection::WorkerConnection& l) const {
+    const WorkerPeer& p = peer_of(l);
     return p.stream ? p.stream->handed() + p.stream->unsent() : 0;
 }
-bool NodeDoor::may_still_send(Nanos now, const ledger::Launch& l) const {
+bool WorkerEndpoint::may_still_send(Nanos now, const ledger::Attempt& l) const {
     return edge.ledger_.may_still_send(now, l);
 }
-void NodeDoor::over(Nanos, ledger::Launch& l, Ending how) {
+void WorkerEndpoint::over(Nanos, ledger::Attempt& l, AttemptOutcome how) {
     // A bind may be under way in the planner: it hears of it after its round.
     edge.later([this, number = l.number, how] {
-        if (ledger::Launch* still = edge.launch(number)) edge.launch_over(*still, how, Reason::untold, {});
+        if (ledger::Attempt* still = edge.launch(number))
+            edge.launch_over(*still, how, OutcomeReason::untold, {});
     });
 }
-void NodeDoor::wake(link::Link& l, Nanos at) { edge.arm(peer_of(l).tick, std::max(at, edge.loop_.now())); }
+void WorkerEndpoint::wake(worker_connection::WorkerConnection& l, Nanos at) {
+    edge.arm(peer_of(l).tick, std::max(at, edge.loop_.now()));
+}
 
-void NodeDoor::down(Nanos now, link::Link& l, bool was_up) {
-    NodePeer& p = peer_of(l);
+void WorkerEndpoint::down(Nanos now, worker_connection::WorkerConnection& l, bool was_up) {
+    WorkerPeer& p = peer_of(l);
     // One that closes within the greeting is as far away as one that can't be dialled.
     if (was_up) edge.fleet_.broken(now, p.member);
     else edge.fleet_.dial_failed(now, p.member);
@@ -101,24 +105,26 @@
 
 // ---------------------------------------------------------------- one node
 
-NodePeer::NodePeer(NodeDoor& d, ledger::Node& n, fleet::Member& m, std::uint64_t seed)
+WorkerPeer::WorkerPeer(WorkerEndpoint& d, ledger::WorkerRecord& n, membership::WorkerEntry& m,
+                       std::uint64_t seed)
     : door(d), node(n), member(m), number(m.number), tick(*this), link(d, d.dialler, n, d.terms, seed),
       cold(d.edge.taker_) {
     link.tag = this;
     cold.tag = this;
 }
 
-void NodePeer::Tick::due(Nanos now) { peer.link.tick(now); }
+void WorkerPeer::Tick::due(Nanos now) { peer.link.tick(now); }
 
-void NodePeer::send(const v1::ToNode& m) {
-    if (link.state() == link::State::up || m.has_hello()) sender_.send(stream.get(), m);
+void WorkerPeer::send(const v1::ToNode& m) {
+    if (link.state() == worker_connection::ConnectionState::up || m.has_hello())
+        sender_.send(stream.get(), m);
 }
 
-void NodePeer::connected() {
+void WorkerPeer::connected() {
     const Nanos now = door.edge.loop_.now();
     link.connected(now);
     v1::ToNode m;
-    m.mutable_hello()->set_version(kVersion);
+    m.mutable_hello()->set_version(kProtocolVersion);
     m.mutable_hello()->set_name(door.edge.identity_.name);
     m.mutable_hello()->set_incarnation(door.edge.identity_.incarnation);
     send(m);
@@ -126,20 +132,20 @@
     name_.clear();
 }
 
-void NodePeer::drained() { link.drained(door.edge.loop_.now()); }
+void WorkerPeer::drained() { link.drained(door.edge.loop_.now()); }
 
-void NodePeer::closed(net::Closed why) {
+void WorkerPeer::closed(net::CloseReason why) {
     const Nanos now = door.edge.loop_.now();
     const std::uint64_t handed = stream ? stream->handed() : 0;
     stream.reset();
-    door.edge.log_(Level::debug, "node_closed", {{"node", node.name}, {"reason", net::words(why)}});
-    if (link.state() == link::State::dialling) link.dial_failed(now);
+    door.edge.log_(Level::debug, "node_closed", {{"node", node.name}, {"reason", net::to_string(why)}});
+    if (link.state() == worker_connection::ConnectionState::dialling) link.dial_failed(now);
     else link.broken(now, handed);
     door.edge.touch();
 }
 
-bool NodePeer::refuse(const std::string& why) {
-    Edge& edge = door.edge;
+bool WorkerPeer::refuse(const std::string& why) {
+    PlacerServer& edge = door.edge;
     ++edge.counts_.bad_peers;
     edge.log_(Level::warning, "bad_node", {{"node", node.name}, {"reason", why}});
     v1::ToNode m;
@@ -152,20 +158,20 @@
     return false;
 }
 
-std::size_t NodePeer::received(std::string_view in) {
+std::size_t WorkerPeer::received(std::string_view in) {
     bool too_long = false;
     link.heard(door.edge.loop_.now());
     net::Stream* const on = stream.get();
-    const std::size_t done = net::frames(in, kLongestMessage, too_long, [this, on](std::string_view f) {
-        return message(f) && stream.get() == on;
-    });
+    const std::size_t done =
+        net::decode_frames(in, kLongestMessage, too_long,
+                           [this, on](std::string_view f) { return message(f) && stream.get() == on; });
     if (too_long && stream.get() == on)
         refuse("a message is longer than " + std::to_string(kLongestMessage) + " bytes");
     return done;
 }
 
-bool NodePeer::message(std::string_view bytes) {
-    Edge& edge = door.edge;
+bool WorkerPeer::message(std::string_view bytes) {
+    PlacerServer& edge = door.edge;
     const Nanos now = edge.loop_.now();
     v1::FromNode m;
     if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
@@ -176,9 +182,9 @@
             return true;
         }
         if (m.of_case() != v1::FromNode::kHello) return refuse("the first message must be a hello");
-        if (m.hello().version() != kVersion)
+        if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
-                          std::to_string(kVersion));
+                          std::to_string(kProtocolVersion));
         // Another node may stand at the address now: what is meant for one is not told to the other.
         if (m.hello().name() != node.name) {
             edge.fleet_.stranger();
@@ -192,7 +198,7 @@
     // The launch that a message names: null and `never` false for one that is forgotten by now.
     bool never = false;
     const auto launch = [&](std::uint64_t n) {
-        ledger::Launch* l = edge.launch(n);
+        ledger::Attempt* l = edge.launch(n);
         never = !l && !edge.ledger_.given(n);
         if (l && l->node != &node) {
             never = true;
@@ -205,13 +211,14 @@
         case v1::FromNode::kHello:
             return refuse("a second hello");
         case v1::FromNode::kHolding: {
-            if (link.state() != link::State::greeting) return refuse("a second greeting");
+            if (link.state() != worker_connection::ConnectionState::greeting)
+                return refuse("a second greeting");
             std::vector<std::uint64_t> holds;
             for (const v1::Held& h : m.holding().held()) holds.push_back(h.launch());
             if (link.incarnation() && link.incarnation() != incarnation_)
                 edge.ledger_.started_anew(now, node);
             edge.ledger_.said(now, node, m.holding().draining());
-            const Report report = report_of(m.holding().report());
+            const LoadReport report = report_of(m.holding().report());
             edge.fleet_.greeted(now, member, incarnation_, std::max<Nanos>(m.holding().up_for(), 0),
                                 m.holding().draining(), report);
             edge.planning_->heard(now, number, report);
@@ -220,7 +227,7 @@
             edge.stop_again(*this);
             edge.taker_.greeted(now, cold, m.holding().gives_turns());
             for (const v1::Held& h : m.holding().held()) {
-                ledger::Launch* l = launch(h.launch());
+                ledger::Attempt* l = launch(h.launch());
                 if (!l) continue;  // of long ago, or another node's: it is the node's to clear up
                 if (h.accepted()) edge.node_accepted(*l);
                 if (h.running()) edge.node_runs(*l);
@@ -234,16 +241,16 @@
             link.received(now, m.received().launches());
             return true;
         case v1::FromNode::kAccepted:
-            if (ledger::Launch* l = launch(m.accepted().launch())) edge.node_accepted(*l);
+            if (ledger::Attempt* l = launch(m.accepted().launch())) edge.node_accepted(*l);
             return !never || refuse(kNever);
         case v1::FromNode::kRunning:
-            if (ledger::Launch* l = launch(m.running().launch())) edge.node_runs(*l);
+            if (ledger::Attempt* l = launch(m.running().launch())) edge.node_runs(*l);
             return !never || refuse(kNever);
         case v1::FromNode::kEnded:
-            if (ledger::Launch* l = launch(m.ended().launch())) edge.node_ended(*l, m.ended());
+            if (ledger::Attempt* l = launch(m.ended().launch())) edge.node_ended(*l, m.ended());
             return !never || refuse(kNever);
         case v1::FromNode::kNote:
-            if (ledger::Launch* l = launch(m.note().launch())) edge.node_note(*l, m.note());
+            if (ledger::Attempt* l = launch(m.note().launch())) edge.node_note(*l, m.note());
             return !never || refuse(kNever);
         case v1::FromNode::kProbeReply:
             if (m.probe_reply().probe() == 0) return true;
@@ -267,4 +274,4 @@
     return true;
 }
 
-}  // namespace whinpost::edge
+}  // namespace whinpost::server
--- a/src/terms/terms.cpp
+++ b/src/settings/settings.cpp
@@ -1,12 +1,12 @@
-#include "terms/terms.h"
+#include "settings/settings.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 
-namespace whinpost::terms {
+namespace whinpost::settings {
 
-void Paths::put_pairs(std::string_view text) {
+void Settings::put_pairs(std::string_view text) {
     while (!text.empty()) {
         const std::size_t end = text.find(' ');
         const std::string_view pair = text.substr(0, end);
@@ -18,34 +18,34 @@
     }
 }
 
-void Paths::wrong(std::string_view path, std::string_view what) const {
-    throw Wrong(source_ + ": " + std::string(path) + " " + std::string(what));
+void Settings::wrong(std::string_view path, std::string_view what) const {
+    throw SettingsError(source_ + ": " + std::string(path) + " " + std::string(what));
 }
-bool Paths::has(const std::string& path) const {
+bool Settings::has(const std::string& path) const {
     const auto it = values_.find(path);
     return it != values_.end() && it->second != "-" && !it->second.empty();
 }
-std::string_view Paths::text(const std::string& path) const {
+std::string_view Settings::text(const std::string& path) const {
     if (!has(path)) wrong(path, "is missing");
     return values_.at(path);
 }
-double Paths::positive(const std::string& path) const {
+double Settings::positive(const std::string& path) const {
     const double v = real(path);
     if (!(v > 0)) wrong(path, "must be above zero");
     return v;
 }
-Nanos Paths::micros(const std::string& path) const {
+Nanos Settings::micros(const std::string& path) const {
     const double v = real(path);
     if (v < 0 || v > 9e14) wrong(path, "is out of range");
     return static_cast<Nanos>(v) * kMicrosecond;
 }
-bool Paths::truth(const std::string& path) const {
+bool Settings::truth(const std::string& path) const {
     const std::string_view v = text(path);
     if (v == "true" || v == "1") return true;
     if (v == "false" || v == "0") return false;
     wrong(path, "is not true or false");
 }
-std::vector<std::string_view> Paths::list(const std::string& path) const {
+std::vector<std::string_view> Settings::list(const std::string& path) const {
     std::vector<std::string_view> out;
     const auto it = values_.find(path);
     if (it == values_.end() || it->second.empty()) return out;
@@ -56,11 +56,11 @@
         rest = rest.substr(comma + 1);
     }
 }
-std::string_view Paths::nth(const std::string& path, std::size_t i, std::string_view absent) const {
+std::string_view Settings::nth(const std::string& path, std::size_t i, std::string_view absent) const {
     const auto all = list(path);
     return all.empty() ? absent : all[std::min(i, all.size() - 1)];
 }
-double Paths::number(const std::string& path, std::string_view v) const {
+double Settings::number(const std::string& path, std::string_view v) const {
     double out{};
     const auto [at, error] = std::from_chars(v.data(), v.data() + v.size(), out);
     if (error != std::errc{} || at != v.data() + v.size() || !std::isfinite(out))
@@ -70,15 +70,15 @@
 
 namespace {
 
-Place place_of(const Paths& p, const std::string& path, std::string_view v) {
-    if (v == "off" || v == "none") return Place::none;
-    if (v == "machine") return Place::machine;
-    if (v == "cell") return Place::cell;
-    if (v == "zone") return Place::zone;
-    if (v == "all") return Place::all;
+FailureDomain place_of(const Settings& p, const std::string& path, std::string_view v) {
+    if (v == "off" || v == "none") return FailureDomain::none;
+    if (v == "machine") return FailureDomain::machine;
+    if (v == "cell") return FailureDomain::cell;
+    if (v == "zone") return FailureDomain::zone;
+    if (v == "all") return FailureDomain::all;
     p.wrong(path, "names no known kind of place");
 }
-std::size_t group_count(const Paths& p) {
+std::size_t group_count(const Settings& p) {
     const double count = p.real("classes.count");
     if (!(count >= 1 && count <= 10'000)) p.wrong("classes.count", "is out of range");
     return static_cast<std::size_t>(count);
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-std::vector<QueueGroup> queue_groups(const Paths& p) {
+std::vector<QueueGroup> queue_groups(const Settings& p) {
     std::vector<QueueGroup> groups;
     const std::size_t count = group_count(p);
     for (std::size_t i = 0; i < count; ++i) {
@@ -118,22 +118,22 @@
     return groups;
 }
 
-std::vector<std::string> group_names(const Paths& p) {
+std::vector<std::string> group_names(const Settings& p) {
     std::vector<std::string> names;
     const std::size_t count = group_count(p);
     for (std::size_t i = 0; i < count; ++i) names.emplace_back(p.text(group_path(i) + "name"));
     return names;
 }
 
-std::vector<MachineKind> machine_kinds(const Paths& p) {
-    std::vector<MachineKind> kinds;
+std::vector<WorkerKind> worker_kinds(const Settings& p) {
+    std::vector<WorkerKind> kinds;
     const auto cores = p.list("family_info.cpu_of_kind"), memory = p.list("family_info.size_memory");
     if (cores.empty()) p.wrong("family_info.cpu_of_kind", "names no machine kind");
     if (memory.size() != cores.size())
         p.wrong("family_info.size_memory", "does not match family_info.cpu_of_kind");
     for (std::size_t i = 0; i < cores.size(); ++i) {
-        const MachineKind k{p.number("family_info.cpu_of_kind", cores[i]),
-                            p.number("family_info.size_memory", memory[i])};
+        const WorkerKind k{p.number("family_info.cpu_of_kind", cores[i]),
+                           p.number("family_info.size_memory", memory[i])};
         if (!(k.cores > 0)) p.wrong("family_info.cpu_of_kind", "must be above zero");
         if (!(k.memory > 0)) p.wrong("family_info.size_memory", "must be above zero");
         kinds.push_back(k);
@@ -141,7 +141,7 @@
     return kinds;
 }
 
-Acceptance acceptance(const Paths& p) {
+WorkerAcceptance worker_acceptance(const Settings& p) {
     return {p.positive("family_info.accepts_cores"),
             p.positive("family_info.memory_multiple"),
             p.nth("family_info.free_by", 0, "asked") == "used",
@@ -151,24 +151,24 @@
             p.truth_or("family_info.says_pressure", true)};
 }
 
-ColdTerms cold_terms(const Paths& p) {
-    ColdTerms cold{p.positive("contract.cold_from"),        p.micros("contract.cold_us"),
-                   p.positive("contract.fall_multiple"),    p.micros("contract.fall_us"),
-                   p.real_or("family_info.young_limit", 0), static_cast<int>(p.positive("balancers")),
-                   static_cast<int>(p.real_or("me", 0))};
+SlowStartSettings slow_start_settings(const Settings& p) {
+    SlowStartSettings cold{p.positive("contract.cold_from"),        p.micros("contract.cold_us"),
+                           p.positive("contract.fall_multiple"),    p.micros("contract.fall_us"),
+                           p.real_or("family_info.young_limit", 0), static_cast<int>(p.positive("balancers")),
+                           static_cast<int>(p.real_or("me", 0))};
     if (cold.placers < 1) p.wrong("balancers", "must be one or more");
     if (cold.me < 0 || cold.me >= cold.placers) p.wrong("me", "is out of range");
     if (cold.window <= 0) p.wrong("contract.fall_us", "must be above zero");
     return cold;
 }
 
-ListTerms list_terms(const Paths& p) {
+DiscoverySettings discovery_settings(const Settings& p) {
     return {p.text("discovery") == "on_request", p.micros_or_zero("contract.ask_every_us")};
 }
-LaunchTerms launch_terms(const Paths& p) {
+RetrySettings retry_settings(const Settings& p) {
     return {static_cast<int>(p.positive("limits.send_cap")), p.truth_or("limits.cancelling", false)};
 }
-Prices prices(const Paths& p) {
+Prices prices(const Settings& p) {
     return {p.real_or("penalties.fleet", 0),
             p.real_or("penalties.moves", 0),
             p.real_or("penalties.waste", 0),
@@ -178,7 +178,7 @@
             p.real_or("family_info.turned_down_price", 0)};
 }
 
-int zone(const Paths& p) {
+int zone(const Settings& p) {
     const auto zones = p.list("zones");
     if (zones.empty()) p.wrong("zones", "names no zone");
     const double zone = p.real("zone");
@@ -186,7 +186,7 @@
     return static_cast<int>(zone);
 }
 
-bool read_report(std::string_view rest, char between, Report& r) {
+bool parse_load_report(std::string_view rest, char between, LoadReport& r) {
     while (!rest.empty()) {
         const std::size_t end = rest.find(between);
         const std::string_view pair = rest.substr(0, end);
@@ -210,4 +210,4 @@
     return true;
 }
 
-}  // namespace whinpost::terms
+}  // namespace whinpost::settings
--- a/src/terms/terms.h
+++ b/src/settings/settings.h
@@ -9,19 +9,19 @@
 #include <string_view>
 #include <vector>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::terms {
+namespace whinpost::settings {
 
-struct Wrong : std::runtime_error {
+struct SettingsError : std::runtime_error {
     using std::runtime_error::runtime_error;
 };
 
 // Values by path, as `classes.0.aim_us` or `family_info.cpu_of_kind` (a list: its values with commas between
 // them; a list of objects has its length under `.count`). Absent is "-" or empty.
-class Paths {
+class Settings {
 public:
-    explicit Paths(std::string source) : source_(std::move(source)) {}  // errors begin with it
+    explicit Settings(std::string source) : source_(std::move(source)) {}  // errors begin with it
     void put(std::string path, std::string value) { values_.emplace(std::move(path), std::move(value)); }
     // `path=value` pairs with one space between them.
     void put_pairs(std::string_view text);
@@ -46,18 +46,18 @@
     std::map<std::string, std::string, std::less<>> values_;
 };
 
-std::vector<QueueGroup> queue_groups(const Paths&);
-std::vector<std::string> group_names(const Paths&);
-std::vector<MachineKind> machine_kinds(const Paths&);
-Acceptance acceptance(const Paths&);
-ColdTerms cold_terms(const Paths&);
-ListTerms list_terms(const Paths&);
-LaunchTerms launch_terms(const Paths&);
-Prices prices(const Paths&);
-int zone(const Paths&);
+std::vector<QueueGroup> queue_groups(const Settings&);
+std::vector<std::string> group_names(const Settings&);
+std::vector<WorkerKind> worker_kinds(const Settings&);
+WorkerAcceptance worker_acceptance(const Settings&);
+SlowStartSettings slow_start_settings(const Settings&);
+DiscoverySettings discovery_settings(const Settings&);
+RetrySettings retry_settings(const Settings&);
+Prices prices(const Settings&);
+int zone(const Settings&);
 
 // A load report, pairs `name:value` with `between` between them; names that say nothing here pass. False
 // where it can't be read or a value is no finite number.
-bool read_report(std::string_view text, char between, Report&);
+bool parse_load_report(std::string_view text, char between, LoadReport&);
 
-}  // namespace whinpost::terms
+}  // namespace whinpost::settings
--- a/src/turns/taker.cpp
+++ b/src/slow_start/token_client.cpp
@@ -1,8 +1,8 @@
-#include "turns/taker.h"
+#include "slow_start/token_client.h"
 
 #include <algorithm>
 
-namespace whinpost::turns {
+namespace whinpost::slow_start {
 
 namespace {
 // Turns at one node at a time, held and asked for. A start on a cold node takes long: more than a few offers
@@ -20,20 +20,21 @@
 constexpr Nanos kBucket = 100 * kMillisecond;
 }  // namespace
 
-Taker::Taker(TakerPort& port, Nanos cold_for) : port_(port), cold_for_(cold_for), taken_(kBucket) {}
+TokenClient::TokenClient(TokenClientHandler& port, Nanos cold_for)
+    : port_(port), cold_for_(cold_for), taken_(kBucket) {}
 
-Cold::Cold(Taker& t) : taker_(t) {}
-Cold::~Cold() { std::erase(taker_.cold_, this); }
+WarmingWorker::WarmingWorker(TokenClient& t) : taker_(t) {}
+WarmingWorker::~WarmingWorker() { std::erase(taker_.cold_, this); }
 
 // Among those that may be asked, or not.
-void Taker::list(Nanos now, Cold& c) {
+void TokenClient::list(Nanos now, WarmingWorker& c) {
     const auto at = std::find(cold_.begin(), cold_.end(), &c);
     if (wanted(now, c) == (at != cold_.end())) return;
     if (at == cold_.end()) cold_.push_back(&c);
     else cold_.erase(at);
 }
 
-void Taker::greeted(Nanos now, Cold& c, bool gives) {
+void TokenClient::greeted(Nanos now, WarmingWorker& c, bool gives) {
     c.up_ = true;
     c.gives_ = gives;
     c.held_ = c.more_ = 0;
@@ -42,21 +43,21 @@
     port_.holds(now, c);
 }
 
-void Taker::broken(Nanos now, Cold& c) {
+void TokenClient::broken(Nanos now, WarmingWorker& c) {
     c.up_ = false;
     c.held_ = c.more_ = 0;
     list(now, c);
     port_.holds(now, c);
 }
 
-void Taker::stands(Nanos now, Cold& c, bool serving, Nanos started) {
+void TokenClient::stands(Nanos now, WarmingWorker& c, bool serving, Nanos started) {
     c.serving_ = serving;
     c.young_until_ = started > 0 ? started + cold_for_ : 0;
     if (!wanted(now, c) && c.held_ + c.more_ > 0 && c.up_) tell(now, c, 0, 0);
     list(now, c);
 }
 
-void Taker::tell(Nanos now, Cold& c, int held, int more) {
+void TokenClient::tell(Nanos now, WarmingWorker& c, int held, int more) {
     counts_.back += static_cast<std::uint64_t>(std::max(0, c.held_ - held));
     counts_.asks += more > c.more_;
     const bool changed = held != c.held_;
@@ -67,7 +68,7 @@
     if (changed) port_.holds(now, c);
 }
 
-void Taker::given(Nanos now, Cold& c, std::uint64_t number, int turns) {
+void TokenClient::given(Nanos now, WarmingWorker& c, std::uint64_t number, int turns) {
     // Given before the node read the latest request: it takes these back when it does.
     if (number != c.number_ || turns <= 0 || turns > c.more_) {
         ++counts_.stray;
@@ -80,7 +81,7 @@
     port_.holds(now, c);
 }
 
-void Taker::spend(Nanos now, Cold& c) {
+void TokenClient::spend(Nanos now, WarmingWorker& c) {
     if (!c.gives() || c.held_ == 0) return;
     --c.held_;
     c.since_ = now;
@@ -89,15 +90,15 @@
     port_.holds(now, c);
 }
 
-void Taker::unsent(Cold& c) {
+void TokenClient::unsent(WarmingWorker& c) {
     if (c.gives()) port_.ask(c, ++c.number_, c.held_, c.more_);
 }
 
-void Taker::waiting(Nanos now, std::size_t containers) {
+void TokenClient::waiting(Nanos now, std::size_t containers) {
     if (cold_.empty()) return;
     containers += static_cast<std::size_t>(taken_.sum(now) * static_cast<double>(kUnused) / 1e9);
     // What is held and not used for a while; what was asked for while nothing waits any more.
-    for (Cold* c : cold_) {
+    for (WarmingWorker* c : cold_) {
         const bool idle = c->held_ > 0 && now - c->since_ >= kUnused;
         if (idle) {
             c->pause_ = c->pause_ ? std::min(kLongestPause, 2 * c->pause_) : kFirstPause;
@@ -106,15 +107,15 @@
         if (idle || (c->more_ > 0 && containers == 0) || (c->held_ + c->more_ > 0 && !wanted(now, *c)))
             tell(now, *c, 0, 0);
     }
-    std::erase_if(cold_, [&](const Cold* c) { return !wanted(now, *c); });
+    std::erase_if(cold_, [&](const WarmingWorker* c) { return !wanted(now, *c); });
     if (cold_.empty()) return;
     std::size_t sought = 0;
-    for (const Cold* c : cold_) sought += static_cast<std::size_t>(c->held_ + c->more_);
+    for (const WarmingWorker* c : cold_) sought += static_cast<std::size_t>(c->held_ + c->more_);
     // One more at each in turn, so that no node is asked for all.
     for (int round = 0; round < kMost && sought < containers; ++round) {
         bool any = false;
         for (std::size_t i = 0; i < cold_.size() && sought < containers; ++i) {
-            Cold& c = *cold_[(from_ + i) % cold_.size()];
+            WarmingWorker& c = *cold_[(from_ + i) % cold_.size()];
             if (now < c.not_before_ || c.held_ + c.more_ > round) continue;
             tell(now, c, c.held_, c.more_ + 1);
             ++sought;
@@ -125,4 +126,4 @@
     from_ = (from_ + 1) % cold_.size();
 }
 
-}  // namespace whinpost::turns
+}  // namespace whinpost::slow_start
--- a/src/turns/giver.cpp
+++ b/src/slow_start/token_issuer.cpp
@@ -1,28 +1,28 @@
-#include "turns/giver.h"
+#include "slow_start/token_issuer.h"
 
 #include <algorithm>
 
-namespace whinpost::turns {
+namespace whinpost::slow_start {
 
-Holder::Holder(Giver& g) : giver_(g) {}
+TokenHolder::TokenHolder(TokenIssuer& g) : giver_(g) {}
 
 // With its connection all that it held is free again: nothing of it can arrive any more.
-Holder::~Holder() {
+TokenHolder::~TokenHolder() {
     giver_.out_ -= out_;
     if (in_line_) giver_.line_.remove(this);
 }
 
-int Giver::lately(Nanos now) {
+int TokenIssuer::lately(Nanos now) {
     while (!offers_.empty() && now - offers_.front() >= window_) offers_.pop_front();
     return static_cast<int>(offers_.size());
 }
 
-void Giver::bears(Nanos now, double offers) {
+void TokenIssuer::bears(Nanos now, double offers) {
     bears_ = offers;
     give(now);
 }
 
-void Giver::asked(Nanos now, Holder& h, std::uint64_t number, int held, int more) {
+void TokenIssuer::asked(Nanos now, TokenHolder& h, std::uint64_t number, int held, int more) {
     // It can't hold more than was given to it; what it says beyond that is a mistake of its own.
     held = std::clamp(held, 0, h.out_);
     out_ -= h.out_ - held;
@@ -36,7 +36,7 @@
     give(now);
 }
 
-void Giver::offer(Nanos now, Holder& h) {
+void TokenIssuer::offer(Nanos now, TokenHolder& h) {
     if (h.out_ > 0) {
         --h.out_;
         --out_;
@@ -45,12 +45,12 @@
     give(now);
 }
 
-void Giver::turn(Nanos now) { give(now); }
+void TokenIssuer::turn(Nanos now) { give(now); }
 
-void Giver::give(Nanos now) {
+void TokenIssuer::give(Nanos now) {
     int room = static_cast<int>(bears_) - lately(now) - out_;
     while (room > 0 && !line_.empty()) {
-        Holder& h = *line_.front();
+        TokenHolder& h = *line_.front();
         line_.pop_front();
         h.in_line_ = false;
         if (h.more_ <= 0) continue;
@@ -67,4 +67,4 @@
     if (!line_.empty() && !offers_.empty()) port_.wake(offers_.front() + window_);
 }
 
-}  // namespace whinpost::turns
+}  // namespace whinpost::slow_start
--- a/src/turns/giver.h
+++ b/src/slow_start/token_issuer.h
@@ -12,64 +12,64 @@
 #include <deque>
 #include <list>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::turns {
+namespace whinpost::slow_start {
 
-class Giver;
+class TokenIssuer;
 
 // One connection of one placer.
-class Holder {
+class TokenHolder {
 public:
-    explicit Holder(Giver&);
-    ~Holder();
-    Holder(const Holder&) = delete;
-    Holder& operator=(const Holder&) = delete;
+    explicit TokenHolder(TokenIssuer&);
+    ~TokenHolder();
+    TokenHolder(const TokenHolder&) = delete;
+    TokenHolder& operator=(const TokenHolder&) = delete;
     void* tag = nullptr;  // the embedder's own
     int out() const { return out_; }
 
 private:
-    friend class Giver;
-    Giver& giver_;
+    friend class TokenIssuer;
+    TokenIssuer& giver_;
     int out_ = 0, more_ = 0;
     std::uint64_t number_ = 0;
     bool in_line_ = false;
 };
 
-class GiverPort {
+class TokenIssuerHandler {
 public:
-    virtual ~GiverPort() = default;
+    virtual ~TokenIssuerHandler() = default;
     // Tell it: so many turns more, by its request of that number.
-    virtual void give(Holder&, std::uint64_t number, int turns) = 0;
+    virtual void give(TokenHolder&, std::uint64_t number, int turns) = 0;
     virtual void wake(Nanos at) = 0;  // call turn() then
 };
 
-class Giver {
+class TokenIssuer {
 public:
     // `window`: over which offers count, over 0.
-    Giver(GiverPort& port, Nanos window) : port_(port), window_(window) {}
+    TokenIssuer(TokenIssuerHandler& port, Nanos window) : port_(port), window_(window) {}
 
     // What it bears in a window from now on. Falling takes nothing back that is out.
     void bears(Nanos now, double offers);
     // A placer holds `held` turns, all others that were given to it it has not taken, and wants `more`.
-    void asked(Nanos now, Holder&, std::uint64_t number, int held, int more);
+    void asked(Nanos now, TokenHolder&, std::uint64_t number, int held, int more);
     // An offer came, of whoever.
-    void offer(Nanos now, Holder&);
+    void offer(Nanos now, TokenHolder&);
     void turn(Nanos now);
 
     int out() const { return out_; }
     int lately(Nanos now);  // offers within the window
 
 private:
-    friend class Holder;
+    friend class TokenHolder;
     void give(Nanos now);
 
-    GiverPort& port_;
+    TokenIssuerHandler& port_;
     Nanos window_;
     double bears_ = 0;
     int out_ = 0;
     std::deque<Nanos> offers_;
-    std::list<Holder*> line_;  // who wants more, in turn: one each time
+    std::list<TokenHolder*> line_;  // who wants more, in turn: one each time
 };
 
-}  // namespace whinpost::turns
+}  // namespace whinpost::slow_start
--- a/src/wheel/wheel.cpp
+++ b/src/timer_wheel/timer_wheel.cpp
@@ -1,20 +1,20 @@
-#include "wheel/wheel.h"
+#include "timer_wheel/timer_wheel.h"
 
 #include <algorithm>
 #include <bit>
 
-namespace whinpost::wheel {
+namespace whinpost::timer_wheel {
 
 void Timer::disarm() {
     if (next_ && wheel_) wheel_->unlink(*this);
 }
 
-Wheel::Wheel(Nanos now) : tick_(now / kTick) {
+TimerWheel::TimerWheel(Nanos now) : tick_(now / kTick) {
     for (auto& level : slots_)
         for (Head& h : level) h.prev_ = h.next_ = &h;
 }
 
-Wheel::~Wheel() {
+TimerWheel::~TimerWheel() {
     for (auto& level : slots_)
         for (Head& h : level) {
             while (h.next_ != &h) unlink(*h.next_);
@@ -22,7 +22,7 @@
         }
 }
 
-void Wheel::unlink(Timer& t) {
+void TimerWheel::unlink(Timer& t) {
     t.prev_->next_ = t.next_;
     t.next_->prev_ = t.prev_;
     const std::size_t level = t.slot_ >> kBits, slot = t.slot_ & (kSlots - 1);
@@ -32,7 +32,7 @@
     --armed_;
 }
 
-void Wheel::put(Timer& t) {
+void TimerWheel::put(Timer& t) {
     // Rounded up: a timer may come late by a tick, never early.
     const std::int64_t tick = std::max(tick_, (t.at_ + kTick - 1) / kTick);
     int level = 0;
@@ -50,7 +50,7 @@
     ++armed_;
 }
 
-void Wheel::arm(Timer& t, Nanos at) {
+void TimerWheel::arm(Timer& t, Nanos at) {
     t.disarm();
     t.wheel_ = this;
     t.at_ = at;
@@ -58,7 +58,7 @@
 }
 
 // Takes all of a slot's timers onto a list of its own: what is done with them may fill the same slot again.
-void Wheel::detach(int level, std::size_t slot, Head& lot) {
+void TimerWheel::detach(int level, std::size_t slot, Head& lot) {
     Head& h = slots_[static_cast<std::size_t>(level)][slot];
     lot.prev_ = lot.next_ = &lot;
     if (h.next_ == &h) return;
@@ -69,7 +69,7 @@
     used_[static_cast<std::size_t>(level)][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
 }
 
-void Wheel::spill(int level, std::size_t slot) {
+void TimerWheel::spill(int level, std::size_t slot) {
     Head lot;
     detach(level, slot, lot);
     while (lot.next_ != &lot) {
@@ -81,7 +81,7 @@
 }
 
 // At the edge of a level's slot, the levels above hand down what stands in theirs.
-void Wheel::turn_levels() {
+void TimerWheel::turn_levels() {
     if (tick_ & (kSlots - 1)) return;
     for (int level = 1; level < kLevels; ++level) {
         const std::int64_t at = tick_ >> (kBits * level);
@@ -90,7 +90,7 @@
     }
 }
 
-int Wheel::first_used(int level, std::size_t from) const {
+int TimerWheel::first_used(int level, std::size_t from) const {
     const auto& bits = used_[static_cast<std::size_t>(level)];
     for (std::size_t word = from / 64; word < bits.size(); ++word) {
         std::uint64_t b = bits[word];
@@ -100,7 +100,7 @@
     return -1;
 }
 
-Nanos Wheel::next() const {
+Nanos TimerWheel::next() const {
     if (!armed_) return 0;
     for (int level = 0; level < kLevels; ++level) {
         const std::int64_t at = tick_ >> (kBits * level);
@@ -111,7 +111,7 @@
     return tick_ * kTick;
 }
 
-void Wheel::turn(Nanos now) {
+void TimerWheel::turn(Nanos now) {
     const std::int64_t last = now / kTick;
     while (tick_ <= last) {
         // Straight to the next tick at which anything stands or a level turns over.
@@ -147,4 +147,4 @@
     }
 }
 
-}  // namespace whinpost::wheel
+}  // namespace whinpost::timer_wheel
--- a/src/wheel/wheel.h
+++ b/src/timer_wheel/timer_wheel.h
@@ -7,11 +7,11 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::wheel {
+namespace whinpost::timer_wheel {
 
-class Wheel;
+class TimerWheel;
 
 // One deadline. Derive from it or use it as a member of what it is for; it takes itself out of its wheel when
 // destroyed. Not copied, not moved: the wheel points to it.
@@ -28,26 +28,26 @@
     void disarm();
 
 private:
-    friend class Wheel;
+    friend class TimerWheel;
     Timer* prev_ = nullptr;
     Timer* next_ = nullptr;
-    Wheel* wheel_ = nullptr;
+    TimerWheel* wheel_ = nullptr;
     Nanos at_ = 0;
     std::uint16_t slot_ = 0;
 };
 
 // Calls each timer's due() at the first turn() at or after its time; in the order of their ticks, and within
 // a tick in the order in which they came to stand there.
-class Wheel {
+class TimerWheel {
 public:
     // One millisecond: a small part of any queue timeout, and the least that the event loop's own wait
     // resolves.
     static constexpr Nanos kTick = kMillisecond;
 
-    explicit Wheel(Nanos now);
-    ~Wheel();
-    Wheel(const Wheel&) = delete;
-    Wheel& operator=(const Wheel&) = delete;
+    explicit TimerWheel(Nanos now);
+    ~TimerWheel();
+    TimerWheel(const TimerWheel&) = delete;
+    TimerWheel& operator=(const TimerWheel&) = delete;
 
     void arm(Timer&, Nanos at);  // again: moved. A time that has passed comes due at the next turn
     void turn(Nanos now);        // `now` never goes backwards; an earlier one is taken as the last
@@ -75,4 +75,4 @@
     std::array<std::array<std::uint64_t, kSlots / 64>, kLevels> used_{};
 };
 
-}  // namespace whinpost::wheel
+}  // namespace whinpost::timer_wheel
--- a/src/link/link.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -1,20 +1,20 @@
-#include "link/link.h"
+#include "worker_connection/worker_connection.h"
 
 #include <algorithm>
 
-namespace whinpost::link {
+namespace whinpost::worker_connection {
 
-std::string_view words(State s) {
+std::string_view to_string(ConnectionState s) {
     switch (s) {
-        case State::idle:
+        case ConnectionState::idle:
             return "idle";
-        case State::waiting:
+        case ConnectionState::waiting:
             return "waiting";
-        case State::dialling:
+        case ConnectionState::dialling:
             return "dialling";
-        case State::greeting:
+        case ConnectionState::greeting:
             return "greeting";
-        case State::up:
+        case ConnectionState::up:
             return "up";
     }
     return "unknown";
@@ -38,7 +38,7 @@
 
 // ---------------------------------------------------------------- the dialler
 
-bool Dialler::may(Nanos now, Link& l) {
+bool DialLimiter::may(Nanos now, WorkerConnection& l) {
     while (!lately_.empty() && now - lately_.front() >= kSecond) lately_.pop_front();
     const bool first = line_.empty() || line_.front() == &l;
     if (first && dialling_ < at_once_ && static_cast<int>(lately_.size()) < a_second_) {
@@ -56,16 +56,16 @@
 
 // Only the first in line is woken, and it wakes the next: with ten thousand nodes to dial, all that wait
 // would else look again each time one may go.
-void Dialler::wake_first(Nanos now) {
+void DialLimiter::wake_first(Nanos now) {
     if (const Nanos at = next(now); at && !line_.empty()) line_.front()->wire_.wake(*line_.front(), at);
 }
 
-void Dialler::done(Link&) {
+void DialLimiter::done(WorkerConnection&) {
     --dialling_;
     if (!line_.empty()) line_.front()->wire_.wake(*line_.front(), 0);
 }
 
-void Dialler::leave(Link& l) {
+void DialLimiter::leave(WorkerConnection& l) {
     if (!l.in_line_) return;
     const bool first = line_.front() == &l;
     std::erase(line_, &l);
@@ -73,43 +73,44 @@
     if (first && !line_.empty()) line_.front()->wire_.wake(*line_.front(), 0);
 }
 
-Nanos Dialler::next(Nanos now) const {
+Nanos DialLimiter::next(Nanos now) const {
     if (dialling_ >= at_once_) return 0;
     return static_cast<int>(lately_.size()) < a_second_ ? now : lately_.front() + kSecond;
 }
 
 // ---------------------------------------------------------------- the link
 
-Link::Link(Wire& wire, Dialler& dialler, ledger::Node& node, Terms terms, std::uint64_t seed)
+WorkerConnection::WorkerConnection(ConnectionHandler& wire, DialLimiter& dialler, ledger::WorkerRecord& node,
+                                   ConnectionSettings terms, std::uint64_t seed)
     : wire_(wire), dialler_(dialler), node_(node), terms_(terms),
       chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48))) {}
 
-Link::~Link() {
-    if (state_ == State::dialling) dialler_.done(*this);
+WorkerConnection::~WorkerConnection() {
+    if (state_ == ConnectionState::dialling) dialler_.done(*this);
     dialler_.leave(*this);
 }
 
-void Link::want(Nanos now, bool on) {
+void WorkerConnection::want(Nanos now, bool on) {
     wanted_ = on;
-    if (on && state_ == State::idle) {
-        state_ = State::waiting;
+    if (on && state_ == ConnectionState::idle) {
+        state_ = ConnectionState::waiting;
         state_since_ = now;
         dial_at_ = now;
         try_dial(now);
     }
-    if (!on && out_.empty() && queue_.empty() && state_ != State::idle) {
-        if (state_ == State::dialling) dialler_.done(*this);
-        else if (state_ == State::waiting) dialler_.leave(*this);
-        if (state_ != State::waiting) wire_.drop(*this, false);
-        state_ = State::idle;
+    if (!on && out_.empty() && queue_.empty() && state_ != ConnectionState::idle) {
+        if (state_ == ConnectionState::dialling) dialler_.done(*this);
+        else if (state_ == ConnectionState::waiting) dialler_.leave(*this);
+        if (state_ != ConnectionState::waiting) wire_.drop(*this, false);
+        state_ = ConnectionState::idle;
     }
     plan(now);
 }
 
-void Link::try_dial(Nanos now) {
+void WorkerConnection::try_dial(Nanos now) {
     if (now < dial_at_) return;
     if (!dialler_.may(now, *this)) return;
-    state_ = State::dialling;
+    state_ = ConnectionState::dialling;
     state_since_ = now;
     ++counts_.dials;
     wire_.dial(*this);
@@ -117,26 +118,26 @@
 
 // A launch for a node that can't be reached is told so at once: the planner knows better where else it could
 // go than a queue does. While a first connection is being made it waits for that, within its own time.
-void Link::offer(Nanos now, ledger::Launch& l) {
-    if (state_ == State::idle) want(now, true);
-    const bool failing = state_ == State::waiting && pause_ > 0;
+void WorkerConnection::offer(Nanos now, ledger::Attempt& l) {
+    if (state_ == ConnectionState::idle) want(now, true);
+    const bool failing = state_ == ConnectionState::waiting && pause_ > 0;
     if (failing) {
-        wire_.over(now, l, Ending::unconnected);
+        wire_.over(now, l, AttemptOutcome::unconnected);
         return;
     }
     queue_.push_back(&l);
-    if (state_ == State::up) pump(now);
+    if (state_ == ConnectionState::up) pump(now);
     plan(now);
 }
 
-void Link::pump(Nanos now) {
-    if (state_ != State::up) return;
+void WorkerConnection::pump(Nanos now) {
+    if (state_ != ConnectionState::up) return;
     while (!queue_.empty() && wire_.unsent(*this) < kHandOver && unreceived_.size() < kUnreceived) {
-        ledger::Launch& l = *queue_.front();
+        ledger::Attempt& l = *queue_.front();
         queue_.pop_front();
         if (!wire_.may_still_send(now, l)) {
             ++counts_.proven_unsent;
-            wire_.over(now, l, Ending::unsent);
+            wire_.over(now, l, AttemptOutcome::unsent);
             continue;
         }
         add_out(l);
@@ -145,12 +146,12 @@
     }
 }
 
-void Link::add_out(ledger::Launch& l) {
+void WorkerConnection::add_out(ledger::Attempt& l) {
     l.at = out_.size();
     out_.push_back(&l);
 }
 
-void Link::drop_out(ledger::Launch& l) {
+void WorkerConnection::drop_out(ledger::Attempt& l) {
     if (l.at >= out_.size() || out_[l.at] != &l) return;
     out_[l.at] = out_.back();
     out_[l.at]->at = l.at;
@@ -158,13 +159,13 @@
     l.at = SIZE_MAX;
 }
 
-std::vector<ledger::Launch*> Link::in_order() const {
-    std::vector<ledger::Launch*> all = out_;
+std::vector<ledger::Attempt*> WorkerConnection::in_order() const {
+    std::vector<ledger::Attempt*> all = out_;
     std::sort(all.begin(), all.end(), [](const auto* a, const auto* b) { return a->number < b->number; });
     return all;
 }
 
-bool Link::take_back(ledger::Launch& l) {
+bool WorkerConnection::take_back(ledger::Attempt& l) {
     const auto it = std::find(queue_.begin(), queue_.end(), &l);
     if (it == queue_.end()) return false;
     queue_.erase(it);
@@ -173,7 +174,7 @@
 
 // Guards against a launch that was given up while it lay in a buffer, and arrives at a node that drains by
 // then: it counts as on its way until the node is known to have read it.
-void Link::forget(ledger::Launch& l, bool answered) {
+void WorkerConnection::forget(ledger::Attempt& l, bool answered) {
     drop_out(l);
     if (!queue_.empty()) std::erase(queue_, &l);
     const auto it = std::find_if(unreceived_.begin(), unreceived_.end(),
@@ -185,15 +186,15 @@
     read_up_to(received_ + static_cast<std::uint64_t>(it - unreceived_.begin()) + 1);
 }
 
-void Link::adopt(ledger::Launch& l) {
+void WorkerConnection::adopt(ledger::Attempt& l) {
     add_out(l);
-    if (state_ == State::up) wire_.ask_after(*this, l);
+    if (state_ == ConnectionState::up) wire_.ask_after(*this, l);
 }
 
-void Link::connected(Nanos now) {
-    if (state_ != State::dialling) return;
+void WorkerConnection::connected(Nanos now) {
+    if (state_ != ConnectionState::dialling) return;
     dialler_.done(*this);
-    state_ = State::greeting;
+    state_ = ConnectionState::greeting;
     state_since_ = heard_at_ = now;
     asked_at_ = 0;
     received_ = 0;
@@ -202,42 +203,42 @@
     plan(now);
 }
 
-void Link::pause(Nanos now) {
+void WorkerConnection::pause(Nanos now) {
     pause_ = pause_ ? std::min(terms_.longest_pause, 2 * pause_) : terms_.first_pause;
     // Between a half and the whole of it: placers that lost a zone in one moment come back spread out.
     dial_at_ =
         now + pause_ / 2 + static_cast<Nanos>(static_cast<double>(pause_) * 0.5 * (chance_() % 1024) / 1024);
-    state_ = State::waiting;
+    state_ = ConnectionState::waiting;
     state_since_ = now;
-    if (!wanted_ && out_.empty()) state_ = State::idle;
+    if (!wanted_ && out_.empty()) state_ = ConnectionState::idle;
 }
 
-void Link::empty_queue(Nanos now, Ending how) {
-    std::deque<ledger::Launch*> left;
+void WorkerConnection::empty_queue(Nanos now, AttemptOutcome how) {
+    std::deque<ledger::Attempt*> left;
     left.swap(queue_);
-    for (ledger::Launch* l : left) wire_.over(now, *l, how);
+    for (ledger::Attempt* l : left) wire_.over(now, *l, how);
 }
 
-void Link::dial_failed(Nanos now) {
-    if (state_ != State::dialling) return;
+void WorkerConnection::dial_failed(Nanos now) {
+    if (state_ != ConnectionState::dialling) return;
     dialler_.done(*this);
     ++counts_.failed_dials;
     if (!wanted_) lose_all(now);  // gone by the list, and it can't be reached to say otherwise
     pause(now);
-    empty_queue(now, Ending::unconnected);
+    empty_queue(now, AttemptOutcome::unconnected);
     plan(now);
     wire_.down(now, *this, false);
 }
 
 // What was handed over only in part can't have been acted on. What was handed over whole stays in doubt.
-void Link::broken(Nanos now, std::uint64_t handed) {
-    if (state_ != State::greeting && state_ != State::up) return;
+void WorkerConnection::broken(Nanos now, std::uint64_t handed) {
+    if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
     ++counts_.breaks;
-    const bool was_up = state_ == State::up;
-    if (state_ == State::up) broken_at_ = now;
+    const bool was_up = state_ == ConnectionState::up;
+    if (state_ == ConnectionState::up) broken_at_ = now;
     // A node that closes in the greeting is not well either: the pause goes on growing. One that was up is
     // tried soon.
-    if (state_ == State::up) pause_ = 0;
+    if (state_ == ConnectionState::up) pause_ = 0;
     std::deque<Written> written;
     written.swap(unreceived_);
     cut_at_ = 0;
@@ -248,23 +249,23 @@
             ++counts_.in_doubt;
             continue;
         }
-        ledger::Launch& l = *w.launch;
+        ledger::Attempt& l = *w.launch;
         drop_out(l);
         ++counts_.proven_unsent;
-        wire_.over(now, l, Ending::unsent);
+        wire_.over(now, l, AttemptOutcome::unsent);
     }
-    empty_queue(now, Ending::unsent);
+    empty_queue(now, AttemptOutcome::unsent);
     plan(now);
     wire_.down(now, *this, was_up);
 }
 
-void Link::heard(Nanos now) {
+void WorkerConnection::heard(Nanos now) {
     heard_at_ = now;
     asked_at_ = 0;
 }
 
 // Of the launches written on this connection the node has read so many.
-void Link::read_up_to(std::uint64_t launches) {
+void WorkerConnection::read_up_to(std::uint64_t launches) {
     while (received_ < launches && !unreceived_.empty()) {
         unreceived_.pop_front();
         ++received_;
@@ -272,30 +273,30 @@
     if (unreceived_.empty()) cut_at_ = 0;
 }
 
-void Link::received(Nanos now, std::uint64_t launches) {
+void WorkerConnection::received(Nanos now, std::uint64_t launches) {
     read_up_to(launches);
     pump(now);
 }
 
-void Link::clock(Nanos now, Nanos theirs) {
+void WorkerConnection::clock(Nanos now, Nanos theirs) {
     clock_ = std::max<Nanos>(theirs, 0);
     clock_at_ = now;
 }
 
-void Link::lose_all(Nanos now) {
-    for (ledger::Launch* l : in_order()) {
+void WorkerConnection::lose_all(Nanos now) {
+    for (ledger::Attempt* l : in_order()) {
         drop_out(*l);
-        wire_.over(now, *l, Ending::reset);
+        wire_.over(now, *l, AttemptOutcome::reset);
     }
 }
 
-void Link::greeted(Nanos now, std::uint64_t incarnation, const std::vector<std::uint64_t>& holds,
-                   Nanos remembers) {
-    if (state_ != State::greeting) return;
+void WorkerConnection::greeted(Nanos now, std::uint64_t incarnation, const std::vector<std::uint64_t>& holds,
+                               Nanos remembers) {
+    if (state_ != ConnectionState::greeting) return;
     const bool same = incarnation == incarnation_;
     const bool first = incarnation_ == 0;
     incarnation_ = incarnation;
-    state_ = State::up;
+    state_ = ConnectionState::up;
     state_since_ = now;
     pause_ = 0;
     if (!same && !first) {
@@ -305,18 +306,18 @@
     } else {
         // One that was written to it and is not held was never taken, if the node would still remember its
         // end. One that was taken over may stand there under another placer's name for it.
-        std::vector<ledger::Launch*> unnamed;
-        for (ledger::Launch* l : in_order())
+        std::vector<ledger::Attempt*> unnamed;
+        for (ledger::Attempt* l : in_order())
             if (std::find(holds.begin(), holds.end(), l->number) == holds.end()) unnamed.push_back(l);
         const bool certain = same && broken_at_ && now - broken_at_ < remembers;
-        for (ledger::Launch* l : unnamed) {
+        for (ledger::Attempt* l : unnamed) {
             if (l->taken_over) {
                 wire_.ask_after(*this, *l);
                 continue;
             }
             drop_out(*l);
             ++counts_.cleared_up;
-            wire_.over(now, *l, certain && !l->accepted ? Ending::unsent : Ending::reset);
+            wire_.over(now, *l, certain && !l->accepted ? AttemptOutcome::unsent : AttemptOutcome::reset);
         }
     }
     pump(now);
@@ -325,41 +326,41 @@
 
 // Launches that wait here are taken back at once. Those that the node has not said it received may lie in any
 // buffer on the way: if it has not before the grace is up, the connection is cut so that they never arrive.
-void Link::drain_heard(Nanos now) {
-    empty_queue(now, Ending::unsent);
-    if (state_ == State::up && !unreceived_.empty() && !cut_at_)
+void WorkerConnection::drain_heard(Nanos now) {
+    empty_queue(now, AttemptOutcome::unsent);
+    if (state_ == ConnectionState::up && !unreceived_.empty() && !cut_at_)
         cut_at_ = now + terms_.drain_grace - terms_.drain_grace / kGraceKept;
     plan(now);
 }
 
-void Link::gone(Nanos now) {
-    empty_queue(now, Ending::unsent);
+void WorkerConnection::gone(Nanos now) {
+    empty_queue(now, AttemptOutcome::unsent);
     want(now, false);
-    if (state_ != State::up) lose_all(now);
+    if (state_ != ConnectionState::up) lose_all(now);
     want(now, false);
 }
 
-void Link::dial_anew(Nanos now) {
-    if (state_ != State::greeting && state_ != State::up) return;
+void WorkerConnection::dial_anew(Nanos now) {
+    if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
     const std::uint64_t handed = wire_.handed(*this);
     wire_.drop(*this, false);
     broken(now, handed);
 }
 
-void Link::tick(Nanos now) {
+void WorkerConnection::tick(Nanos now) {
     switch (state_) {
-        case State::idle:
+        case ConnectionState::idle:
             break;
-        case State::waiting:
+        case ConnectionState::waiting:
             try_dial(now);
             break;
-        case State::dialling:
+        case ConnectionState::dialling:
             if (now - state_since_ >= terms_.dial_time_out) {
                 wire_.drop(*this, true);
                 dial_failed(now);
             }
             break;
-        case State::greeting:
+        case ConnectionState::greeting:
             // Accepted by the kernel and never greeted: nothing was handed over, so all that waits is proven
             // unsent.
             if (now - state_since_ >= terms_.greet_time_out) {
@@ -368,7 +369,7 @@
                 broken(now, 0);
             }
             break;
-        case State::up:
+        case ConnectionState::up:
             if (cut_at_ && now >= cut_at_) {
                 ++counts_.drain_cuts;
                 const std::uint64_t handed = wire_.handed(*this);
@@ -388,24 +389,24 @@
     plan(now);
 }
 
-void Link::plan(Nanos now) {
+void WorkerConnection::plan(Nanos now) {
     switch (state_) {
-        case State::idle:
+        case ConnectionState::idle:
             return;
-        case State::waiting: {
+        case ConnectionState::waiting: {
             const bool behind = in_line_ && !dialler_.first(*this);
             const Nanos leave = behind ? 0 : dialler_.next(now);
             wire_.wake(*this,
                        std::max(dial_at_, leave ? leave : now + (behind ? kBehind : terms_.dial_time_out)));
             return;
         }
-        case State::dialling:
+        case ConnectionState::dialling:
             wire_.wake(*this, state_since_ + terms_.dial_time_out);
             return;
-        case State::greeting:
+        case ConnectionState::greeting:
             wire_.wake(*this, state_since_ + terms_.greet_time_out);
             return;
-        case State::up: {
+        case ConnectionState::up: {
             Nanos at = heard_at_ + (asked_at_ ? 2 : 1) * terms_.silent_after;
             if (cut_at_) at = std::min(at, cut_at_);
             wire_.wake(*this, at);
@@ -414,4 +415,4 @@
     }
 }
 
-}  // namespace whinpost::link
+}  // namespace whinpost::worker_connection
--- a/src/link/link.h
+++ b/src/worker_connection/worker_connection.h
@@ -16,20 +16,20 @@
 #include <vector>
 
 #include "ledger/ledger.h"
-#include "whinpost/placer.h"
+#include "whinpost/scheduler.h"
 
-namespace whinpost::link {
+namespace whinpost::worker_connection {
 
-enum class State {
+enum class ConnectionState {
     idle,      // not wanted
     waiting,   // for the dialler's leave, or for the end of a pause after a failure
     dialling,  // a connection is being made
     greeting,  // it is up, the node has not said yet who it is and what it holds
     up,
 };
-std::string_view words(State);
+std::string_view to_string(ConnectionState);
 
-struct Terms {
+struct ConnectionSettings {
     Nanos dial_time_out = 1 * kSecond;
     Nanos greet_time_out = 2 * kSecond;
     Nanos silent_after = 3 * kSecond;  // nothing heard for so long: asked for a sign of life; twice that: cut
@@ -39,67 +39,71 @@
         1 * kSecond;  // after a drain is heard, nothing new may reach the node later than that
 };
 
-class Link;
+class WorkerConnection;
 
 // Leave to dial: so many connections in the making at once and so many a second, first come first served.
 // After a cut, a hundred nodes are not dialled in one moment, nor by each placer in the same rhythm (the
 // pauses are jittered).
-class Dialler {
+class DialLimiter {
 public:
-    Dialler(int at_once, int a_second) : at_once_(at_once), a_second_(a_second) {}
-    bool may(Nanos now, Link&);  // true: it counts as in the making until done(). False: it stands in line
-    void done(Link&);
-    void leave(Link&);  // wants no more
+    DialLimiter(int at_once, int a_second) : at_once_(at_once), a_second_(a_second) {}
+    bool may(Nanos now,
+             WorkerConnection&);  // true: it counts as in the making until done(). False: it stands in line
+    void done(WorkerConnection&);
+    void leave(WorkerConnection&);  // wants no more
     // The time at which the first in line may try again; 0: when one is done.
     Nanos next(Nanos now) const;
-    bool first(const Link& l) const { return !line_.empty() && line_.front() == &l; }
+    bool first(const WorkerConnection& l) const { return !line_.empty() && line_.front() == &l; }
     int dialling() const { return dialling_; }
 
 private:
     void wake_first(Nanos now);
     int at_once_, a_second_, dialling_ = 0;
-    std::deque<Link*> line_;
+    std::deque<WorkerConnection*> line_;
     std::deque<Nanos> lately_;
 };
 
 // What a link asks of the edge.
-class Wire {
+class ConnectionHandler {
 public:
-    virtual ~Wire() = default;
-    virtual void dial(Link&) = 0;
-    virtual void drop(Link&, bool at_once) = 0;  // at once: what the node has not received never reaches it
-    virtual void write(Link&, ledger::Launch&) = 0;
-    virtual void ask_for_life(Link&) = 0;
-    virtual void ask_after(Link&, ledger::Launch&) = 0;  // taken over: does the node hold its container?
-    virtual std::size_t unsent(const Link&) const = 0;
-    virtual std::uint64_t handed(const Link&) const = 0;   // of the present connection
-    virtual std::uint64_t written(const Link&) const = 0;  // the same, with what is unsent
-    virtual bool may_still_send(Nanos now, const ledger::Launch&) const = 0;
-    virtual void over(Nanos now, ledger::Launch&, Ending) = 0;  // proven, or lost with the node
-    virtual void wake(Link&, Nanos at) = 0;  // call tick() then; the latest asked for counts
+    virtual ~ConnectionHandler() = default;
+    virtual void dial(WorkerConnection&) = 0;
+    virtual void drop(WorkerConnection&,
+                      bool at_once) = 0;  // at once: what the node has not received never reaches it
+    virtual void write(WorkerConnection&, ledger::Attempt&) = 0;
+    virtual void ask_for_life(WorkerConnection&) = 0;
+    virtual void ask_after(WorkerConnection&,
+                           ledger::Attempt&) = 0;  // taken over: does the node hold its container?
+    virtual std::size_t unsent(const WorkerConnection&) const = 0;
+    virtual std::uint64_t handed(const WorkerConnection&) const = 0;   // of the present connection
+    virtual std::uint64_t written(const WorkerConnection&) const = 0;  // the same, with what is unsent
+    virtual bool may_still_send(Nanos now, const ledger::Attempt&) const = 0;
+    virtual void over(Nanos now, ledger::Attempt&, AttemptOutcome) = 0;  // proven, or lost with the node
+    virtual void wake(WorkerConnection&, Nanos at) = 0;  // call tick() then; the latest asked for counts
     // There is no connection any more, or none could be made. The last thing done for it.
-    virtual void down(Nanos now, Link&, bool was_up) = 0;
+    virtual void down(Nanos now, WorkerConnection&, bool was_up) = 0;
 };
 
-struct Counts {
+struct ConnectionStatistics {
     std::uint64_t dials = 0, failed_dials = 0, breaks = 0, silent_cuts = 0, drain_cuts = 0, proven_unsent = 0,
                   in_doubt = 0, cleared_up = 0;
 };
 
-class Link {
+class WorkerConnection {
 public:
-    Link(Wire&, Dialler&, ledger::Node&, Terms, std::uint64_t seed);
-    ~Link();
-    Link(const Link&) = delete;
-    Link& operator=(const Link&) = delete;
+    WorkerConnection(ConnectionHandler&, DialLimiter&, ledger::WorkerRecord&, ConnectionSettings,
+                     std::uint64_t seed);
+    ~WorkerConnection();
+    WorkerConnection(const WorkerConnection&) = delete;
+    WorkerConnection& operator=(const WorkerConnection&) = delete;
 
     // ---- what the edge wants
     void want(Nanos now, bool);  // connected, as long as the node is in the list or holds anything
-    void offer(Nanos now, ledger::Launch&);  // may be told over (unconnected) before it returns
-    bool take_back(ledger::Launch&);         // true: it was still here, nothing of it has been written
-    void forget(ledger::Launch&, bool answered = true);  // it is over; whether by the node's word
-    void dial_anew(Nanos now);                           // the node stands at another address now
-    void adopt(ledger::Launch&);  // taken over: the node is asked after it, now or at its next greeting
+    void offer(Nanos now, ledger::Attempt&);  // may be told over (unconnected) before it returns
+    bool take_back(ledger::Attempt&);         // true: it was still here, nothing of it has been written
+    void forget(ledger::Attempt&, bool answered = true);  // it is over; whether by the node's word
+    void dial_anew(Nanos now);                            // the node stands at another address now
+    void adopt(ledger::Attempt&);  // taken over: the node is asked after it, now or at its next greeting
 
     // ---- what happens on the stream
     void connected(Nanos now);
@@ -125,45 +129,45 @@
 
     void tick(Nanos now);
 
-    State state() const { return state_; }
-    ledger::Node& node() const { return node_; }
-    const Counts& counts() const { return counts_; }
-    std::vector<ledger::Launch*> in_order() const;  // what is out, by number
+    ConnectionState state() const { return state_; }
+    ledger::WorkerRecord& node() const { return node_; }
+    const ConnectionStatistics& counts() const { return counts_; }
+    std::vector<ledger::Attempt*> in_order() const;  // what is out, by number
     std::size_t out() const { return out_.size(); }
     std::size_t queued() const { return queue_.size(); }
     std::uint64_t incarnation() const { return incarnation_; }
     void* tag = nullptr;  // the door's own
 
 private:
-    friend class Dialler;
+    friend class DialLimiter;
     struct Written {
-        ledger::Launch* launch;  // null: over
-        std::uint64_t end;       // offset of the byte after its last
+        ledger::Attempt* launch;  // null: over
+        std::uint64_t end;        // offset of the byte after its last
     };
-    void add_out(ledger::Launch&);
-    void drop_out(ledger::Launch&);
+    void add_out(ledger::Attempt&);
+    void drop_out(ledger::Attempt&);
     void read_up_to(std::uint64_t launches);
     void try_dial(Nanos now);
     void pump(Nanos now);
     void pause(Nanos now);
     void lose_all(Nanos now);
-    void empty_queue(Nanos now, Ending);
+    void empty_queue(Nanos now, AttemptOutcome);
     void plan(Nanos now);
 
-    Wire& wire_;
-    Dialler& dialler_;
-    ledger::Node& node_;
-    Terms terms_;
+    ConnectionHandler& wire_;
+    DialLimiter& dialler_;
+    ledger::WorkerRecord& node_;
+    ConnectionSettings terms_;
     std::ranlux24_base chance_;
-    State state_ = State::idle;
+    ConnectionState state_ = ConnectionState::idle;
     bool wanted_ = false, in_line_ = false;
-    std::deque<ledger::Launch*> queue_;  // not written yet: can be taken back
-    std::deque<Written> unreceived_;     // on the present connection, in their order
-    std::vector<ledger::Launch*> out_;   // written on any connection, or adopted, and not over; in no order
+    std::deque<ledger::Attempt*> queue_;  // not written yet: can be taken back
+    std::deque<Written> unreceived_;      // on the present connection, in their order
+    std::vector<ledger::Attempt*> out_;   // written on any connection, or adopted, and not over; in no order
     std::uint64_t incarnation_ = 0, received_ = 0;
     Nanos state_since_ = 0, heard_at_ = 0, asked_at_ = 0, broken_at_ = 0, dial_at_ = 0, pause_ = 0,
           cut_at_ = 0, clock_ = 0, clock_at_ = 0;
-    Counts counts_;
+    ConnectionStatistics counts_;
 };
 
-}  // namespace whinpost::link
+}  // namespace whinpost::worker_connection
--- a/tests/intake_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -1,4 +1,4 @@
-#include "intake/intake.h"
+#include "admission/admission_controller.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -6,63 +6,63 @@
 #include <random>
 
 using namespace whinpost;
-using namespace whinpost::intake;
+using namespace whinpost::admission;
 
 TEST_CASE("one owner's flood leaves the others their share, and takes what nobody needs") {
-    Intake in({1000, 1000, 1'000'000, 10}, 1);
-    Owner flood(in), quiet(in);
+    AdmissionController in({1000, 1000, 1'000'000, 10}, 1);
+    ClientShare flood(in), quiet(in);
     int taken = 0;
-    while (in.take(0, flood, 0) == Limit::none) ++taken;
+    while (in.take(0, flood, 0) == AdmissionLimit::none) ++taken;
     CHECK(taken == 825);  // all but what is kept for the other owner
     int others = 0;
-    while (in.take(0, quiet, 0) == Limit::none) ++others;
+    while (in.take(0, quiet, 0) == AdmissionLimit::none) ++others;
     CHECK(others == 175);
     // A third comes: the guarantees shrink; what is held stays held, and it gets its part as room comes.
-    Owner late(in);
-    CHECK(in.take(0, late, 0) == Limit::waiting);
+    ClientShare late(in);
+    CHECK(in.take(0, late, 0) == AdmissionLimit::waiting);
     for (int i = 0; i < 400; ++i) in.answered(&flood, 0);
     int third = 0;
-    while (in.take(0, late, 0) == Limit::none) ++third;
+    while (in.take(0, late, 0) == AdmissionLimit::none) ++third;
     CHECK(third >= 116);
 }
 
 TEST_CASE("the flood of one queue group leaves the worst served its share") {
-    Intake in({1000, 1000, 1'000'000, 10}, 3);
-    Owner a(in);
-    while (in.take(0, a, 0) == Limit::none) {
+    AdmissionController in({1000, 1000, 1'000'000, 10}, 3);
+    ClientShare a(in);
+    while (in.take(0, a, 0) == AdmissionLimit::none) {
     }
-    CHECK(in.take(0, a, 0) == Limit::group_waiting);
-    for (int i = 0; i < 116; ++i) REQUIRE(in.take(0, a, 1) == Limit::none);
-    for (int i = 0; i < 116; ++i) REQUIRE(in.take(0, a, 2) == Limit::none);
+    CHECK(in.take(0, a, 0) == AdmissionLimit::group_waiting);
+    for (int i = 0; i < 116; ++i) REQUIRE(in.take(0, a, 1) == AdmissionLimit::none);
+    for (int i = 0; i < 116; ++i) REQUIRE(in.take(0, a, 2) == AdmissionLimit::none);
 }
 
 TEST_CASE("containers a second are counted over a sliding second, also of owners that fell silent") {
-    Intake in({1'000'000, 1'000'000, 100, 10}, 1);
-    Owner a(in), b(in);
+    AdmissionController in({1'000'000, 1'000'000, 100, 10}, 1);
+    ClientShare a(in), b(in);
     Nanos now = 50 * kMillisecond;
     int first = 0;
-    while (in.take(now, a, 0) == Limit::none) ++first;
+    while (in.take(now, a, 0) == AdmissionLimit::none) ++first;
     CHECK(first == 75);
-    CHECK(in.take(now, a, 0) == Limit::owner_rate);
-    CHECK(in.take(now + 500 * kMillisecond, a, 0) == Limit::owner_rate);
+    CHECK(in.take(now, a, 0) == AdmissionLimit::owner_rate);
+    CHECK(in.take(now + 500 * kMillisecond, a, 0) == AdmissionLimit::owner_rate);
     int second = 0;
     now += 1100 * kMillisecond;
-    while (in.take(now, b, 0) == Limit::none) ++second;
+    while (in.take(now, b, 0) == AdmissionLimit::none) ++second;
     CHECK(second == 75);
-    CHECK(in.turned_away(Limit::owner_rate) >= 3);
+    CHECK(in.turned_away(AdmissionLimit::owner_rate) >= 3);
 }
 
 TEST_CASE("an owner that leaves frees what it held, and nothing is taken once closing") {
-    Intake in({10, 10, 1000, 10}, 1);
+    AdmissionController in({10, 10, 1000, 10}, 1);
     {
-        Owner a(in);
-        for (int i = 0; i < 10; ++i) CHECK(in.take(0, a, 0) == Limit::none);
+        ClientShare a(in);
+        for (int i = 0; i < 10; ++i) CHECK(in.take(0, a, 0) == AdmissionLimit::none);
         for (int i = 0; i < 10; ++i) in.answered(&a, 0);
     }
-    Owner b(in);
-    CHECK(in.take(0, b, 0) == Limit::none);
+    ClientShare b(in);
+    CHECK(in.take(0, b, 0) == AdmissionLimit::none);
     in.close();
-    CHECK(in.take(0, b, 0) == Limit::closing);
+    CHECK(in.take(0, b, 0) == AdmissionLimit::closing);
     CHECK(in.waiting() == 1);
 }
 
@@ -72,17 +72,17 @@
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     const int capacity = 1 + roll(300);
-    Shares shares(capacity, roll(11) / 10.0);
-    std::vector<std::unique_ptr<Member>> members;
+    FairShares shares(capacity, roll(11) / 10.0);
+    std::vector<std::unique_ptr<ShareHolder>> members;
     for (int step = 0; step < 3000; ++step) {
         if (members.empty() || roll(40) == 0) {
             // One that joins a full house waits for room: the guarantee holds for those who were there.
             if (members.size() < 12 && shares.held() == 0)
-                members.push_back(std::make_unique<Member>(shares));
+                members.push_back(std::make_unique<ShareHolder>(shares));
         }
         if (members.empty()) continue;
         const auto at = static_cast<std::size_t>(roll(static_cast<int>(members.size())));
-        Member& m = *members[at];
+        ShareHolder& m = *members[at];
         if (roll(3)) {
             if (m.held() < shares.guaranteed() && shares.held() < capacity) REQUIRE(m.fits());
             if (m.fits()) m.add();
--- a/tests/turns_test.cpp
+++ b/tests/admission_token_test.cpp
@@ -5,36 +5,36 @@
 #include <memory>
 #include <random>
 
-#include "turns/giver.h"
-#include "turns/taker.h"
+#include "slow_start/token_client.h"
+#include "slow_start/token_issuer.h"
 
 using namespace whinpost;
-using turns::Cold;
-using turns::Giver;
-using turns::Holder;
-using turns::Taker;
+using slow_start::TokenClient;
+using slow_start::TokenHolder;
+using slow_start::TokenIssuer;
+using slow_start::WarmingWorker;
 
 namespace {
 
-struct Given : turns::GiverPort {
-    void give(Holder& h, std::uint64_t number, int n) override {
+struct Given : slow_start::TokenIssuerHandler {
+    void give(TokenHolder& h, std::uint64_t number, int n) override {
         got[&h] += n;
         last = number;
     }
     void wake(Nanos at) override { wake_at = at; }
-    std::map<Holder*, int> got;
+    std::map<TokenHolder*, int> got;
     std::uint64_t last = 0;
     Nanos wake_at = 0;
 };
 
-struct Asked1 : turns::TakerPort {
-    void ask(Cold&, std::uint64_t n, int held, int more) override {
+struct Asked1 : slow_start::TokenClientHandler {
+    void ask(WarmingWorker&, std::uint64_t n, int held, int more) override {
         number = n;
         last_held = held;
         last_more = more;
         ++asks;
     }
-    void holds(Nanos, Cold&) override { ++changes; }
+    void holds(Nanos, WarmingWorker&) override { ++changes; }
     std::uint64_t number = 0;
     int last_held = 0, last_more = 0, asks = 0, changes = 0;
 };
@@ -44,8 +44,8 @@
 TEST_CASE(
     "a node gives no more turns than it bears, one to each in turn, and the next when a window has passed") {
     Given port;
-    Giver giver(port, kSecond);
-    Holder a(giver), b(giver);
+    TokenIssuer giver(port, kSecond);
+    TokenHolder a(giver), b(giver);
     Nanos now = 100 * kSecond;
     giver.bears(now, 3.9);
     giver.asked(now, a, 1, 0, 5);
@@ -68,8 +68,8 @@
 
 TEST_CASE("one that no longer wants a turn is passed over when its turn comes") {
     Given port;
-    Giver giver(port, kSecond);
-    Holder a(giver), b(giver), c(giver);
+    TokenIssuer giver(port, kSecond);
+    TokenHolder a(giver), b(giver), c(giver);
     giver.bears(0, 1);
     giver.asked(0, a, 1, 0, 1);
     giver.asked(0, b, 1, 0, 1);
@@ -82,11 +82,11 @@
 
 TEST_CASE("what a lost connection held is free again; an offer without a turn counts all the same") {
     Given port;
-    Giver giver(port, kSecond);
-    Holder a(giver);
+    TokenIssuer giver(port, kSecond);
+    TokenHolder a(giver);
     giver.bears(0, 2);
     {
-        Holder b(giver);
+        TokenHolder b(giver);
         giver.asked(0, b, 1, 0, 2);
         CHECK(giver.out() == 2);
         giver.asked(0, a, 1, 0, 1);
@@ -105,8 +105,8 @@
 
 TEST_CASE("a placer asks where it has something to place, spends, and gives back what it does not use") {
     Asked1 port;
-    Taker taker(port, 10 * kSecond);
-    Cold c(taker);
+    TokenClient taker(port, 10 * kSecond);
+    WarmingWorker c(taker);
     Nanos now = 100 * kSecond;
     taker.greeted(now, c, true);
     taker.waiting(now, 5);
@@ -162,10 +162,10 @@
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
 
     struct Way {  // one connection
-        std::unique_ptr<Holder> holder;
+        std::unique_ptr<TokenHolder> holder;
         Asked1 asks;
-        std::unique_ptr<Taker> taker;
-        std::unique_ptr<Cold> cold;
+        std::unique_ptr<TokenClient> taker;
+        std::unique_ptr<WarmingWorker> cold;
         struct Note {
             bool offer;
             std::uint64_t number;
@@ -174,22 +174,22 @@
         std::deque<Note> to_node;
         std::deque<std::pair<std::uint64_t, int>> to_placer;
     };
-    struct Node : turns::GiverPort {
-        void give(Holder& h, std::uint64_t number, int n) override {
+    struct Node : slow_start::TokenIssuerHandler {
+        void give(TokenHolder& h, std::uint64_t number, int n) override {
             static_cast<Way*>(h.tag)->to_placer.emplace_back(number, n);
         }
         void wake(Nanos) override {}
     } node;
-    struct Sends : turns::TakerPort {
+    struct Sends : slow_start::TokenClientHandler {
         explicit Sends(Way& w) : way(w) {}
-        void ask(Cold&, std::uint64_t number, int held, int more) override {
+        void ask(WarmingWorker&, std::uint64_t number, int held, int more) override {
             way.to_node.push_back({false, number, held, more});
         }
-        void holds(Nanos, Cold&) override {}
+        void holds(Nanos, WarmingWorker&) override {}
         Way& way;
     };
     const int bears = 2 + roll(12);
-    Giver giver(node, kSecond);
+    TokenIssuer giver(node, kSecond);
     Nanos now = 1000 * kSecond;
     giver.bears(now, bears);
     std::vector<std::unique_ptr<Way>> ways;
@@ -197,7 +197,7 @@
     const auto connect = [&](Way& w) {
         w.to_node.clear();
         w.to_placer.clear();
-        w.holder = std::make_unique<Holder>(giver);
+        w.holder = std::make_unique<TokenHolder>(giver);
         w.holder->tag = &w;
         w.taker->greeted(now, *w.cold, true);
         w.taker->stands(now, *w.cold, true, now - kSecond);
@@ -205,8 +205,8 @@
     for (int i = 0; i < 2 + roll(10); ++i) {
         ways.push_back(std::make_unique<Way>());
         ports.push_back(std::make_unique<Sends>(*ways.back()));
-        ways.back()->taker = std::make_unique<Taker>(*ports.back(), 1'000'000 * kSecond);
-        ways.back()->cold = std::make_unique<Cold>(*ways.back()->taker);
+        ways.back()->taker = std::make_unique<TokenClient>(*ports.back(), 1'000'000 * kSecond);
+        ways.back()->cold = std::make_unique<WarmingWorker>(*ways.back()->taker);
         connect(*ways.back());
     }
     std::deque<Nanos> arrived;
