--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -15,16 +15,16 @@
 
 #include "config/placer_file.h"
 #include "config/toml.h"
+#include "emulator/scenario_run.h"
 #include "migrate/migrate.h"
-#include "net/net.h"
-#include "platform/briefing.h"
-#include "proto/list.pb.h"
-#include "proto/node.pb.h"
-#include "proto/owner.pb.h"
+#include "net/stream.h"
+#include "platform/bootstrap_config.h"
+#include "platform_codec/message.h"
+#include "proto/client.pb.h"
+#include "proto/discovery.pb.h"
+#include "proto/worker.pb.h"
 #include "scale.h"
-#include "signalling/message.h"
-#include "standin/day.h"
-#include "terms/terms.h"
+#include "settings/settings.h"
 
 using namespace whinpost;
 namespace fs = std::filesystem;
@@ -124,7 +124,7 @@
         Envelope envelope;
         fill_field(envelope, *descriptor.field(i));
         std::string frame;
-        net::append_frame(frame, envelope);
+        net::encode_frame(frame, envelope);
         out += name + " " + std::to_string(descriptor.field(i)->number()) + " " + hex(frame) + "\n";
     }
     return out;
@@ -181,7 +181,7 @@
     }
 }
 
-void add_acceptance(Values& values, const Acceptance& a) {
+void add_acceptance(Values& values, const WorkerAcceptance& a) {
     values.add("cores multiple", a.cores_multiple)
         .add("memory multiple", a.memory_multiple)
         .add("reports use", a.reports_use)
@@ -191,7 +191,7 @@
         .add("notes pressure", a.notes_pressure);
 }
 
-void add_slow_start(Values& values, const ColdTerms& c) {
+void add_slow_start(Values& values, const SlowStartSettings& c) {
     values.add("cold from", c.from)
         .add("warm after", c.warm_after)
         .add("multiple", c.multiple)
@@ -211,8 +211,8 @@
         .add("refused", p.refused);
 }
 
-void add_kinds(Values& values, const std::vector<MachineKind>& kinds) {
-    for (const MachineKind& k : kinds) values.add("kind cores", k.cores).add("kind memory", k.memory);
+void add_kinds(Values& values, const std::vector<WorkerKind>& kinds) {
+    for (const WorkerKind& k : kinds) values.add("kind cores", k.cores).add("kind memory", k.memory);
 }
 
 // ---- programs
@@ -260,11 +260,12 @@
 }
 
 TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
-    using signalling::Type;
+    using platform_codec::MessageType;
     std::string out;
-    for (const Type type : {Type::set_up, Type::progress, Type::answer, Type::release, Type::release_heard,
-                            Type::note, Type::move, Type::test, Type::tested}) {
-        signalling::Message m;
+    for (const MessageType type : {MessageType::set_up, MessageType::progress, MessageType::answer,
+                                   MessageType::release, MessageType::release_heard, MessageType::note,
+                                   MessageType::move, MessageType::test, MessageType::tested}) {
+        platform_codec::Message m;
         m.type = type;
         m.task = 0x0102030405060708;
         m.group = "group";
@@ -280,18 +281,19 @@
         m.description = "description";
         m.cause = 42;
         std::string bytes;
-        signalling::append(bytes, m);
+        platform_codec::encode(bytes, m);
         out += std::to_string(static_cast<int>(type)) + " " + hex(bytes) + "\n";
-        signalling::Message again;
+        platform_codec::Message again;
         std::size_t used = 0;
-        REQUIRE(signalling::read(bytes, again, used) == signalling::Read::whole);
+        REQUIRE(platform_codec::decode(bytes, again, used) == platform_codec::DecodeStatus::whole);
         std::string written;
-        signalling::append(written, again);
+        platform_codec::encode(written, again);
         CHECK(hex(written) == hex(bytes));
     }
-    for (const int cause : {signalling::kOk, signalling::kGivenUp, signalling::kCancelled, signalling::kFull,
-                            signalling::kReset, signalling::kTryLater, signalling::kError,
-                            signalling::kNeverLeft, signalling::kPassed, signalling::kFailed})
+    for (const int cause :
+         {platform_codec::kOk, platform_codec::kGivenUp, platform_codec::kCancelled, platform_codec::kFull,
+          platform_codec::kReset, platform_codec::kTryLater, platform_codec::kError,
+          platform_codec::kNeverLeft, platform_codec::kPassed, platform_codec::kFailed})
         out += "cause " + std::to_string(cause) + "\n";
     check_unchanged("platform-messages.txt", out);
 }
@@ -302,43 +304,43 @@
     config::Document again = config::Document::read(fixture("placer.toml").string());
     config::Table root = again.root();
     Values values;
-    const config::Named named = config::placer(root);
+    const config::PlacerSettings named = config::placer_settings(root);
     values.add("name", named.name).add("listen", named.listen).add("zone", named.zone);
     values.add("zones", named.zones).add("seed", named.seed);
-    const config::ListAt list = config::list_at(root);
+    const config::DiscoveryService list = config::discovery_service(root);
     values.add("list", list.address).add("on request", list.terms.on_request);
     values.add("ask every", list.terms.ask_every);
-    const config::Saying saying = config::saying(root);
+    const config::LogSettings saying = config::log_settings(root);
     values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.form));
-    const auto kinds = config::machine_kinds(root);
+    const auto kinds = config::worker_kinds(root);
     add_kinds(values, kinds);
     std::vector<QueueGroup> groups;
-    for (const config::Group& g : config::queue_groups(root, kinds.size())) {
+    for (const config::NamedQueueGroup& g : config::queue_groups(root, kinds.size())) {
         values.add("group", g.name);
         groups.push_back(g.terms);
     }
     add_groups(values, groups);
-    add_acceptance(values, config::acceptance(root));
-    add_slow_start(values, config::cold_terms(root));
-    const LaunchTerms launches = config::launch_terms(root);
+    add_acceptance(values, config::worker_acceptance(root));
+    add_slow_start(values, config::slow_start_settings(root));
+    const RetrySettings launches = config::retry_settings(root);
     values.add("launches most", launches.most).add("can stop", launches.can_stop);
     add_prices(values, config::prices(root));
-    const intake::Limits limits = config::intake_limits(root);
+    const admission::AdmissionLimits limits = config::admission_limits(root);
     values.add("waiting", limits.waiting).add("waiting an owner", limits.waiting_an_owner);
     values.add("a second", limits.a_second).add("owners", limits.owners);
-    const link::Terms links = config::link_terms(root);
+    const worker_connection::ConnectionSettings links = config::connection_settings(root);
     values.add("dial time out", links.dial_time_out).add("greet time out", links.greet_time_out);
     values.add("silent after", links.silent_after).add("first pause", links.first_pause);
     values.add("longest pause", links.longest_pause).add("drain grace", links.drain_grace);
-    const config::Dialling dialling = config::dialling(root);
+    const config::DialLimits dialling = config::dial_limits(root);
     values.add("dials at once", dialling.at_once).add("dials a second", dialling.a_second);
     check_unchanged("placer-values.txt", values.text());
 }
 
 TEST_CASE("a shape replaces what it replaced") {
-    const migrate::File old{"old.toml", read_file(fixture("placer.toml"))};
-    const migrate::File shape{"shape.toml", read_file(fixture("shape.toml"))};
-    const migrate::Counterpart c = migrate::counterpart(old, shape, "new.toml");
+    const migrate::NamedText old{"old.toml", read_file(fixture("placer.toml"))};
+    const migrate::NamedText shape{"shape.toml", read_file(fixture("shape.toml"))};
+    const migrate::MigrationResult c = migrate::migrate_configuration(old, shape, "new.toml");
     CHECK(c.problems.empty());
     std::string out = c.text;
     for (const std::string& line : c.carried) out += "carried " + line + "\n";
@@ -348,24 +350,24 @@
 }
 
 TEST_CASE("the platform's file with every key is read as it was") {
-    const platform::Briefing file =
-        platform::Briefing::parse(read_file(fixture("platform.json")), "platform.json");
+    const platform::BootstrapConfig file =
+        platform::BootstrapConfig::parse(read_file(fixture("platform.json")), "platform.json");
     Values values;
     values.add("listen", file.listen()).add("bus", file.bus()).add("seed", file.seed());
     values.add("sockets", file.sockets()).add("offset", file.offset());
     for (const std::string& event : file.known()) values.add("known", event);
-    const terms::Paths& settings = file.settings();
-    for (const std::string& name : terms::group_names(settings)) values.add("group", name);
-    add_groups(values, terms::queue_groups(settings));
-    add_kinds(values, terms::machine_kinds(settings));
-    add_acceptance(values, terms::acceptance(settings));
-    add_slow_start(values, terms::cold_terms(settings));
-    const ListTerms list = terms::list_terms(settings);
+    const settings::Settings& settings = file.settings();
+    for (const std::string& name : settings::group_names(settings)) values.add("group", name);
+    add_groups(values, settings::queue_groups(settings));
+    add_kinds(values, settings::worker_kinds(settings));
+    add_acceptance(values, settings::worker_acceptance(settings));
+    add_slow_start(values, settings::slow_start_settings(settings));
+    const DiscoverySettings list = settings::discovery_settings(settings);
     values.add("on request", list.on_request).add("ask every", list.ask_every);
-    const LaunchTerms launches = terms::launch_terms(settings);
+    const RetrySettings launches = settings::retry_settings(settings);
     values.add("launches most", launches.most).add("can stop", launches.can_stop);
-    add_prices(values, terms::prices(settings));
-    values.add("zone", terms::zone(settings));
+    add_prices(values, settings::prices(settings));
+    values.add("zone", settings::zone(settings));
     for (const auto name : settings.list("flavors")) values.add("flavor", name);
     for (const auto name : settings.list("zones")) values.add("zone", name);
     values.add("dial timeout", settings.micros("limits.dial_timeout_us"));
@@ -376,8 +378,8 @@
 TEST_CASE("a scenario with every fault and expectation, and a day, are read as they were") {
     const std::string name = GENERATE("scenario", "day");
     std::vector<std::string> problems;
-    const standin::Plan plan =
-        standin::parse_plan(read_file(fixture(name + ".toml")), name + ".toml", problems);
+    const emulator::Scenario plan =
+        emulator::parse_scenario(read_file(fixture(name + ".toml")), name + ".toml", problems);
     INFO((problems.empty() ? "" : problems[0]));
     REQUIRE(problems.empty());
     Values values;
@@ -391,33 +393,33 @@
     values.add("missing", plan.old_list.missing).add("least", plan.network.least);
     values.add("spread", plan.network.spread).add("late", plan.network.late);
     values.add("late share", plan.network.late_share).add("launches", plan.launches.most);
-    const standin::NodeTerms& node = plan.node;
+    const emulator::EmulatedWorkerSettings& node = plan.node;
     values.add("judge", node.judge).add("line", node.line).add("starts", node.starts);
     values.add("start", node.start).add("without program", node.without_program);
     values.add("program kept", node.program_kept).add("gives turns", node.gives_turns);
     values.add("drawn starts", node.drawn_starts).add("reports", node.reports);
     values.add("sends away every", node.sends_away_every).add("report every", node.report_every);
-    for (const standin::GroupTerms& g : plan.groups) values.add("group", g.name);
-    for (const standin::Load& load : plan.loads) {
+    for (const emulator::NamedQueueGroup& g : plan.groups) values.add("group", g.name);
+    for (const emulator::LoadProfile& load : plan.loads) {
         values.add("load group", load.group).add("a second", load.a_second).add("services", load.services);
         values.add("batch", load.batch).add("queue timeout", load.queue_timeout);
         values.add("life least", load.life_least).add("life most", load.life_most);
         for (const double cores : load.cores) values.add("cores", cores);
         for (const double memory : load.memory) values.add("memory", memory);
     }
-    for (const standin::Fault& fault : plan.faults) {
+    for (const emulator::Fault& fault : plan.faults) {
         values.add("fault", static_cast<int>(fault.what)).add("at", fault.at).add("lasts", fault.lasts);
         for (const std::size_t i : fault.nodes) values.add("fault node", i);
         values.add("which", fault.which).add("size", fault.size).add("tell", fault.tell);
         values.add("fault group", fault.group).add("in", fault.in).add("out", fault.out);
     }
-    for (const standin::Expect& expect : plan.expects) {
-        values.add("expect", standin::words(expect.of)).add("expect group", expect.group);
+    for (const emulator::Expectation& expect : plan.expects) {
+        values.add("expect", emulator::to_string(expect.of)).add("expect group", expect.group);
         values.add("from", expect.from).add("to", expect.to).add("at least", expect.at_least);
         values.add("bound", expect.bound).add("share", expect.share);
     }
     check_unchanged(name + "-values.txt",
-                    values.text() + standin::placer_file(plan, 1, "10.0.0.1:1", "10.0.0.2:2"));
+                    values.text() + emulator::placer_configuration(plan, 1, "10.0.0.1:1", "10.0.0.2:2"));
 }
 
 TEST_CASE("a raw file of capacity points is read and written as it was") {
@@ -436,23 +438,24 @@
         std::string bytes = bytes_of(read_file(entry.path()));
         bool bad = false;
         std::size_t done = 0;
-        if (folder == "platform") {
+        if (folder == "platform_endpoint") {
             const int from = bytes[0];
             bytes.erase(0, 1);
             if (from == 3) {
-                CHECK_NOTHROW(platform::Briefing::parse(bytes, "corpus"));
+                CHECK_NOTHROW(platform::BootstrapConfig::parse(bytes, "corpus"));
                 continue;
             }
             if (from == 2) continue;  // an event of discovery: read_event has tests of its own
-            done = signalling::messages(bytes, bad, [](const signalling::Message&) { return true; });
+            done =
+                platform_codec::decode_all(bytes, bad, [](const platform_codec::Message&) { return true; });
         } else {
-            done = net::frames(bytes, net::kLongestFrame, bad, [&folder](std::string_view frame) {
+            done = net::decode_frames(bytes, net::kMaxFrameSize, bad, [&folder](std::string_view frame) {
                 v1::FromOwner owner;
                 v1::FromNode node;
                 v1::FromList list;
-                Message& message = folder == "owner_door"  ? static_cast<Message&>(owner)
-                                   : folder == "node_door" ? static_cast<Message&>(node)
-                                                           : static_cast<Message&>(list);
+                Message& message = folder == "client_endpoint"   ? static_cast<Message&>(owner)
+                                   : folder == "worker_endpoint" ? static_cast<Message&>(node)
+                                                                 : static_cast<Message&>(list);
                 CHECK(message.ParseFromArray(frame.data(), static_cast<int>(frame.size())));
                 std::string again;
                 CHECK(message.SerializeToString(&again));
@@ -472,7 +475,7 @@
     for (const char* words : {"", "run", "check", "rehearse", "migrate", "platform"})
         out += names_in_help(apps + "whinpost", "whinpost", words);
     for (const char* words : {"", "play", "rehearse"})
-        out += names_in_help(apps + "whinpost-standins", "emulator", words);
+        out += names_in_help(apps + "whinpost-emulator", "emulator", words);
     check_unchanged("options.txt", out);
 }
 
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "config/placer_file.h"
-#include "standin/day.h"
+#include "emulator/scenario_run.h"
 
 using namespace whinpost;
 
@@ -48,13 +48,13 @@
 TEST_CASE("a whole file is read as the plain values that each part takes") {
     CHECK(problems_of(kGood).empty());
     config::Document d = config::Document::parse(kGood, "f.toml");
-    const config::Named me = config::placer(d.root());
+    const config::PlacerSettings me = config::placer_settings(d.root());
     CHECK(me.zone == 1);
-    const auto kinds = config::machine_kinds(d.root());
+    const auto kinds = config::worker_kinds(d.root());
     CHECK(kinds.at(0).memory == 32.5);
     const auto groups = config::queue_groups(d.root(), 1);
     CHECK(groups.at(0).terms.effect == Effect::fingerprinted);
-    CHECK(groups.at(0).terms.repeats_dropped_by == Place::cell);
+    CHECK(groups.at(0).terms.repeats_dropped_by == FailureDomain::cell);
     CHECK(groups.at(0).terms.repeat_window == 1500 * kMillisecond);
 }
 
@@ -107,8 +107,8 @@
 TEST_CASE("a day's script without zones, and faults that name one, is refused without more ado") {
     // Found by fuzzing: a zone's nodes were looked for among no zones.
     std::vector<std::string> problems;
-    standin::parse_plan("[day]\n[fleet]\nnodes = 3\n[[fault]]\nat_s = 0\ndo = \"drain\"\nzone = \"a\"\n",
-                        "d.toml", problems);
+    emulator::parse_scenario("[day]\n[fleet]\nnodes = 3\n[[fault]]\nat_s = 0\ndo = \"drain\"\nzone = \"a\"\n",
+                             "d.toml", problems);
     std::string all;
     for (const std::string& p : problems) all += p + "\n";
     CHECK(all.find("d.toml:2: fleet.zones: is missing") != std::string::npos);
@@ -124,9 +124,9 @@
 
 TEST_CASE("a file that says nothing of notes of pressure means that they come") {
     config::Document d = config::Document::parse(kGood, "f.toml");
-    CHECK(config::acceptance(d.root()).notes_pressure);
+    CHECK(config::worker_acceptance(d.root()).notes_pressure);
     config::Document other =
         config::Document::parse(std::string(kGood) + "[acceptance]\nnotes_pressure = false\n", "f.toml");
-    CHECK_FALSE(config::acceptance(other.root()).notes_pressure);
+    CHECK_FALSE(config::worker_acceptance(other.root()).notes_pressure);
     CHECK(config::check(other).empty());
 }
--- a/tests/node_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -1,21 +1,21 @@
 // The node model against closed forms, and its faults. Launches come as a Poisson stream over a simulated
 // connection; what is measured is what a placer would see.
-#include "standin/node.h"
+#include "emulator/emulated_worker.h"
 
 #include <catch2/catch.hpp>
 #include <cmath>
 
-#include "rig.h"
+#include "support/server_rig.h"
 
 using namespace whinpost;
 
 namespace {
 
 struct Line1 {
-    explicit Line1(standin::NodeTerms terms, std::uint64_t seed = 1, int priorities = 1)
+    explicit Line1(emulator::EmulatedWorkerSettings terms, std::uint64_t seed = 1, int priorities = 1)
         : world(seed), host(world.process("node")), client(world.process("client")),
           fleet(host, seen, groups(priorities), seed), chance(static_cast<unsigned>(seed) + 77) {
-        node = std::make_unique<standin::Node>(fleet, host, "n", 0, 0, terms, 1, 0);
+        node = std::make_unique<emulator::EmulatedWorker>(fleet, host, "n", 0, 0, terms, 1, 0);
         REQUIRE(node->listen("node:1").empty());
         peer.stream = client.dial("node:1", peer);
         run(10 * kMillisecond);
@@ -24,8 +24,8 @@
         peer.say(m);
         run(10 * kMillisecond);
     }
-    static std::vector<standin::GroupTerms> groups(int n) {
-        std::vector<standin::GroupTerms> all;
+    static std::vector<emulator::NamedQueueGroup> groups(int n) {
+        std::vector<emulator::NamedQueueGroup> all;
         for (int i = 0; i < n; ++i) {
             QueueGroup g;
             g.priority = i;
@@ -60,10 +60,10 @@
         run(60 * kSecond);
     }
     // Seconds from one line of the record to another of the same launch.
-    std::vector<double> between(standin::What a, standin::What b) const {
+    std::vector<double> between(emulator::EventKind a, emulator::EventKind b) const {
         std::vector<Nanos> from(sent + 1, 0);
         std::vector<double> out;
-        for (const standin::Line& l : seen.lines()) {
+        for (const emulator::RecordedEvent& l : seen.lines()) {
             if (l.launch == 0 || l.launch > sent) continue;
             if (l.what == a) from[l.launch] = l.at;
             if (l.what == b && from[l.launch])
@@ -71,16 +71,17 @@
         }
         return out;
     }
-    std::size_t count(standin::What w) const {
-        return static_cast<std::size_t>(std::count_if(seen.lines().begin(), seen.lines().end(),
-                                                      [w](const standin::Line& l) { return l.what == w; }));
+    std::size_t count(emulator::EventKind w) const {
+        return static_cast<std::size_t>(
+            std::count_if(seen.lines().begin(), seen.lines().end(),
+                          [w](const emulator::RecordedEvent& l) { return l.what == w; }));
     }
 
-    lab::World world;
-    lab::Process &host, &client;
-    standin::Seen seen;
-    standin::Fleet fleet;
-    std::unique_ptr<standin::Node> node;
+    simulation::SimulatedNetwork world;
+    simulation::SimulatedProcess &host, &client;
+    emulator::EventLog seen;
+    emulator::EmulatedFleet fleet;
+    std::unique_ptr<emulator::EmulatedWorker> node;
     Peer<v1::FromNode, v1::ToNode> peer;
     std::ranlux24_base chance;
     std::uint64_t sent = 0;
@@ -114,8 +115,8 @@
     return b;
 }
 
-standin::NodeTerms roomy() {
-    standin::NodeTerms t;
+emulator::EmulatedWorkerSettings roomy() {
+    emulator::EmulatedWorkerSettings t;
     t.cores = 1e6;
     t.memory = 1e6;
     t.line = 1'000'000;
@@ -129,11 +130,11 @@
 }  // namespace
 
 TEST_CASE("the line of asks is M/D/1: one server, always the same time") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = 200 * kMillisecond;
     Line1 t(terms);
     t.stream(60'000, 3.5, 0.001);
-    const Estimate e = batches(t.between(standin::What::launch, standin::What::accepted));
+    const Estimate e = batches(t.between(emulator::EventKind::launch, emulator::EventKind::accepted));
     const double rho = 0.7, wait = rho * 0.2 / (2 * (1 - rho));
     INFO("mean " << e.mean << " s, 95% within " << e.half << "; by the formula " << wait + 0.2);
     CHECK(std::abs(e.mean - 0.2 - wait) < 0.03 * wait + e.half);
@@ -142,14 +143,14 @@
 }
 
 TEST_CASE("starts are M/M/c: so many at a time, each for a drawn time") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = 0;
     terms.starts = 3;
     terms.start = 600 * kMillisecond;
     terms.drawn_starts = true;
     Line1 t(terms, 2);
     t.stream(150'000, 3.5, 0.001);
-    const Estimate e = batches(t.between(standin::What::accepted, standin::What::started));
+    const Estimate e = batches(t.between(emulator::EventKind::accepted, emulator::EventKind::started));
     const double load = 2.1, rho = load / 3, b = erlang_b(3, load);
     const double c = b / (1 - rho * (1 - b)), whole = c / (3 / 0.6 - 3.5) + 0.6;
     INFO("mean " << e.mean << " s, 95% within " << e.half << "; by Erlang's C " << whole);
@@ -158,41 +159,41 @@
 }
 
 TEST_CASE("a full node turns away as Erlang's loss formula says") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = 0;
     terms.cores = 8;
     terms.cores_multiple = 1;
     Line1 t(terms, 3);
     t.stream(60'000, 3, 2);
-    const double loss = static_cast<double>(t.count(standin::What::refused)) / 60'000;
+    const double loss = static_cast<double>(t.count(emulator::EventKind::refused)) / 60'000;
     const double formula = erlang_b(8, 6);
     INFO("lost " << loss << ", by the formula " << formula);
     CHECK(std::abs(loss - formula) < 0.03 * formula);
 }
 
 TEST_CASE("what a node plays when it is paused, deaf or mute, and let have a rate") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = kMillisecond;
     Line1 t(terms, 4, 2);
-    standin::Faults f;
+    emulator::ActiveFaults f;
     const auto answers = [&t] { return t.peer.count(&v1::FromNode::has_accepted); };
     SECTION("paused: nothing moves, and then all of it does") {
         f.paused = true;
         t.node->set(f);
         t.launch(5);
         t.run(2 * kSecond);
-        CHECK(t.count(standin::What::launch) == 0);
+        CHECK(t.count(emulator::EventKind::launch) == 0);
         t.node->set({});
         t.run(kSecond);
         CHECK(answers() == 1);
-        CHECK(t.count(standin::What::started) == 1);
+        CHECK(t.count(emulator::EventKind::started) == 1);
     }
     SECTION("mute: it goes on working, and its words come late") {
         f.mute = true;
         t.node->set(f);
         t.launch(5);
         t.run(2 * kSecond);
-        CHECK(t.count(standin::What::started) == 1);
+        CHECK(t.count(emulator::EventKind::started) == 1);
         CHECK(answers() == 0);
         t.node->set({});
         t.run(kSecond);
@@ -205,11 +206,11 @@
         t.node->set(f);
         t.launch(1);
         t.run(3 * kSecond);
-        CHECK(t.count(standin::What::launch) == 1);
+        CHECK(t.count(emulator::EventKind::launch) == 1);
         CHECK(t.peer.count(&v1::FromNode::has_ended) == 1);
         t.node->set({});
         t.run(kSecond);
-        CHECK(t.count(standin::What::launch) == 2);
+        CHECK(t.count(emulator::EventKind::launch) == 2);
     }
     SECTION("a rate: of one group so many a second, whatever room there is") {
         f.rate_group = 1;
@@ -218,7 +219,7 @@
         for (int i = 0; i < 6; ++i) t.launch(5, 1, i % 2);
         t.run(200 * kMillisecond);
         CHECK(answers() == 5);
-        CHECK(t.count(standin::What::refused) == 1);
+        CHECK(t.count(emulator::EventKind::refused) == 1);
         t.run(kSecond);
         t.launch(5, 1, 1);
         t.run(200 * kMillisecond);
@@ -228,7 +229,7 @@
 
 TEST_CASE(
     "crowded cores serve less, by the queue group's own curve; swelling and other programs crowd them") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.cores = 10;
     terms.cores_multiple = 10;
     Line1 t(terms, 5);
@@ -245,7 +246,7 @@
     t.node->set({});
     const double swollen = share();
     CHECK(swollen < 1);
-    standin::Faults f;
+    emulator::ActiveFaults f;
     f.other_cores = 5;
     t.node->set(f);
     CHECK(share() < swollen);
@@ -255,7 +256,7 @@
 }
 
 TEST_CASE("a launch that is read or judged after its time never begins") {
-    standin::NodeTerms terms = roomy();
+    emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = 100 * kMillisecond;
     Line1 t(terms, 6);
     v1::ToNode m;
@@ -274,6 +275,6 @@
     l.set_not_after(clock + kSecond);
     t.peer.say(m);
     t.run(kSecond);
-    CHECK(t.count(standin::What::refused) == 2);
-    CHECK(t.count(standin::What::started) == 1);
+    CHECK(t.count(emulator::EventKind::refused) == 2);
+    CHECK(t.count(emulator::EventKind::started) == 1);
 }
--- a/tests/net_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -7,14 +7,14 @@
 #include <memory>
 #include <vector>
 
-#include "lab/sim.h"
-#include "net/event_loop.h"
+#include "net/libevent_loop.h"
+#include "simulation/simulated_network.h"
 
 using namespace whinpost;
 
 namespace {
 
-struct End : net::StreamUser {
+struct End : net::StreamHandler {
     void connected() override {
         up = true;
         if (then) then();
@@ -25,7 +25,7 @@
         return in.size();
     }
     void drained() override { ++drains; }
-    void closed(net::Closed c) override {
+    void closed(net::CloseReason c) override {
         over = true;
         how = c;
         stream.reset();
@@ -35,22 +35,22 @@
     std::string got;
     bool up = false, over = false;
     int drains = 0;
-    net::Closed how{};
+    net::CloseReason how{};
     std::function<void()> then;
 };
 
 // Either loop, run until `done` or for long enough that something is wrong.
 struct Ground {
     explicit Ground(bool real) {
-        if (real) event = std::make_unique<net::EventLoop>();
+        if (real) event = std::make_unique<net::LibeventLoop>();
         else {
-            world = std::make_unique<lab::World>(1);
+            world = std::make_unique<simulation::SimulatedNetwork>(1);
             a = &world->process("a");
             b = &world->process("b");
         }
     }
-    net::Loop& near() { return event ? static_cast<net::Loop&>(*event) : *a; }
-    net::Loop& far() { return event ? static_cast<net::Loop&>(*event) : *b; }
+    net::EventLoop& near() { return event ? static_cast<net::EventLoop&>(*event) : *a; }
+    net::EventLoop& far() { return event ? static_cast<net::EventLoop&>(*event) : *b; }
     std::string any() const { return event ? "127.0.0.1:0" : "b:0"; }
     void until(const std::function<bool()>& done) {
         if (!event) {
@@ -67,9 +67,9 @@
         }
         REQUIRE(done());
     }
-    std::unique_ptr<net::EventLoop> event;
-    std::unique_ptr<lab::World> world;
-    lab::Process *a = nullptr, *b = nullptr;
+    std::unique_ptr<net::LibeventLoop> event;
+    std::unique_ptr<simulation::SimulatedNetwork> world;
+    simulation::SimulatedProcess *a = nullptr, *b = nullptr;
 };
 
 }  // namespace
@@ -102,7 +102,7 @@
         g.until([&] { return near.stream->unsent() == 0; });
         near.stream.reset();
         g.until([&] { return far.over; });
-        CHECK(far.how == net::Closed::by_peer);
+        CHECK(far.how == net::CloseReason::by_peer);
         CHECK(far.got.ends_with("last"));
     }
     SECTION(
@@ -138,7 +138,7 @@
     }
     near.stream = g.near().dial(address, near);
     g.until([&] { return near.over; });
-    CHECK(near.how == net::Closed::refused);
+    CHECK(near.how == net::CloseReason::refused);
     CHECK_FALSE(near.up);
 }
 
@@ -159,7 +159,7 @@
 }
 
 TEST_CASE("without a descriptor left, dials say so, and those who ask are let in once there is one") {
-    net::EventLoop loop;
+    net::LibeventLoop loop;
     End first, second, served;
     std::string error;
     const auto listener = loop.listen(
@@ -190,7 +190,7 @@
     loop.run();
     setrlimit(RLIMIT_NOFILE, &before);
     CHECK(second.over);
-    CHECK(second.how == net::Closed::out_of_files);
+    CHECK(second.how == net::CloseReason::out_of_files);
     CHECK(first.up);
     CHECK(served.stream);
 }
--- a/tests/checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -2,22 +2,23 @@
 // allows all. The same planner over the program's own ledger breaks nothing.
 #include <catch2/catch.hpp>
 
-#include "lab/sim_ground.h"
-#include "quiet_planner.h"
+#include "simulation/simulated_environment.h"
+#include "support/quiet_planner.h"
 
 using namespace whinpost;
-using standin::Breach;
+using emulator::Violation;
 
 namespace {
 
 struct Lax final : ledger::Ledger {
-    Lax(std::vector<QueueGroup> g, LaunchTerms t, ColdTerms c, bool mute)
+    Lax(std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c, bool mute)
         : Ledger(std::move(g), t, c), mute_(mute) {}
-    ledger::Refusal may_launch(Nanos, const ledger::Record& r, const ledger::Node&) const override {
+    ledger::Refusal may_launch(Nanos, const ledger::TaskRecord& r,
+                               const ledger::WorkerRecord&) const override {
         return r.launches.size() < 4 ? ledger::Refusal::none : ledger::Refusal::too_many;
     }
-    bool may_still_send(Nanos, const ledger::Launch&) const override { return true; }
-    bool give(Nanos now, ledger::Record& r, ledger::Answer a) override {
+    bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
+    bool give(Nanos now, ledger::TaskRecord& r, ledger::Answer a) override {
         return !mute_ && Ledger::give(now, r, a);
     }
     bool mute_;
@@ -27,29 +28,29 @@
 
 // Binds whatever comes at once, by its one bad habit.
 struct Rogue final : QuietPlanner {
-    Rogue(edge::Edge& e, Does d) : edge(e), does(d) {}
-    void node(Nanos, planner::NodeNumber n, std::uint64_t, const Listed& l) override {
+    Rogue(server::PlacerServer& e, Does d) : edge(e), does(d) {}
+    void node(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) override {
         if (known.size() <= n) known.resize(n + 1);
         known[n] = l;
     }
     void round(Nanos) override {
         if (known.empty()) return;
-        for (const planner::ContainerNumber c : std::exchange(taken, {})) {
-            const auto n = static_cast<planner::NodeNumber>(known.size());
-            planner::NodeNumber to = turn++ % n;
+        for (const planner::TaskNumber c : std::exchange(taken, {})) {
+            const auto n = static_cast<planner::WorkerNumber>(known.size());
+            planner::WorkerNumber to = turn++ % n;
             if (does == Does::crowds || does == Does::ignores_drains) to = 0;
             if (does == Does::floods_the_cold)
-                for (planner::NodeNumber i = 0; i < n; ++i)
+                for (planner::WorkerNumber i = 0; i < n; ++i)
                     if (known[i].started) to = i;
             if (does == Does::says_nothing) continue;
             edge.bind(c, to, 60 * kSecond);
             if (does == Does::binds_twice) edge.bind(c, (to + 1) % n, 60 * kSecond);
         }
     }
-    edge::Edge& edge;
+    server::PlacerServer& edge;
     Does does;
-    std::vector<Listed> known;
-    planner::NodeNumber turn = 0;
+    std::vector<EndpointState> known;
+    planner::WorkerNumber turn = 0;
 };
 
 constexpr const char* kDay = R"(
@@ -98,23 +99,23 @@
 node = 3
 )";
 
-standin::Outcome play(Does does, bool lax) {
+emulator::RunResult play(Does does, bool lax) {
     std::vector<std::string> problems;
-    const standin::Plan plan = standin::parse_plan(kDay, "day", problems);
+    const emulator::Scenario plan = emulator::parse_scenario(kDay, "day", problems);
     REQUIRE(problems.empty());
-    lab::World world(9);
-    lab::SimGround ground(world, plan.placers, plan.zones);
+    simulation::SimulatedNetwork world(9);
+    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
     std::vector<std::unique_ptr<Rogue>> rogues;
     if (lax)
-        ground.ledger = [does](std::vector<QueueGroup> g, LaunchTerms t, ColdTerms c) {
+        ground.ledger = [does](std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c) {
             return std::make_unique<Lax>(std::move(g), t, c, does == Does::says_nothing);
         };
-    ground.made = [&](std::size_t, apps::Embedded& placer) {
+    ground.made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
         rogues.push_back(std::make_unique<Rogue>(placer.edge, does));
         placer.edge.plan_with(*rogues.back());
     };
-    standin::Play day(plan, ground, [](const std::string&) {});
-    return lab::play(world, day);
+    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
+    return simulation::run_to_end(world, day);
 }
 
 }  // namespace
@@ -122,15 +123,15 @@
 TEST_CASE(
     "each rule's breach is caught from the sockets alone, and none comes past the program's own ledger") {
     const auto [does, rule] =
-        GENERATE(table<Does, Breach::Rule>({{Does::binds_twice, Breach::twice},
-                                            {Does::ignores_drains, Breach::drain},
-                                            {Does::floods_the_cold, Breach::pushed_over},
-                                            {Does::crowds, Breach::spread},
-                                            {Does::says_nothing, Breach::lost}}));
-    const standin::Outcome broken = play(does, true);
+        GENERATE(table<Does, Violation::Rule>({{Does::binds_twice, Violation::twice},
+                                               {Does::ignores_drains, Violation::drain},
+                                               {Does::floods_the_cold, Violation::pushed_over},
+                                               {Does::crowds, Violation::spread},
+                                               {Does::says_nothing, Violation::lost}}));
+    const emulator::RunResult broken = play(does, true);
     INFO(broken.verdict.line());
     CHECK(broken.verdict.count(rule) > 0);
-    const standin::Outcome guarded = play(does, false);
+    const emulator::RunResult guarded = play(does, false);
     INFO(guarded.verdict.line());
     CHECK(guarded.verdict.kept());
 }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -8,7 +8,7 @@
 #include <set>
 #include <vector>
 
-#include "whinpost/mark.h"
+#include "whinpost/stable_hash.h"
 
 using namespace whinpost;
 using ledger::Answer;
@@ -18,7 +18,7 @@
 
 // The model keeps a history and derives everything from it anew each time.
 struct PlainLaunch {
-    ledger::Node* node;
+    ledger::WorkerRecord* node;
     Nanos sent;
     bool ended = false, yes = false, proven = false;
 };
@@ -37,27 +37,27 @@
 
 struct Plain {
     std::map<std::uint64_t, PlainContainer> all;
-    std::map<const ledger::Node*, std::vector<Nanos>> young;
-    ColdTerms cold;
+    std::map<const ledger::WorkerRecord*, std::vector<Nanos>> young;
+    SlowStartSettings cold;
     int most;
 
-    static bool same(const ledger::Node& a, const ledger::Node& b, Place p) {
-        if (p == Place::all) return true;
-        if (p == Place::zone) return a.listed.zone == b.listed.zone;
-        if (p == Place::cell) return a.listed.cell == b.listed.cell;
-        return p == Place::machine && &a == &b;
+    static bool same(const ledger::WorkerRecord& a, const ledger::WorkerRecord& b, FailureDomain p) {
+        if (p == FailureDomain::all) return true;
+        if (p == FailureDomain::zone) return a.listed.zone == b.listed.zone;
+        if (p == FailureDomain::cell) return a.listed.cell == b.listed.cell;
+        return p == FailureDomain::machine && &a == &b;
     }
     // Dealt one by one: the k-th of the half goes to the placer whose place in the circle it falls to.
-    int tokens(const ledger::Node& n, Nanos now, Nanos turn) const {
+    int tokens(const ledger::WorkerRecord& n, Nanos now, Nanos turn) const {
         if (now - turn * cold.window < std::min(50 * kMillisecond, cold.window / 8)) return 0;
         const int half = static_cast<int>(cold.always_borne / 2);
-        const auto offset = static_cast<Nanos>(mark_of(n.name) % 1'000'003);
+        const auto offset = static_cast<Nanos>(stable_hash(n.name) % 1'000'003);
         const Nanos mine = (cold.me + turn + offset) % cold.placers;
         int out = 0;
         for (int k = 1; k <= half; ++k) out += (k * cold.placers + half - 1) / half - 1 == mine;
         return out;
     }
-    bool may_launch(Nanos now, const PlainContainer& c, const ledger::Node& n, bool listed,
+    bool may_launch(Nanos now, const PlainContainer& c, const ledger::WorkerRecord& n, bool listed,
                     bool drains) const {
         if (c.answer || now >= c.until || static_cast<int>(c.launches.size()) >= most) return false;
         if (!listed || drains) return false;
@@ -72,12 +72,12 @@
                 return false;
             break;  // the first that may have run sets scope and window
         }
-        if (c.group->spread != Place::none) {
+        if (c.group->spread != FailureDomain::none) {
             int there = 0;
             for (const auto& [number, other] : all)
                 for (const PlainLaunch& l : other.launches)
-                    there += !l.ended && other.service == c.service && other.group->spread != Place::none &&
-                             same(*l.node, n, c.group->spread);
+                    there += !l.ended && other.service == c.service &&
+                             other.group->spread != FailureDomain::none && same(*l.node, n, c.group->spread);
             if (there >= c.group->most) return false;
         }
         if (n.listed.started > 0 && now - n.listed.started < cold.warm_after) {
@@ -93,8 +93,8 @@
         for (const PlainLaunch& l : c.launches) {
             if (c.group->effect == Effect::idempotent) break;
             if (!l.ended) return false;
-            if (!l.proven &&
-                !(c.group->effect == Effect::fingerprinted && c.group->repeats_dropped_by == Place::all))
+            if (!l.proven && !(c.group->effect == Effect::fingerprinted &&
+                               c.group->repeats_dropped_by == FailureDomain::all))
                 return false;
         }
         return true;
@@ -107,9 +107,11 @@
     g.repeat_window = 3 * kSecond;
     return g;
 }
-Listed serving(int zone = 0, int cell = 0) { return {zone, cell, 0, 8, 16, Stage::serving, 0}; }
-Asked asking(int group = 0, Nanos left = 5 * kSecond) {
-    Asked a;
+EndpointState serving(int zone = 0, int cell = 0) {
+    return {zone, cell, 0, 8, 16, EndpointPhase::serving, 0};
+}
+ResourceRequest asking(int group = 0, Nanos left = 5 * kSecond) {
+    ResourceRequest a;
     a.cores = a.memory = 1;
     a.group = group;
     a.time_left = left;
@@ -125,8 +127,10 @@
     std::vector<QueueGroup> groups;
     for (const Effect e : {Effect::idempotent, Effect::fingerprinted, Effect::side_effecting}) {
         QueueGroup g = group(e);
-        const Place scopes[] = {Place::all, Place::zone, Place::cell, Place::machine};
-        const Place spreads[] = {Place::none, Place::machine, Place::cell, Place::zone};
+        const FailureDomain scopes[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
+                                        FailureDomain::machine};
+        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::machine, FailureDomain::cell,
+                                         FailureDomain::zone};
         g.repeats_dropped_by = scopes[roll(4)];
         g.repeat_window = (1 + roll(4)) * kSecond;
         g.spread = spreads[roll(4)];
@@ -134,17 +138,17 @@
         g.kind = roll(6) ? -1 : 0;
         groups.push_back(g);
     }
-    ColdTerms cold{0.2, 8 * kSecond, 2, kSecond, static_cast<double>(roll(20)), 1 + roll(4), 0};
+    SlowStartSettings cold{0.2, 8 * kSecond, 2, kSecond, static_cast<double>(roll(20)), 1 + roll(4), 0};
     Plain plain;
     plain.cold = cold;
     plain.most = 1 + roll(4);
     ledger::Ledger led(groups, {plain.most, true}, cold);
-    std::vector<ledger::Node*> nodes;
-    std::map<ledger::Node*, bool> said, listed_draining, listed;
+    std::vector<ledger::WorkerRecord*> nodes;
+    std::map<ledger::WorkerRecord*, bool> said, listed_draining, listed;
     Nanos now = 1000 * kSecond;
     for (int i = 0; i < 6; ++i) {
-        ledger::Node& n = led.meet("n" + std::to_string(i));
-        Listed l = serving(i / 4, i / 2);
+        ledger::WorkerRecord& n = led.meet("n" + std::to_string(i));
+        EndpointState l = serving(i / 4, i / 2);
         l.kind = i % 2;
         l.started = roll(2) ? 0 : now - roll(10) * kSecond;
         led.listed(now, n, l);
@@ -157,14 +161,14 @@
         const int what = roll(12);
         if (what < 3) {
             const int g = roll(3);
-            ledger::Record& r = led.take(now, "c", static_cast<std::uint64_t>(g * 10 + roll(2)),
-                                         asking(g, (1 + roll(5)) * kSecond));
+            ledger::TaskRecord& r = led.take(now, "c", static_cast<std::uint64_t>(g * 10 + roll(2)),
+                                             asking(g, (1 + roll(5)) * kSecond));
             plain.all[r.number] = {&groups[static_cast<std::size_t>(g)], r.service, r.until, {}, 0};
             open.push_back(r.number);
             continue;
         }
         if (what == 3) {  // the list, the node itself, or a restart
-            ledger::Node& n = *nodes[static_cast<std::size_t>(roll(6))];
+            ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
             const int how = roll(5);
             if (how == 0) {
                 led.said(now, n, true);
@@ -174,8 +178,8 @@
                 listed[&n] = false;
                 listed_draining[&n] = true;
             } else {
-                Listed l = n.listed;
-                l.stage = roll(3) ? Stage::serving : Stage::draining;
+                EndpointState l = n.listed;
+                l.stage = roll(3) ? EndpointPhase::serving : EndpointPhase::draining;
                 if (roll(3) == 0) l.started = now;
                 if (listed[&n] && l.started > n.listed.started) {
                     said[&n] = false;
@@ -183,21 +187,21 @@
                 }
                 led.listed(now, n, l);
                 listed[&n] = true;
-                listed_draining[&n] = l.stage != Stage::serving;
+                listed_draining[&n] = l.stage != EndpointPhase::serving;
             }
             continue;
         }
         if (open.empty()) continue;
         const std::uint64_t number = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-        ledger::Record& r = *led.find(number);
+        ledger::TaskRecord& r = *led.find(number);
         PlainContainer& c = plain.all[number];
         if (what < 8) {
-            ledger::Node& n = *nodes[static_cast<std::size_t>(roll(6))];
+            ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
             const bool allowed = plain.may_launch(now, c, n, listed[&n], said[&n] || listed_draining[&n]);
-            INFO(ledger::words(led.may_launch(now, r, n)));
+            INFO(ledger::to_string(led.may_launch(now, r, n)));
             REQUIRE((led.may_launch(now, r, n) == Refusal::none) == allowed);
             Refusal why{};
-            ledger::Launch* l = led.launch(now, r, n, roll(3000) * kMillisecond, why);
+            ledger::Attempt* l = led.launch(now, r, n, roll(3000) * kMillisecond, why);
             REQUIRE((l != nullptr) == allowed);
             if (!l) continue;
             REQUIRE(l->until <= r.until);
@@ -207,7 +211,7 @@
         } else if (what < 11 && !r.launches.empty()) {
             // Anything may be said of any launch, late, twice and crossing.
             const auto i = static_cast<std::size_t>(roll(static_cast<int>(r.launches.size())));
-            ledger::Launch& l = r.launches[i];
+            ledger::Attempt& l = r.launches[i];
             PlainLaunch& p = c.launches[i];
             if (roll(3) == 0) {
                 const bool counts = !p.ended && !p.yes && !c.answer;
@@ -217,12 +221,13 @@
                     c.answer = 'p';
                 }
             } else {
-                const auto how = static_cast<Ending>(roll(9));
+                const auto how = static_cast<AttemptOutcome>(roll(9));
                 REQUIRE(led.ended(now, l, how) == !p.ended);
                 if (!p.ended) {
                     p.ended = true;
-                    p.proven = !p.yes && (how == Ending::refused || how == Ending::unconnected ||
-                                          how == Ending::unsent);
+                    p.proven =
+                        !p.yes && (how == AttemptOutcome::refused || how == AttemptOutcome::unconnected ||
+                                   how == AttemptOutcome::unsent);
                 }
             }
         } else {
@@ -243,38 +248,38 @@
 
 TEST_CASE("a yes counts once, and not after the answer, after the launch's end, or from an earlier launch") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::Node& n = led.meet("n");
+    ledger::WorkerRecord& n = led.meet("n");
     led.listed(0, n, serving());
     Refusal why{};
-    ledger::Record& r = led.take(0, "c", 1, asking());
-    ledger::Launch* first = led.launch(0, r, n, kSecond, why);
-    led.ended(kSecond, *first, Ending::timed_out);
-    ledger::Launch* second = led.launch(kSecond, r, n, kSecond, why);
+    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
+    ledger::Attempt* first = led.launch(0, r, n, kSecond, why);
+    led.ended(kSecond, *first, AttemptOutcome::timed_out);
+    ledger::Attempt* second = led.launch(kSecond, r, n, kSecond, why);
     CHECK_FALSE(led.accepted(kSecond, *first));
     CHECK(led.tally().late_yes == 1);
     CHECK(led.accepted(kSecond, *second));
     CHECK_FALSE(led.accepted(kSecond, *second));
     CHECK(led.tally().placed == 1);
 
-    ledger::Record& late = led.take(0, "d", 1, asking());
-    ledger::Launch* l = led.launch(0, late, n, kSecond, why);
+    ledger::TaskRecord& late = led.take(0, "d", 1, asking());
+    ledger::Attempt* l = led.launch(0, late, n, kSecond, why);
     REQUIRE(led.give(0, late, Answer::killed));
     CHECK_FALSE(led.accepted(kSecond, *l));
     CHECK_FALSE(late.over);
-    CHECK(led.ended(kSecond, *l, Ending::served));
+    CHECK(led.ended(kSecond, *l, AttemptOutcome::served));
     CHECK(late.over);
 }
 
 TEST_CASE("what the node says of its drain stands against a list that says it serves, until it starts anew") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::Node& n = led.meet("n");
+    ledger::WorkerRecord& n = led.meet("n");
     led.listed(0, n, serving());
-    ledger::Record& r = led.take(0, "c", 1, asking());
+    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
     led.said(1, n, true);
     led.listed(2, n, serving());
     CHECK(led.may_launch(2, r, n) == Refusal::draining);
     CHECK(n.drain_heard == 1);
-    Listed anew = serving();
+    EndpointState anew = serving();
     anew.started = 3;
     led.listed(4, n, anew);
     CHECK(led.may_launch(4, r, n) == Refusal::none);
@@ -282,11 +287,11 @@
 
 TEST_CASE("a launch written but not handed over is not sent once the drain is heard or the answer given") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::Node& n = led.meet("n");
+    ledger::WorkerRecord& n = led.meet("n");
     led.listed(0, n, serving());
     Refusal why{};
-    ledger::Record& r = led.take(0, "c", 1, asking());
-    ledger::Launch* l = led.launch(0, r, n, kSecond, why);
+    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
+    ledger::Attempt* l = led.launch(0, r, n, kSecond, why);
     CHECK(led.may_still_send(0, *l));
     CHECK_FALSE(led.may_still_send(kSecond, *l));  // its time is up
     led.said(1, n, true);
@@ -299,15 +304,15 @@
 
 TEST_CASE("a repeat that waited for its connection past the window is not sent any more") {
     ledger::Ledger led({group(Effect::fingerprinted)}, {4, true}, {});
-    ledger::Node& n = led.meet("n");
+    ledger::WorkerRecord& n = led.meet("n");
     led.listed(kSecond, n, serving());
-    ledger::Record& r = led.take(kSecond, "c", 1, asking(0, 20 * kSecond));
+    ledger::TaskRecord& r = led.take(kSecond, "c", 1, asking(0, 20 * kSecond));
     ledger::Refusal why{};
-    ledger::Launch* first = led.launch(kSecond, r, n, kSecond, why);
+    ledger::Attempt* first = led.launch(kSecond, r, n, kSecond, why);
     REQUIRE(first);
     CHECK(led.may_still_send(kSecond, *first));
-    led.ended(2 * kSecond, *first, Ending::reset);
-    ledger::Launch* second = led.launch(4 * kSecond - kMillisecond, r, n, 5 * kSecond, why);
+    led.ended(2 * kSecond, *first, AttemptOutcome::reset);
+    ledger::Attempt* second = led.launch(4 * kSecond - kMillisecond, r, n, 5 * kSecond, why);
     REQUIRE(second);
     CHECK(led.may_still_send(4 * kSecond - kMillisecond, *second));
     CHECK(!led.may_still_send(4 * kSecond, *second));
--- a/tests/fleet_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,38 +1,38 @@
 // Membership: what list, node and connection say, and what follows; beside a plain model that keeps all that
 // was ever said and works everything out from the start.
-#include "fleet/fleet.h"
+#include "membership/membership.h"
 
 #include <catch2/catch.hpp>
 #include <random>
 #include <set>
 
 using namespace whinpost;
-using fleet::Fleet;
-using fleet::Member;
-using fleet::Standing;
+using membership::Membership;
+using membership::WorkerEntry;
+using membership::WorkerState;
 
 namespace {
 
 constexpr Nanos kGrace = 1 * kSecond;
 
-struct Door : fleet::Port {
-    void stands(Nanos, Member& m, bool careful) override {
+struct Door : membership::MembershipHandler {
+    void stands(Nanos, WorkerEntry& m, bool careful) override {
         ++changes;
         careful_ones += careful;
         last = &m;
     }
-    void drains(Nanos, Member& m) override { draining.insert(m.name); }
-    void back(Nanos, Member& m) override { draining.erase(m.name); }
+    void drains(Nanos, WorkerEntry& m) override { draining.insert(m.name); }
+    void back(Nanos, WorkerEntry& m) override { draining.erase(m.name); }
     void list_again(Nanos) override { ++again; }
-    void dial_anew(Nanos, Member&) override { ++anew; }
+    void dial_anew(Nanos, WorkerEntry&) override { ++anew; }
     void turn_at(Nanos) override {}
     int changes = 0, careful_ones = 0, again = 0, anew = 0;
-    Member* last = nullptr;
+    WorkerEntry* last = nullptr;
     std::set<std::string> draining;
 };
 
-Report free_of(double cores) {
-    Report r;
+LoadReport free_of(double cores) {
+    LoadReport r;
     r.free_cores = cores;
     r.free_memory = 2 * cores;
     r.has_free_cores = r.has_free_memory = true;
@@ -41,10 +41,11 @@
 
 struct Stage1 {
     Stage1() : fleet(door, now, kGrace, true) {}
-    Listed at(Stage s = Stage::serving, Nanos started = 0, double cores = 8) {
+    EndpointState at(EndpointPhase s = EndpointPhase::serving, Nanos started = 0, double cores = 8) {
         return {0, 0, 0, cores, 2 * cores, s, started};
     }
-    void list(const std::vector<std::pair<std::string, Listed>>& entries, bool whole = true, Nanos age = 0) {
+    void list(const std::vector<std::pair<std::string, EndpointState>>& entries, bool whole = true,
+              Nanos age = 0) {
         fleet.list_begins(now, age, whole);
         for (const auto& [name, l] : entries) fleet.entry(now, fleet.meet(name), l, name + ":1");
         fleet.list_ends(now);
@@ -53,11 +54,11 @@
         fleet.greeted(now, fleet.meet(name), incarnation, up_for, drains, {});
     }
     void pass(Nanos by) { fleet.turn(now += by); }
-    Standing of(const std::string& name) { return fleet.meet(name).standing; }
+    WorkerState of(const std::string& name) { return fleet.meet(name).standing; }
 
     Nanos now = 1000 * kSecond;
     Door door;
-    Fleet fleet;
+    Membership fleet;
 };
 
 }  // namespace
@@ -66,22 +67,22 @@
     Stage1 t;
     t.list({{"a", t.at()}});
     t.up("a");
-    REQUIRE(t.of("a") == Standing::serving);
+    REQUIRE(t.of("a") == WorkerState::serving);
     t.fleet.says_drain(t.now, t.fleet.meet("a"));
-    CHECK(t.of("a") == Standing::draining);
+    CHECK(t.of("a") == WorkerState::draining);
     CHECK(t.door.draining.contains("a"));
     // The list was made before it knew: it opens nothing.
     t.list({{"a", t.at()}}, false);
-    CHECK(t.of("a") == Standing::draining);
+    CHECK(t.of("a") == WorkerState::draining);
     // A greeting of the same life that says nothing of a drain takes it back.
     t.up("a");
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
     CHECK(t.door.draining.empty());
-    t.list({{"a", t.at(Stage::draining)}}, false);
+    t.list({{"a", t.at(EndpointPhase::draining)}}, false);
     t.up("a");
-    CHECK(t.of("a") == Standing::draining);
+    CHECK(t.of("a") == WorkerState::draining);
     t.list({{"a", t.at()}}, false);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
 }
 
 TEST_CASE("what a node said of itself ends with its life, and it is young by its own word at once") {
@@ -92,11 +93,11 @@
     t.pass(kSecond);
     t.fleet.broken(t.now, t.fleet.meet("a"));
     t.up("a", 2, 300 * kMillisecond);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
     CHECK(t.fleet.meet("a").told.started == t.now - 300 * kMillisecond);
     // The list comes with the same start, told by another clock: it is one start, not a third life.
     const Nanos before = t.fleet.meet("a").told.started;
-    t.list({{"a", t.at(Stage::serving, before + 200 * kMillisecond)}}, false);
+    t.list({{"a", t.at(EndpointPhase::serving, before + 200 * kMillisecond)}}, false);
     t.up("a", 2, t.now - before + 100 * kMillisecond);
     CHECK(t.fleet.meet("a").told.started == before + 200 * kMillisecond);
     CHECK(t.fleet.counts().lives == 1);
@@ -106,73 +107,73 @@
     Stage1 t;
     t.list({{"a", t.at()}, {"b", t.at()}});
     t.up("a");
-    t.list({{"a", t.at(Stage::gone)}}, false);
-    CHECK(t.of("a") == Standing::leaving);
-    CHECK(t.fleet.meet("a").told.stage == Stage::gone);
+    t.list({{"a", t.at(EndpointPhase::gone)}}, false);
+    CHECK(t.of("a") == WorkerState::leaving);
+    CHECK(t.fleet.meet("a").told.stage == EndpointPhase::gone);
     CHECK(t.door.draining.contains("a"));
     t.fleet.broken(t.now, t.fleet.meet("a"));
-    CHECK(t.of("a") == Standing::gone);
+    CHECK(t.of("a") == WorkerState::gone);
     t.up("a");  // it is back: the list has the last word on new work
-    CHECK(t.of("a") == Standing::leaving);
+    CHECK(t.of("a") == WorkerState::leaving);
     t.list({{"b", t.at()}});  // a whole one that leaves it out
-    CHECK(t.of("a") == Standing::leaving);
+    CHECK(t.of("a") == WorkerState::leaving);
     t.list({{"a", t.at()}}, false);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
 }
 
 TEST_CASE(
     "a whole list that leaves out most of what answers is asked for again, and believed within the grace") {
     Stage1 t;
-    std::vector<std::pair<std::string, Listed>> all;
+    std::vector<std::pair<std::string, EndpointState>> all;
     for (int i = 0; i < 9; ++i) all.emplace_back("n" + std::to_string(i), t.at());
     t.list(all);
     for (int i = 0; i < 9; ++i) t.up("n" + std::to_string(i));
     t.pass(kSecond);
     t.list({});
     CHECK(t.door.again == 1);
-    CHECK(t.fleet.count(Standing::serving) == 9);
+    CHECK(t.fleet.count(WorkerState::serving) == 9);
     SECTION("a better one comes") {
         t.pass(50 * kMillisecond);
         t.list(all);
         CHECK_FALSE(t.fleet.doubts());
         t.pass(kSecond);
-        CHECK(t.fleet.count(Standing::serving) == 9);
+        CHECK(t.fleet.count(WorkerState::serving) == 9);
         CHECK(t.fleet.counts().doubts_right == 0);
     }
     SECTION("nothing better comes") {
         t.list({});
         t.pass(kGrace / 2 - kMillisecond);
-        CHECK(t.fleet.count(Standing::serving) == 9);
+        CHECK(t.fleet.count(WorkerState::serving) == 9);
         t.pass(2 * kMillisecond);
-        CHECK(t.fleet.count(Standing::leaving) == 9);
+        CHECK(t.fleet.count(WorkerState::leaving) == 9);
         CHECK(t.door.draining.size() == 9);
         t.list(all, false);
-        CHECK(t.fleet.count(Standing::serving) == 9);
+        CHECK(t.fleet.count(WorkerState::serving) == 9);
     }
     SECTION("one that names some of them ends the doubt for these") {
-        t.list({{"n0", t.at()}, {"n1", t.at(Stage::draining)}}, false);
+        t.list({{"n0", t.at()}, {"n1", t.at(EndpointPhase::draining)}}, false);
         t.pass(kGrace);
-        CHECK(t.of("n0") == Standing::serving);
-        CHECK(t.of("n1") == Standing::draining);
-        CHECK(t.of("n2") == Standing::leaving);
+        CHECK(t.of("n0") == WorkerState::serving);
+        CHECK(t.of("n1") == WorkerState::draining);
+        CHECK(t.of("n2") == WorkerState::leaving);
     }
 }
 
 TEST_CASE("a whole list that leaves out what does not answer, or a few, is believed at once") {
     Stage1 t;
-    std::vector<std::pair<std::string, Listed>> all;
+    std::vector<std::pair<std::string, EndpointState>> all;
     for (int i = 0; i < 9; ++i) all.emplace_back("n" + std::to_string(i), t.at());
     t.list(all);
     SECTION("a few") {
         for (int i = 0; i < 9; ++i) t.up("n" + std::to_string(i));
         all.resize(5);
         t.list(all);
-        CHECK(t.fleet.count(Standing::leaving) == 4);
+        CHECK(t.fleet.count(WorkerState::leaving) == 4);
     }
     SECTION("they were never reached") {
         all.resize(1);
         t.list(all);
-        CHECK(t.fleet.count(Standing::gone) == 8);
+        CHECK(t.fleet.count(WorkerState::gone) == 8);
     }
     CHECK(t.door.again == 0);
 }
@@ -181,31 +182,31 @@
     Stage1 t;
     t.list({{"a", t.at()}});
     t.pass(kSecond);
-    t.list({{"a", t.at(Stage::draining)}, {"b", t.at()}}, false);
+    t.list({{"a", t.at(EndpointPhase::draining)}, {"b", t.at()}}, false);
     t.list({{"a", t.at()}}, true, 3600 * kSecond);  // kept somewhere for an hour
-    CHECK(t.of("a") == Standing::draining);
-    CHECK(t.of("b") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::draining);
+    CHECK(t.of("b") == WorkerState::serving);
     CHECK(t.fleet.counts().older == 1);
 }
 
 TEST_CASE(
     "a list that is an hour old at the start: a node is given work once it greets, by its own amounts") {
     Stage1 t;
-    t.list({{"a", t.at(Stage::serving, 0, 8)}, {"b", t.at()}}, true, 3600 * kSecond);
-    CHECK(t.of("a") == Standing::unconfirmed);
-    CHECK(t.fleet.meet("a").told.stage == Stage::draining);
+    t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}, {"b", t.at()}}, true, 3600 * kSecond);
+    CHECK(t.of("a") == WorkerState::unconfirmed);
+    CHECK(t.fleet.meet("a").told.stage == EndpointPhase::draining);
     t.fleet.greeted(t.now, t.fleet.meet("a"), 1, 0, false, free_of(1.5));
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
     CHECK(t.fleet.meet("a").told.free_cores == 1.5);
     t.fleet.dial_failed(t.now, t.fleet.meet("b"));
-    CHECK(t.of("b") == Standing::away);
-    t.list({{"a", t.at(Stage::serving, 0, 4)}}, false);  // a fresh one stands for itself again
+    CHECK(t.of("b") == WorkerState::away);
+    t.list({{"a", t.at(EndpointPhase::serving, 0, 4)}}, false);  // a fresh one stands for itself again
     CHECK(t.fleet.meet("a").told.free_cores == 4);
 }
 
 TEST_CASE("amounts of a list that stands still are put right by reports, once a second at most") {
     Stage1 t;
-    t.list({{"a", t.at(Stage::serving, 0, 8)}});
+    t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}});
     t.up("a");
     t.pass(2 * kSecond);
     t.fleet.reported(t.now, t.fleet.meet("a"), free_of(2));
@@ -222,7 +223,7 @@
 
 TEST_CASE("what a former life reported says nothing of the present one") {
     Stage1 t;
-    t.list({{"a", t.at(Stage::serving, 0, 8)}}, true, 60 * kSecond);
+    t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}}, true, 60 * kSecond);
     t.fleet.greeted(t.now, t.fleet.meet("a"), 1, 0, false, free_of(1));
     REQUIRE(t.fleet.meet("a").told.free_cores == 1);
     t.fleet.broken(t.now, t.fleet.meet("a"));
@@ -233,14 +234,14 @@
 TEST_CASE("a node that can't be reached gets nothing new until it greets") {
     Stage1 t;
     t.list({{"a", t.at()}});
-    CHECK(t.of("a") == Standing::serving);  // not tried yet: work waits for its connection
+    CHECK(t.of("a") == WorkerState::serving);  // not tried yet: work waits for its connection
     t.up("a");
     t.fleet.broken(t.now, t.fleet.meet("a"));
-    CHECK(t.of("a") == Standing::away);
+    CHECK(t.of("a") == WorkerState::away);
     CHECK(t.door.careful_ones == 1);
     CHECK(t.door.draining.empty());  // nothing says that it drains
     t.up("a");
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
 }
 
 TEST_CASE("a node that comes back again and again is held off, each time for longer") {
@@ -251,19 +252,19 @@
         t.up("a", life, 100 * kMillisecond);
     };
     for (std::uint64_t life = 1; life <= 3; ++life) again(life);
-    CHECK(t.of("a") == Standing::serving);  // two new lives
+    CHECK(t.of("a") == WorkerState::serving);  // two new lives
     again(4);
-    CHECK(t.of("a") == Standing::unsteady);
+    CHECK(t.of("a") == WorkerState::unsteady);
     t.pass(5 * kSecond + kMillisecond);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
     again(5);
     t.pass(6 * kSecond);
-    CHECK(t.of("a") == Standing::unsteady);
+    CHECK(t.of("a") == WorkerState::unsteady);
     t.pass(5 * kSecond);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
     t.pass(120 * kSecond);
     again(6);
-    CHECK(t.of("a") == Standing::serving);
+    CHECK(t.of("a") == WorkerState::serving);
 }
 
 TEST_CASE(
@@ -271,12 +272,12 @@
     Stage1 t;
     t.list({{"a", t.at()}});
     t.up("a");
-    Listed other = t.at(Stage::draining, 0, 1e6);
+    EndpointState other = t.at(EndpointPhase::draining, 0, 1e6);
     t.fleet.list_begins(t.now, 0, false);
     t.fleet.entry(t.now, t.fleet.meet("a"), t.at(), "a:1");
     t.fleet.entry(t.now, t.fleet.meet("a"), other, "elsewhere:1");
     t.fleet.list_ends(t.now);
-    CHECK(t.of("a") == Standing::draining);
+    CHECK(t.of("a") == WorkerState::draining);
     CHECK(t.fleet.meet("a").told.free_cores == 8);
     CHECK(t.fleet.meet("a").address == "a:1");
     CHECK(t.fleet.counts().contradictions == 1);
@@ -284,14 +285,14 @@
 
 TEST_CASE("a later life at another address is dialled there; the same life moves with its next connection") {
     Stage1 t;
-    t.list({{"a", t.at(Stage::serving, t.now - 100 * kSecond)}});
+    t.list({{"a", t.at(EndpointPhase::serving, t.now - 100 * kSecond)}});
     t.up("a", 1, 100 * kSecond);
     t.fleet.list_begins(t.now, 0, false);
-    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(Stage::serving, t.now - 100 * kSecond), "a:2");
+    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(EndpointPhase::serving, t.now - 100 * kSecond), "a:2");
     t.fleet.list_ends(t.now);
     CHECK(t.door.anew == 0);
     t.fleet.list_begins(t.now, 0, false);
-    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(Stage::serving, t.now - kSecond), "a:3");
+    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(EndpointPhase::serving, t.now - kSecond), "a:3");
     t.fleet.list_ends(t.now);
     CHECK(t.door.anew == 1);
     CHECK(t.fleet.meet("a").address == "a:3");
@@ -305,13 +306,13 @@
 struct Said {
     enum What { named, left_out, doubted, greeted, drain, broke, dial } what;
     Nanos at, as_of = 0, age = 0;
-    Stage stage = Stage::serving;
+    EndpointPhase stage = EndpointPhase::serving;
     std::uint64_t incarnation = 0;
     bool drains = false;
 };
 
 // Straight from the rules: reads the whole history each time.
-Standing plainly(const std::vector<Said>& all, Nanos now) {
+WorkerState plainly(const std::vector<Said>& all, Nanos now) {
     const Said* list = nullptr;
     bool up = false, ever = false, failed = false, own_drain = false;
     std::uint64_t life = 0;
@@ -353,13 +354,13 @@
                 break;
         }
     }
-    if (!list) return Standing::unknown;
-    if (list->what == Said::left_out || list->stage == Stage::gone)
-        return up ? Standing::leaving : Standing::gone;
-    if (list->stage == Stage::draining || own_drain) return Standing::draining;
-    if (now < held_until) return Standing::unsteady;
-    if (!up && (ever || failed)) return Standing::away;
-    return !ever && list->age > 10 * kSecond ? Standing::unconfirmed : Standing::serving;
+    if (!list) return WorkerState::unknown;
+    if (list->what == Said::left_out || list->stage == EndpointPhase::gone)
+        return up ? WorkerState::leaving : WorkerState::gone;
+    if (list->stage == EndpointPhase::draining || own_drain) return WorkerState::draining;
+    if (now < held_until) return WorkerState::unsteady;
+    if (!up && (ever || failed)) return WorkerState::away;
+    return !ever && list->age > 10 * kSecond ? WorkerState::unconfirmed : WorkerState::serving;
 }
 
 }  // namespace
@@ -392,7 +393,7 @@
             t.pass(by);
         }
         const auto i = static_cast<std::size_t>(roll(nodes));
-        Member& m = t.fleet.meet(name(i));
+        WorkerEntry& m = t.fleet.meet(name(i));
         switch (roll(8)) {
             case 0:
             case 1: {  // some changes, or a view kept for a while
@@ -402,15 +403,15 @@
                     const auto j = static_cast<std::size_t>(roll(nodes));
                     if (!said[j].empty() && said[j].back().at == t.now && said[j].back().what == Said::named)
                         continue;
-                    const auto stage = static_cast<Stage>(roll(6) < 4 ? 0 : 1 + roll(2));
+                    const auto stage = static_cast<EndpointPhase>(roll(6) < 4 ? 0 : 1 + roll(2));
                     t.fleet.entry(t.now, t.fleet.meet(name(j)), t.at(stage), name(j) + ":1");
-                    const Standing before = plainly(said[j], t.now);
+                    const WorkerState before = plainly(said[j], t.now);
                     said[j].push_back({Said::named, t.now, t.now - age, age, stage});
                     Nanos newest = 0;
                     for (const Said& s : said[j])
                         if (s.what == Said::named || s.what == Said::left_out)
                             newest = std::max(newest, s.as_of);
-                    if (before == Standing::unknown || t.now - age >= newest) doubted.erase(j);
+                    if (before == WorkerState::unknown || t.now - age >= newest) doubted.erase(j);
                 }
                 t.fleet.list_ends(t.now);
                 break;
@@ -422,9 +423,9 @@
                 t.fleet.list_begins(t.now, 0, true);
                 std::vector<std::size_t> named;
                 for (std::size_t j = 0; j < said.size(); ++j) {
-                    const Standing s = plainly(said[j], t.now);
+                    const WorkerState s = plainly(said[j], t.now);
                     const bool there =
-                        s != Standing::unknown && s != Standing::leaving && s != Standing::gone;
+                        s != WorkerState::unknown && s != WorkerState::leaving && s != WorkerState::gone;
                     stood += there;
                     if (roll(4) < share) {
                         t.fleet.entry(t.now, t.fleet.meet(name(j)), t.at(), name(j) + ":1");
@@ -436,9 +437,9 @@
                 }
                 t.fleet.list_ends(t.now);
                 for (const std::size_t j : named) {
-                    stood += said[j].empty() || plainly(said[j], t.now) == Standing::unknown ||
-                             plainly(said[j], t.now) == Standing::leaving ||
-                             plainly(said[j], t.now) == Standing::gone;
+                    stood += said[j].empty() || plainly(said[j], t.now) == WorkerState::unknown ||
+                             plainly(said[j], t.now) == WorkerState::leaving ||
+                             plainly(said[j], t.now) == WorkerState::gone;
                     said[j].push_back({Said::named, t.now, t.now});
                     doubted.erase(j);
                 }
@@ -460,7 +461,7 @@
                 {
                     const bool drains = roll(6) == 0;
                     t.up(name(i), lives[i], roll(2) ? 0 : kSecond, drains);
-                    said[i].push_back({Said::greeted, t.now, 0, 0, Stage::serving, lives[i], drains});
+                    said[i].push_back({Said::greeted, t.now, 0, 0, EndpointPhase::serving, lives[i], drains});
                     up[i] = true;
                 }
                 break;
@@ -481,11 +482,12 @@
         }
         for (std::size_t j = 0; j < said.size(); ++j) {
             INFO("seed " << seed << " step " << step << " node " << j);
-            REQUIRE(fleet::words(t.fleet.meet(name(j)).standing) == fleet::words(plainly(said[j], t.now)));
-            const Standing s = t.fleet.meet(name(j)).standing;
+            REQUIRE(membership::to_string(t.fleet.meet(name(j)).standing) ==
+                    membership::to_string(plainly(said[j], t.now)));
+            const WorkerState s = t.fleet.meet(name(j)).standing;
             // What drains was told as draining, and nothing that takes work was.
             REQUIRE(t.door.draining.contains(name(j)) ==
-                    (s == Standing::draining || s == Standing::leaving || s == Standing::gone));
+                    (s == WorkerState::draining || s == WorkerState::leaving || s == WorkerState::gone));
         }
     }
 }
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -82,8 +82,8 @@
     for (const std::string& s : all) out += s + "\n";
     return out;
 }
-migrate::Counterpart of(const std::string& old, const std::string& shape) {
-    return migrate::counterpart({"old.toml", old}, {"shape.toml", shape}, "new.toml");
+migrate::MigrationResult of(const std::string& old, const std::string& shape) {
+    return migrate::migrate_configuration({"old.toml", old}, {"shape.toml", shape}, "new.toml");
 }
 
 struct Folder {
@@ -113,19 +113,19 @@
 }  // namespace
 
 TEST_CASE("the shape's tables replace the old ones, all else is carried, and what has no place is said") {
-    const migrate::Counterpart c = of(kOld, kShape);
+    const migrate::MigrationResult c = of(kOld, kShape);
     REQUIRE(c.problems.empty());
     config::Document d = config::Document::parse(c.text, "new.toml");
     CHECK(config::check(d).empty());
-    CHECK(config::placer(d.root()).zone == 1);
-    CHECK(config::list_at(d.root()).address == "127.0.0.1:7500");
-    const auto kinds = config::machine_kinds(d.root());
+    CHECK(config::placer_settings(d.root()).zone == 1);
+    CHECK(config::discovery_service(d.root()).address == "127.0.0.1:7500");
+    const auto kinds = config::worker_kinds(d.root());
     CHECK((kinds.size() == 2 && kinds[0].cores == 24 && kinds[1].cores == 48));
     const auto groups = config::queue_groups(d.root(), 2);
-    CHECK(
-        (groups[0].terms.kind == 1 && groups[0].terms.spread == Place::machine && groups[0].terms.most == 2));
-    CHECK_FALSE(config::acceptance(d.root()).notes_pressure);
-    const link::Terms links = config::link_terms(d.root());
+    CHECK((groups[0].terms.kind == 1 && groups[0].terms.spread == FailureDomain::machine &&
+           groups[0].terms.most == 2));
+    CHECK_FALSE(config::worker_acceptance(d.root()).notes_pressure);
+    const worker_connection::ConnectionSettings links = config::connection_settings(d.root());
     CHECK((links.drain_grace == 250 * kMillisecond && links.silent_after == 1500 * kMillisecond));
     CHECK(c.left.empty());
     const std::string replaced = joined(c.replaced);
@@ -136,7 +136,7 @@
 }
 
 TEST_CASE("what the shape has no place for is left behind, with its line and why") {
-    const migrate::Counterpart c =
+    const migrate::MigrationResult c =
         of(kOld + "\n[[queue_group]]\nname = \"batch\"\neffect = \"idempotent\"\nstart_target_ms = 5000\n",
            with(kShape, "free_means = \"not_asked_for\"\n", ""));
     REQUIRE(c.problems.empty());
@@ -165,7 +165,7 @@
         {kOld, kShape + "[prices]\nmoves = -1\n", "shape.toml:27: prices.moves: must be a number"},
         {kOld, "", "machine_kind: must name one kind of machine or more"},
     }));
-    const migrate::Counterpart c = of(w.old, w.shape);
+    const migrate::MigrationResult c = of(w.old, w.shape);
     INFO(joined(c.problems));
     CHECK(joined(c.problems).find(w.says) != std::string::npos);
     CHECK(c.text.empty());
--- a/tests/rules_test.cpp
+++ b/tests/placement_rules_test.cpp
@@ -4,14 +4,14 @@
 #include <cmath>
 #include <map>
 
-#include "stand.h"
+#include "support/scheduler_rig.h"
 
 using namespace whinpost;
 
 namespace {
 
 struct Launch {
-    Machine* machine;
+    Worker* machine;
     Nanos sent;
     bool out = true, proven = false;
 };
@@ -19,21 +19,22 @@
 struct Model {
     Stand& t;
     std::vector<QueueGroup> groups;
-    ColdTerms cold;
-    std::map<Container*, std::vector<Launch>> launches;
-    std::map<Container*, char> answers;
-    std::map<Machine*, std::vector<Nanos>> young;
+    SlowStartSettings cold;
+    std::map<Task*, std::vector<Launch>> launches;
+    std::map<Task*, char> answers;
+    std::map<Worker*, std::vector<Nanos>> young;
     std::size_t read = 0;
     Nanos told_before = 0;
 
-    bool same(const Machine& a, const Machine& b, Place p) const {
-        return p == Place::all || (p == Place::zone && a.listed.zone == b.listed.zone) ||
-               (p == Place::cell && a.listed.cell == b.listed.cell) || (p == Place::machine && &a == &b);
+    bool same(const Worker& a, const Worker& b, FailureDomain p) const {
+        return p == FailureDomain::all || (p == FailureDomain::zone && a.listed.zone == b.listed.zone) ||
+               (p == FailureDomain::cell && a.listed.cell == b.listed.cell) ||
+               (p == FailureDomain::machine && &a == &b);
     }
     void check_bind(const Seen& s) {
         const QueueGroup& g = groups[static_cast<std::size_t>(s.container->asked.group)];
         REQUIRE_FALSE(answers.contains(s.container));
-        REQUIRE(s.machine->listed.stage == Stage::serving);
+        REQUIRE(s.machine->listed.stage == EndpointPhase::serving);
         REQUIRE((g.kind < 0 || g.kind == s.machine->listed.kind));
         REQUIRE(t.now < s.container->until);
         REQUIRE(s.time_out <= s.container->until - t.now);
@@ -52,7 +53,7 @@
             }
         }
         mine.push_back({s.machine, t.now});
-        if (g.spread != Place::none) {
+        if (g.spread != FailureDomain::none) {
             int there = 0;
             for (const auto& [c, all] : launches)
                 for (const Launch& l : all)
@@ -75,8 +76,8 @@
                 s.container->until);  // at the first moment it was told of after the queue timeout
         if (s.what != 'd' || g.effect == Effect::idempotent) return;
         for (const Launch& l : launches[s.container])
-            REQUIRE((l.proven ||
-                     (g.effect == Effect::fingerprinted && g.repeats_dropped_by == Place::all && !l.out)));
+            REQUIRE((l.proven || (g.effect == Effect::fingerprinted &&
+                                  g.repeats_dropped_by == FailureDomain::all && !l.out)));
     }
     void catch_up() {
         for (; read < t.seen.size(); ++read) {
@@ -95,54 +96,57 @@
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     std::vector<QueueGroup> groups;
     for (const Effect e : {Effect::idempotent, Effect::fingerprinted, Effect::side_effecting}) {
-        const Place places[] = {Place::all, Place::zone, Place::cell, Place::machine};
-        const Place spreads[] = {Place::none, Place::machine, Place::cell, Place::zone};
+        const FailureDomain places[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
+                                        FailureDomain::machine};
+        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::machine, FailureDomain::cell,
+                                         FailureDomain::zone};
         QueueGroup g = group(e, places[roll(4)], (1 + roll(4)) * kSecond);
         g.spread = spreads[roll(4)];
         g.most = 1 + roll(4);
         g.kind = roll(5) - 4;
         groups.push_back(g);
     }
-    ColdTerms cold = Stand::usual_cold();
+    SlowStartSettings cold = Stand::usual_cold();
     cold.always_borne = roll(30);
     Stand t(groups, cold);
     Model model{t, groups, cold, {}, {}, {}};
     std::vector<Service*> services;
     for (int i = 0; i < 4; ++i) services.push_back(&t.placer.meet_service(1));
     for (int i = 0; i < 6; ++i) t.machine(i / 2, i / 4, roll(2) ? 0 : t.now - roll(12) * kSecond);
-    std::vector<Container*> alive;
+    std::vector<Task*> alive;
     for (int step = 0; step < 1500; ++step) {
         model.told_before = t.now;
         t.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;  // the clock may jump far
-        for (Container* c : alive)  // the wire answers every launch by its time-out
+        for (Task* c : alive)  // the wire answers every launch by its time-out
             if (c->out && !c->placed && t.now >= c->until) {
                 model.launches[c].back().out = false;
-                t.end(*c, Ending::timed_out);
+                t.end(*c, AttemptOutcome::timed_out);
                 model.catch_up();
             }
         if (roll(3) == 0) {
             const int which = roll(3);
-            Container& c = t.take(*services[static_cast<std::size_t>(roll(4))], which, 0.5 + roll(8),
-                                  (1 + roll(6)) * kSecond);
+            Task& c = t.take(*services[static_cast<std::size_t>(roll(4))], which, 0.5 + roll(8),
+                             (1 + roll(6)) * kSecond);
             alive.push_back(&c);
         }
         if (roll(60) == 0) {
-            Machine& m = *t.machines[static_cast<std::size_t>(roll(6))];
-            Listed l = m.listed;
-            l.stage = static_cast<Stage>(roll(3));
-            if (roll(2)) l.started = t.now, l.stage = Stage::serving;
+            Worker& m = *t.machines[static_cast<std::size_t>(roll(6))];
+            EndpointState l = m.listed;
+            l.stage = static_cast<EndpointPhase>(roll(3));
+            if (roll(2)) l.started = t.now, l.stage = EndpointPhase::serving;
             l.free_cores = roll(40) - 24;
             t.entry(m, l);
         }
         if (!alive.empty() && roll(2) == 0) {
-            Container& c = *alive[static_cast<std::size_t>(roll(static_cast<int>(alive.size())))];
+            Task& c = *alive[static_cast<std::size_t>(roll(static_cast<int>(alive.size())))];
             if (c.out && !c.placed && roll(2)) c.accepted(t.now, c.launches - 1);
             else if (c.out) {
-                const auto how = static_cast<Ending>(roll(9));
+                const auto how = static_cast<AttemptOutcome>(roll(9));
                 Launch& l = model.launches[&c].back();
                 l.out = false;
-                l.proven = how == Ending::refused || how == Ending::unconnected || how == Ending::unsent;
-                t.end(c, how, static_cast<Reason>(roll(8)), c.placed || c.settled);
+                l.proven = how == AttemptOutcome::refused || how == AttemptOutcome::unconnected ||
+                           how == AttemptOutcome::unsent;
+                t.end(c, how, static_cast<OutcomeReason>(roll(8)), c.placed || c.settled);
                 model.catch_up();
                 if (c.settled) model.answers.emplace(&c, 'e');
             }
@@ -156,5 +160,5 @@
         t.pass(20 * kMillisecond);
         model.catch_up();
     }
-    for (Container* c : alive) CHECK((c->settled || c->out));  // none is held for ever
+    for (Task* c : alive) CHECK((c->settled || c->out));  // none is held for ever
 }
--- a/tests/edge_test.cpp
+++ b/tests/placer_server_test.cpp
@@ -1,8 +1,8 @@
 // What goes wrong between a placer and its peers, each caused on purpose, in virtual time.
 #include <catch2/catch.hpp>
 
-#include "quiet_planner.h"
-#include "rig.h"
+#include "support/quiet_planner.h"
+#include "support/server_rig.h"
 
 using namespace whinpost;
 using ToOwner = v1::ToOwner;
@@ -382,7 +382,7 @@
     version.mutable_hello()->set_version(9);
     const auto framed = [](const v1::FromOwner& m) {
         std::string out;
-        net::append_frame(out, m);
+        net::encode_frame(out, m);
         return out;
     };
     v1::FromOwner hello;
@@ -416,7 +416,7 @@
         t.run(kSecond);
         REQUIRE(n.conns.size() == 2);
         CHECK(n.conns[0]->count(&v1::ToNode::has_error) == 1);
-        CHECK(t.placer->edge.link("n")->state() == link::State::up);
+        CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
     }
     SECTION("a list with a field out of range is refused whole, and the view that stands is kept") {
         v1::Entry wrong = t.entry("m");
@@ -443,7 +443,7 @@
     CHECK(o.count(&ToOwner::has_taken) == 1);
     t.placer_host->files(100);
     t.run(8 * kSecond);
-    CHECK(t.placer->edge.link("n")->state() == link::State::up);
+    CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
 }
 
 TEST_CASE("a list that must be asked for is asked for, and asked again when it fails") {
@@ -541,7 +541,7 @@
         if (n.launches().size() == id) n.yes(id);
     }
     CHECK(n.launches().size() == 20);
-    CHECK(t.placer->edge.fleet().count(fleet::Standing::away) == 3);
+    CHECK(t.placer->edge.fleet().count(membership::WorkerState::away) == 3);
 }
 
 TEST_CASE("a node that stands again under its name is young by its own word before the list knows") {
--- a/tests/signalling_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -1,21 +1,21 @@
 // The platform's messages, set-ups and files: what is read back, and what is turned away.
 #include <catch2/catch.hpp>
 
-#include "bus/events.h"
-#include "platform/briefing.h"
-#include "platform/set_up.h"
-#include "signalling/message.h"
+#include "discovery/event_stream.h"
+#include "platform/bootstrap_config.h"
+#include "platform/placement_request.h"
+#include "platform_codec/message.h"
 
 using namespace whinpost;
-using signalling::Message;
-using signalling::Read;
-using signalling::Type;
+using platform_codec::DecodeStatus;
+using platform_codec::Message;
+using platform_codec::MessageType;
 
 namespace {
 
 Message good() {
     Message m;
-    m.type = Type::set_up;
+    m.type = MessageType::set_up;
     m.task = 0x0123456789abcdef;
     m.group = "batch";
     m.wait = "1500";
@@ -28,8 +28,8 @@
 std::string_view wrong_with(const Message& m) {
     QueueGroup g;
     g.effect = Effect::fingerprinted;
-    static platform::SetUp out;
-    return platform::read_set_up(m, {"batch"}, {g}, {16, 32}, out);
+    static platform::PlacementRequest out;
+    return platform::parse_placement_request(m, {"batch"}, {g}, {16, 32}, out);
 }
 
 }  // namespace
@@ -38,14 +38,15 @@
     std::string bytes;
     Message m = good();
     m.cause = 200;
-    signalling::append(bytes, m);
-    signalling::append(bytes, m);
+    platform_codec::encode(bytes, m);
+    platform_codec::encode(bytes, m);
     Message got;
     std::size_t used = 0;
     const std::size_t one = bytes.size() / 2;
     for (std::size_t n = 0; n < one; ++n)
-        REQUIRE(signalling::read(std::string_view(bytes).substr(0, n), got, used) == Read::more);
-    REQUIRE(signalling::read(bytes, got, used) == Read::whole);
+        REQUIRE(platform_codec::decode(std::string_view(bytes).substr(0, n), got, used) ==
+                DecodeStatus::more);
+    REQUIRE(platform_codec::decode(bytes, got, used) == DecodeStatus::whole);
     CHECK(used == one);
     CHECK(got.task == m.task);
     CHECK(got.type == m.type);
@@ -57,21 +58,21 @@
 
 TEST_CASE("what does not add up can't be read") {
     std::string bytes;
-    signalling::append(bytes, good());
+    platform_codec::encode(bytes, good());
     Message got;
     std::size_t used = 0;
-    const auto read = [&](std::string b) { return signalling::read(b, got, used); };
+    const auto read = [&](std::string b) { return platform_codec::decode(b, got, used); };
     std::string b = bytes;
     b[0] = '\x7f';  // too long
-    CHECK(read(b) == Read::unreadable);
+    CHECK(read(b) == DecodeStatus::unreadable);
     b = bytes;
     b[2] = 99;  // no such type, known before the rest has come
-    CHECK(read(b) == Read::unreadable);
-    CHECK(read(b.substr(0, 3)) == Read::unreadable);
-    CHECK(read(std::string("\x00\x02\x01", 3)) == Read::unreadable);  // shorter than any message
+    CHECK(read(b) == DecodeStatus::unreadable);
+    CHECK(read(b.substr(0, 3)) == DecodeStatus::unreadable);
+    CHECK(read(std::string("\x00\x02\x01", 3)) == DecodeStatus::unreadable);  // shorter than any message
     b = bytes;
     b[12] = '\x7f';  // a parameter that ends after its message
-    CHECK(read(b) == Read::unreadable);
+    CHECK(read(b) == DecodeStatus::unreadable);
 }
 
 TEST_CASE("a set-up is read whole or turned away with what is wrong") {
@@ -109,19 +110,19 @@
     const std::string body = ": hello\nid: 4\ndata: {\"a\":1}\n\nid: 5\ndata: {\"b\"";
     std::string bytes = all;
     for (const char c : body) bytes += std::string("1\r\n") + c + "\r\n";
-    bus::Reader r;
+    discovery::EventStreamParser r;
     std::vector<std::string> got;
     for (const char c : bytes)
         REQUIRE(r.read(std::string_view(&c, 1), [&](std::string_view data) { got.emplace_back(data); }));
     CHECK(got == std::vector<std::string>{"{\"a\":1}"});
-    CHECK(!bus::Reader().read("HTTP/1.1 503 No\r\n\r\n", [](std::string_view) {}));
-    CHECK(!bus::Reader().read("\x01\x02 noise", [](std::string_view) {}));
+    CHECK(!discovery::EventStreamParser().read("HTTP/1.1 503 No\r\n\r\n", [](std::string_view) {}));
+    CHECK(!discovery::EventStreamParser().read("\x01\x02 noise", [](std::string_view) {}));
 }
 
 TEST_CASE("entries keep apart what an event says and what it leaves out") {
     std::string wrong;
     int odd = 0;
-    const auto e = bus::read_event(
+    const auto e = discovery::parse_watch_event(
         R"({"offset":41,"topology":{"seq":7,"whole":false,"hosts":[{"host":"s-1","health":"leaving"},
            {"host":"s-2","dial":"10.1.0.9:3868","site":"east","class":"std","block":2,"health":"active","born_ms":5,
             "free":[1.5,-2]},{"host":"s-3","site":"nowhere"},{"no":1}]}})",
@@ -130,18 +131,18 @@
     CHECK(e->number == 41);
     REQUIRE(e->hosts.size() == 2);
     CHECK(odd == 2);
-    CHECK(e->hosts[0].stage == Stage::draining);
+    CHECK(e->hosts[0].stage == EndpointPhase::draining);
     CHECK(!e->hosts[0].free_cores);
     CHECK(e->hosts[1].zone == 1);
     CHECK(e->hosts[1].started == 5 * kMillisecond);
     CHECK(e->hosts[1].free_memory == -2);
-    CHECK(!bus::read_event("{\"offset\":", {}, {}, wrong, odd));
+    CHECK(!discovery::parse_watch_event("{\"offset\":", {}, {}, wrong, odd));
 }
 
 TEST_CASE("the briefing is flattened to the paths of the simulator's settings; what is wrong is named") {
     const std::string head =
         R"({"listen":"127.0.0.1:1","bus":"127.0.0.1:2","seed":"8c1f","limits":{"sockets":256},)";
-    const auto b = platform::Briefing::parse(
+    const auto b = platform::BootstrapConfig::parse(
         head + R"("known":{"offset":3,"batch":[{"offset":3}]},"settings":{"classes":[{"name":"x","aim_us":5}],
                   "zones":["a","b"],"limits":{"probes":true,"dial_timeout_us":250000},"me":0}})",
         "f.json");
@@ -153,9 +154,9 @@
     CHECK(b.settings().truth("limits.probes"));
     CHECK(b.settings().micros("limits.dial_timeout_us") == 250 * kMillisecond);
     CHECK_THROWS_WITH(b.settings().text("nothing.here"), "f.json: nothing.here is missing");
-    CHECK_THROWS_WITH(platform::Briefing::parse("{", "f.json"), "f.json: not a JSON object");
-    CHECK_THROWS_WITH(platform::Briefing::parse(R"({"listen":"x:1"})", "f.json"),
+    CHECK_THROWS_WITH(platform::BootstrapConfig::parse("{", "f.json"), "f.json: not a JSON object");
+    CHECK_THROWS_WITH(platform::BootstrapConfig::parse(R"({"listen":"x:1"})", "f.json"),
                       "f.json: bus is not an address and a port");
-    CHECK_THROWS_WITH(platform::Briefing::parse(head + "\"settings\":4}", "f.json"),
+    CHECK_THROWS_WITH(platform::BootstrapConfig::parse(head + "\"settings\":4}", "f.json"),
                       "f.json: settings is missing");
 }
--- a/tests/platform_test.cpp
+++ b/tests/platform_server_test.cpp
@@ -4,8 +4,8 @@
 #include <random>
 #include <utility>
 
-#include "platform_rig.h"
-#include "quiet_planner.h"
+#include "support/platform_rig.h"
+#include "support/quiet_planner.h"
 
 using namespace whinpost;
 
@@ -22,17 +22,17 @@
 };
 
 std::size_t answers(const Line& o, std::uint64_t id) {
-    return o.count(Type::answer, id) + o.count(Type::release, id);
+    return o.count(MessageType::answer, id) + o.count(MessageType::release, id);
 }
 
 std::string health_checks(std::uint64_t count) {
     std::string out;
     for (std::uint64_t k = 0; k < count; ++k) {
         Message m;
-        m.type = Type::test;
+        m.type = MessageType::test;
         m.task = k;
         m.cause = 0;
-        signalling::append(out, m);
+        platform_codec::encode(out, m);
     }
     return out;
 }
@@ -52,12 +52,12 @@
     CHECK(std::stoi(l.wait) > 0);
     t.h.last().answer(l.task, "it stands at h");
     t.run(20 * kMillisecond);
-    REQUIRE(t.o.all(Type::answer).size() == 1);
-    CHECK(t.o.all(Type::answer)[0].description == "it stands at h");
-    t.h.last().release(l.task, signalling::kOk);
+    REQUIRE(t.o.all(MessageType::answer).size() == 1);
+    CHECK(t.o.all(MessageType::answer)[0].description == "it stands at h");
+    t.h.last().release(l.task, platform_codec::kOk);
     t.run(20 * kMillisecond);
-    REQUIRE(t.o.all(Type::release).size() == 1);
-    CHECK(t.o.all(Type::release)[0].cause == signalling::kOk);
+    REQUIRE(t.o.all(MessageType::release).size() == 1);
+    CHECK(t.o.all(MessageType::release)[0].cause == platform_codec::kOk);
     CHECK(t.front.tasks() == 0);
     CHECK(t.ledger.open() == 0);
 }
@@ -69,12 +69,12 @@
     REQUIRE(t.h.launches().size() == 1);
     t.run(1500 * kMillisecond);
     CHECK(answers(t.o, 7) == 1);
-    CHECK(t.o.count(Type::answer, 7) == 0);
-    const std::size_t before = t.h.count(Type::release, 7);
+    CHECK(t.o.count(MessageType::answer, 7) == 0);
+    const std::size_t before = t.h.count(MessageType::release, 7);
     CHECK(before >= 1);  // given up
     t.h.conns[0]->answer(7);
     t.run(50 * kMillisecond);
-    CHECK(t.h.count(Type::release, 7) - before == (group == "free" ? 1u : 0u));
+    CHECK(t.h.count(MessageType::release, 7) - before == (group == "free" ? 1u : 0u));
     CHECK(answers(t.o, 7) == 1);
 }
 
@@ -87,19 +87,19 @@
     t.front.bind(quiet.taken[0], 0, 500 * kMillisecond);
     t.run(kSecond);
     REQUIRE(t.h.launches().size() == 1);
-    CHECK(t.h.count(Type::release, 7) == 1);  // given up
+    CHECK(t.h.count(MessageType::release, 7) == 1);  // given up
     t.front.bind(quiet.taken[0], 0, 500 * kMillisecond);
     t.run(50 * kMillisecond);
     REQUIRE(t.h.launches().size() == 2);
     REQUIRE(t.h.conns.size() == 2);
-    CHECK(t.h.conns[1]->count(Type::set_up, 7) == 1);
+    CHECK(t.h.conns[1]->count(MessageType::set_up, 7) == 1);
     t.h.conns[0]->answer(7, "the first one's");  // of the launch that was given up
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::answer, 7) == 0);
+    CHECK(t.o.count(MessageType::answer, 7) == 0);
     t.h.conns[1]->answer(7, "the second one's");
     t.run(20 * kMillisecond);
-    REQUIRE(t.o.all(Type::answer).size() == 1);
-    CHECK(t.o.all(Type::answer)[0].description == "the second one's");
+    REQUIRE(t.o.all(MessageType::answer).size() == 1);
+    CHECK(t.o.all(MessageType::answer)[0].description == "the second one's");
 }
 
 TEST_CASE("spoilt bytes end a connection: its launches are in doubt, what stands does not end") {
@@ -115,13 +115,13 @@
     t.run(600 * kMillisecond);
     CHECK(t.h.conns[0]->over);
     CHECK(t.h.launches().size() == 2);  // side-effecting: it may have run
-    REQUIRE(t.o.count(Type::release, 2) == 1);
-    CHECK(t.o.all(Type::release)[0].cause != signalling::kTryLater);
-    CHECK(t.o.count(Type::release, 1) == 0);
+    REQUIRE(t.o.count(MessageType::release, 2) == 1);
+    CHECK(t.o.all(MessageType::release)[0].cause != platform_codec::kTryLater);
+    CHECK(t.o.count(MessageType::release, 1) == 0);
     REQUIRE(t.h.conns.size() == 2);  // dialled again for what stands
-    t.h.conns[1]->release(1, signalling::kReset, "evicted");
+    t.h.conns[1]->release(1, platform_codec::kReset, "evicted");
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::release, 1) == 1);
+    CHECK(t.o.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("launches on one host go on connections of their own, so that one that breaks puts one in doubt") {
@@ -132,18 +132,20 @@
     for (const auto n : quiet.taken) t.front.bind(n, 0, 2 * kSecond);
     t.run(50 * kMillisecond);
     REQUIRE(t.h.conns.size() == 3);
-    for (const auto& c : t.h.conns) CHECK(c->all(Type::set_up).size() == 1);
-    const std::uint64_t broken = t.h.conns[1]->all(Type::set_up)[0].task;
+    for (const auto& c : t.h.conns) CHECK(c->all(MessageType::set_up).size() == 1);
+    const std::uint64_t broken = t.h.conns[1]->all(MessageType::set_up)[0].task;
     t.h.conns[1]->stream->abort();
     t.h.conns[1]->stream.reset();
     t.run(50 * kMillisecond);
     // It may stand there, where its word can't reach us: cut, on a connection that is up.
-    CHECK(t.h.count(Type::release, broken) == 1);
-    CHECK(t.h.count(Type::release, 1) + t.h.count(Type::release, 2) + t.h.count(Type::release, 3) == 1);
+    CHECK(t.h.count(MessageType::release, broken) == 1);
+    CHECK(t.h.count(MessageType::release, 1) + t.h.count(MessageType::release, 2) +
+              t.h.count(MessageType::release, 3) ==
+          1);
     for (const auto n : quiet.taken)
         t.front.bind(n, 0, 2 * kSecond);  // those that are out: refused by the ledger
     t.run(50 * kMillisecond);
-    CHECK(t.h.count(Type::set_up, broken) == 2);
+    CHECK(t.h.count(MessageType::set_up, broken) == 2);
     CHECK(t.ledger.tally().refused_to_planner == 2);
 }
 
@@ -155,7 +157,7 @@
     t.h.last().stream->abort();
     t.h.last().stream.reset();
     t.run(kSecond);
-    CHECK(t.h.count(Type::release, 1) == 0);
+    CHECK(t.h.count(MessageType::release, 1) == 0);
 }
 
 TEST_CASE("a stray answer in front and a second copy change nothing") {
@@ -165,9 +167,9 @@
     t.h.last().answer(1, "first");
     t.h.last().answer(1, "second");
     t.run(20 * kMillisecond);
-    REQUIRE(t.o.all(Type::answer).size() == 1);
-    CHECK(t.o.all(Type::answer)[0].description == "first");
-    CHECK(t.o.all(Type::answer)[0].task == 1);
+    REQUIRE(t.o.all(MessageType::answer).size() == 1);
+    CHECK(t.o.all(MessageType::answer)[0].description == "first");
+    CHECK(t.o.all(MessageType::answer)[0].task == 1);
     CHECK(!t.h.conns[0]->over);
 }
 
@@ -176,26 +178,26 @@
     One t;
     t.ask(t.o, 1);
     Message m;
-    m.type = Type::release;
+    m.type = MessageType::release;
     m.task = 1;
-    m.cause = signalling::kOk;
+    m.cause = platform_codec::kOk;
     m.description = "stood and ended";
     t.h.last().say(m);
     t.run(200 * kMillisecond);
     CHECK(t.h.launches().size() == 1);
     REQUIRE(t.o.got.size() == 2);
-    CHECK(t.o.got[0].type == Type::answer);
+    CHECK(t.o.got[0].type == MessageType::answer);
     CHECK(t.o.got[0].description == "stood and ended");
-    CHECK(t.o.got[1].type == Type::release);
-    CHECK(t.o.got[1].cause == signalling::kOk);
+    CHECK(t.o.got[1].type == MessageType::release);
+    CHECK(t.o.got[1].cause == platform_codec::kOk);
     CHECK(t.front.tasks() == 0);
     t.ask(t.o, 2, "once");
     m.task = 2;
     m.description.reset();  // says no such thing: in doubt
     t.h.last().say(m);
     t.run(200 * kMillisecond);
-    CHECK(t.o.count(Type::answer, 2) == 0);
-    CHECK(t.o.count(Type::release, 2) == 1);
+    CHECK(t.o.count(MessageType::answer, 2) == 0);
+    CHECK(t.o.count(MessageType::release, 2) == 1);
 }
 
 TEST_CASE(
@@ -204,20 +206,20 @@
     const bool noted = GENERATE(true, false);
     t.ask(t.o, 1);
     Message note;
-    note.type = Type::note;
+    note.type = MessageType::note;
     note.task = 1;
     note.notes = "cores";
     note.figure = "0.2";
     if (noted) t.h.last().say(note);
     t.run(20 * kMillisecond);
-    t.h.last().release(1, signalling::kReset, "sent_away");
+    t.h.last().release(1, platform_codec::kReset, "sent_away");
     t.run(20 * kMillisecond);
-    REQUIRE(t.o.count(Type::release, 1) == (noted ? 1u : 0u));
+    REQUIRE(t.o.count(MessageType::release, 1) == (noted ? 1u : 0u));
     t.run(5 * kSecond);
-    CHECK(t.o.count(Type::release, 1) == 1);
+    CHECK(t.o.count(MessageType::release, 1) == 1);
     t.h.conns[0]->answer(1);
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::answer, 1) == 0);
+    CHECK(t.o.count(MessageType::answer, 1) == 0);
     CHECK(t.front.tasks() == 0);
     CHECK(t.planner.open() == 0);
 }
@@ -233,8 +235,8 @@
         t.h.last().stream.reset();
     }
     t.run(2 * kSecond);
-    REQUIRE(t.o.all(Type::release).size() == 1);
-    CHECK((t.o.all(Type::release)[0].cause == signalling::kTryLater) == refused);
+    REQUIRE(t.o.all(MessageType::release).size() == 1);
+    CHECK((t.o.all(MessageType::release)[0].cause == platform_codec::kTryLater) == refused);
 }
 
 TEST_CASE("what stood on a machine that vanished is released within 8 s, on one whose process died at once") {
@@ -246,9 +248,9 @@
     if (vanished) t.world.vanish(*t.h.process);
     else t.world.kill(*t.h.process);
     t.run(vanished ? 3 * kSecond : 2 * kSecond);
-    CHECK(t.o.count(Type::release, 1) == (vanished ? 0u : 1u));
+    CHECK(t.o.count(MessageType::release, 1) == (vanished ? 0u : 1u));
     t.run(4900 * kMillisecond);
-    CHECK(t.o.count(Type::release, 1) == 1);
+    CHECK(t.o.count(MessageType::release, 1) == 1);
     CHECK(t.front.tasks() == 0);
 }
 
@@ -258,10 +260,10 @@
     t.h.last().answer(1);
     t.run(12 * kSecond);
     CHECK(!t.h.conns[0]->over);
-    CHECK(t.o.count(Type::release, 1) == 0);
-    t.h.conns[0]->release(1, signalling::kOk);
+    CHECK(t.o.count(MessageType::release, 1) == 0);
+    t.h.conns[0]->release(1, platform_codec::kOk);
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::release, 1) == 1);
+    CHECK(t.o.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("owners that ask once and hold their connection do not push out the one that is of use") {
@@ -273,14 +275,14 @@
     for (int i = 0; i < 150; ++i) {
         Line& once = t.owner(2 + i);
         t.ask(once, ++id, "free", 5000);
-        t.h.last().release(id, signalling::kError);
+        t.h.last().release(id, platform_codec::kError);
         if (i % 20 == 0) t.ask(t.o, ++id, "nothing known");  // refused at the door, and a sign of life
     }
     CHECK(!t.o.over);
     CHECK(t.front.connections() < 128);
-    t.h.conns[0]->release(1, signalling::kOk);
+    t.h.conns[0]->release(1, platform_codec::kOk);
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::release, 1) == 1);
+    CHECK(t.o.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("an owner that asked once keeps its connection while its container stands, however quiet") {
@@ -293,12 +295,12 @@
     for (int i = 0; i < 150; ++i) {
         t.ask(t.owner(3 + i), ++id, "free", 5000);
         for (const auto& c : t.h.conns)
-            if (c->count(Type::set_up, id)) c->release(id, signalling::kError);
+            if (c->count(MessageType::set_up, id)) c->release(id, platform_codec::kError);
     }
     CHECK(!quiet.over);
-    t.h.conns[0]->release(1, signalling::kOk);
+    t.h.conns[0]->release(1, platform_codec::kOk);
     t.run(20 * kMillisecond);
-    CHECK(quiet.count(Type::release, 1) == 1);
+    CHECK(quiet.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("a release whose owner has no connection open finds the next one from there") {
@@ -308,14 +310,14 @@
     t.run(20 * kMillisecond);
     t.o.stream.reset();
     t.run(20 * kMillisecond);
-    t.h.last().release(1, signalling::kOk);
+    t.h.last().release(1, platform_codec::kOk);
     t.run(2 * kSecond);
     Line& stranger = t.owner(2);
     t.ask(stranger, 50, "nothing known");
-    CHECK(stranger.count(Type::release, 1) == 0);
+    CHECK(stranger.count(MessageType::release, 1) == 0);
     Line& back = t.owner(1);
     t.ask(back, 51, "nothing known");
-    CHECK(back.count(Type::release, 1) == 1);
+    CHECK(back.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("a release by the owner cuts the container at its host and is owed nothing") {
@@ -323,12 +325,12 @@
     t.ask(t.o, 1);
     t.h.last().answer(1);
     t.run(20 * kMillisecond);
-    t.o.release(1, signalling::kCancelled);
+    t.o.release(1, platform_codec::kCancelled);
     t.run(20 * kMillisecond);
-    CHECK(t.h.count(Type::release, 1) == 1);
-    t.h.last().release(1, signalling::kCancelled);
+    CHECK(t.h.count(MessageType::release, 1) == 1);
+    t.h.last().release(1, platform_codec::kCancelled);
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::release, 1) == 0);
+    CHECK(t.o.count(MessageType::release, 1) == 0);
     CHECK(t.front.tasks() == 0);
 }
 
@@ -338,9 +340,9 @@
     t.ask(t.o, 1);
     REQUIRE(t.h.launches().size() == 1);
     if (goes) t.o.stream.reset();
-    else t.o.release(1, signalling::kGivenUp);
+    else t.o.release(1, platform_codec::kGivenUp);
     t.run(20 * kMillisecond);
-    CHECK(t.h.count(Type::release, 1) == 1);
+    CHECK(t.h.count(MessageType::release, 1) == 1);
     CHECK(answers(t.o, 1) == 0);
     CHECK(t.front.tasks() == 0);
     CHECK(t.planner.open() == 0);
@@ -361,31 +363,31 @@
     t.run(50 * kMillisecond);
     CHECK(h.launches().empty());
     REQUIRE(h.conns.size() == 1);  // its end may come on any connection, so there is one
-    h.last().release(1, signalling::kOk);
+    h.last().release(1, platform_codec::kOk);
     t.run(20 * kMillisecond);
-    CHECK(o.count(Type::release, 1) == 1);
+    CHECK(o.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("bad clients get a refusal or a close, no launch, and cost the others nothing") {
     One t;
     Line& bad = t.owner(2);
     t.ask(bad, 10, "no such class");
-    CHECK(bad.count(Type::release, 10) == 1);
+    CHECK(bad.count(MessageType::release, 10) == 1);
     t.ask(bad, 0);  // no id: a host closes on it, whatever else is open there
-    CHECK(bad.count(Type::release, 0) == 1);
+    CHECK(bad.count(MessageType::release, 0) == 1);
     t.ask(bad, 11, "free", -5);
-    CHECK(bad.count(Type::release, 11) == 1);
+    CHECK(bad.count(MessageType::release, 11) == 1);
     CHECK(t.h.launches().empty());
     t.ask(t.o, 12);
     REQUIRE(t.h.launches().size() == 1);
     t.ask(bad, 12);  // an open id of another's
-    CHECK(bad.count(Type::release, 12) == 1);
-    CHECK(t.o.count(Type::release, 12) == 0);
+    CHECK(bad.count(MessageType::release, 12) == 1);
+    CHECK(t.o.count(MessageType::release, 12) == 0);
     Line& twice = t.owner(3);
     t.ask(twice, 20);
     t.ask(twice, 20, "once");
     CHECK(twice.over);
-    CHECK(twice.count(Type::answer, 20) == 0);
+    CHECK(twice.count(MessageType::answer, 20) == 0);
     Line &noise = t.owner(4), &silent = t.owner(5), &half = t.owner(6);
     noise.raw("GET / HTTP/1.1\r\n\r\n");
     half.raw(std::string("\x00\x20\x01\x01", 4));
@@ -395,7 +397,7 @@
     CHECK(half.over);
     t.h.conns[0]->answer(12);
     t.run(20 * kMillisecond);
-    CHECK(t.o.count(Type::answer, 12) == 1);
+    CHECK(t.o.count(MessageType::answer, 12) == 1);
 }
 
 TEST_CASE(
@@ -404,7 +406,7 @@
     Line &bad = t.owner(2), &odd = t.owner(3), &good = t.owner(4);
     for (std::uint64_t id = 100; id < 5000; ++id) {
         Message m;
-        m.type = Type::set_up;
+        m.type = MessageType::set_up;
         m.task = id;
         const std::string name = name_of(id);
         m.group = "free";
@@ -412,7 +414,7 @@
         m.figures = "cores:1;memory:2;service:00000000b4d65521;at:nowhere";
         bad.say(m);
     }
-    odd.release(77, signalling::kGivenUp);
+    odd.release(77, platform_codec::kGivenUp);
     t.ask(good, 9, "free", 4294967, ";at:h");
     t.run(2500 * kMillisecond);
     CHECK(bad.over);
@@ -438,18 +440,18 @@
     "an owner that reads none of its answers is ended between two rounds of the planner, never within one") {
     constexpr std::size_t kAsked = 14'000;  // their refusals are over what a connection holds
     struct AllAtOnce : QuietPlanner {
-        explicit AllAtOnce(platform::Front& f) : front(f) {}
+        explicit AllAtOnce(platform::PlatformServer& f) : front(f) {}
         void round(Nanos) override {
             if (taken.size() < kAsked) return;
             in_round = true;
             for (std::size_t i = 0; i < kAsked - 50; ++i) front.defer(taken[i], kSecond * 1'000'000'000);
             in_round = false;
         }
-        void withdrawn(Nanos, planner::ContainerNumber) override {
+        void withdrawn(Nanos, planner::TaskNumber) override {
             ++gone;
             within += in_round;
         }
-        platform::Front& front;
+        platform::PlatformServer& front;
         bool in_round = false;
         int gone = 0, within = 0;
     };
@@ -459,7 +461,7 @@
     Line& o = t.owner();
     o.stream->read(false);
     Message m;
-    m.type = Type::set_up;
+    m.type = MessageType::set_up;
     m.group = "free";
     m.wait = "60000";
     m.figures = "cores:1;memory:2;service:00000000b4d65521";
@@ -490,7 +492,7 @@
     // Further launches go on connections of their own, up to ten.
     const std::string wide(1000, 'd');
     Message m;
-    m.type = Type::set_up;
+    m.type = MessageType::set_up;
     m.group = "free";
     m.wait = "60000";
     m.figures = "cores:1;memory:2;service:00000000b4d65521";
@@ -512,7 +514,7 @@
     m.name = "0000000000000000";
     m.figures.reset();  // hosts are not told them
     std::string one;
-    signalling::append(one, m);
+    platform_codec::encode(one, m);
     const std::size_t whole = one.size();
     t.o.stream.reset();
     t.run(100 * kMillisecond);
@@ -524,7 +526,7 @@
     const std::size_t most = (256u << 10) / whole + 2;
     for (const auto& c : t.h.conns) {
         std::size_t wide_ones = 0;
-        for (const Line::Got& g : c->got) wide_ones += g.type == Type::set_up && g.description == wide;
+        for (const Line::Got& g : c->got) wide_ones += g.type == MessageType::set_up && g.description == wide;
         CHECK(wide_ones <= most);
     }
 }
@@ -573,7 +575,7 @@
     t.tell({PlatformRig::entry(t.h, "left")});
     t.listen(heir);
     t.tell({PlatformRig::entry(heir)});
-    t.o.release(1, signalling::kCancelled);
+    t.o.release(1, platform_codec::kCancelled);
     t.run(3 * kSecond);
     CHECK(heir.conns.empty());
     t.ask(t.o, 2);
@@ -586,23 +588,23 @@
     bool ended = false;
     t.front.close([&ended] { ended = true; });
     Message test;
-    test.type = Type::test;
+    test.type = MessageType::test;
     test.task = 9;
     test.cause = 0;
     t.o.say(test);
     t.ask(t.o, 2);
     CHECK(t.h.launches().size() == 2);
-    REQUIRE(t.o.all(Type::tested).size() == 1);
-    CHECK(t.o.all(Type::tested)[0].cause == signalling::kFailed);
+    REQUIRE(t.o.all(MessageType::tested).size() == 1);
+    CHECK(t.o.all(MessageType::tested)[0].cause == platform_codec::kFailed);
     t.run(kSecond);
     CHECK(!ended);
     t.ask(t.o, 3);
-    CHECK(t.o.count(Type::release, 3) == 1);
+    CHECK(t.o.count(MessageType::release, 3) == 1);
     for (const auto& c : t.h.conns)
-        for (const auto& l : c->all(Type::set_up)) c->answer(l.task);
+        for (const auto& l : c->all(MessageType::set_up)) c->answer(l.task);
     t.run(200 * kMillisecond);
     CHECK(ended);
-    CHECK(t.o.all(Type::answer).size() == 2);
+    CHECK(t.o.all(MessageType::answer).size() == 2);
 }
 
 TEST_CASE("more hosts than descriptors, all in use all the time: each host is reached again and again") {
@@ -622,12 +624,12 @@
         for (std::size_t i = 0; i < kHosts; ++i)
             for (const auto& c : hosts[i]->conns)
                 for (const Line::Got& g : std::exchange(c->got, {})) {
-                    if (g.type != Type::test) continue;
+                    if (g.type != MessageType::test) continue;
                     ++checked[i];
                     Message m;
-                    m.type = Type::tested;
+                    m.type = MessageType::tested;
                     m.task = g.task;
-                    m.cause = signalling::kPassed;
+                    m.cause = platform_codec::kPassed;
                     if (answers) c->say(m);
                 }
     };
@@ -635,7 +637,7 @@
         const std::vector<std::size_t> before = checked;
         // Each connection is used again long before it counts as idle.
         for (const Nanos end = t.world.now() + 4 * kSecond; t.world.now() < end;) {
-            for (planner::NodeNumber n = 0; n < kHosts; ++n) t.front.probe(n);
+            for (planner::WorkerNumber n = 0; n < kHosts; ++n) t.front.probe(n);
             t.run(5 * kMillisecond);
             CHECK(t.front.connections() <= 40);
             answer_checks();
@@ -657,7 +659,7 @@
     // No sweep, which comes every 100 ms, is needed for it.
     for (int i = 0; i < 90 && t.front.tasks(); ++i) t.run(kMillisecond);
     CHECK(t.front.tasks() == 0);
-    CHECK(t.h.count(Type::release, 7) == 1);  // given up
+    CHECK(t.h.count(MessageType::release, 7) == 1);  // given up
 }
 
 TEST_CASE("whatever hosts and other clients do, each request has one final answer, and that in time") {
@@ -693,16 +695,16 @@
         for (PlatformRig::HostAt* h : hosts)
             for (const auto& c : h->conns)
                 for (const Line::Got& g : std::exchange(c->got, {})) {
-                    if (g.type != Type::set_up) continue;
+                    if (g.type != MessageType::set_up) continue;
                     switch (roll(8)) {  // else silent for good
                         case 0:
                             c->answer(g.task);
                             break;
                         case 1:
-                            c->release(g.task, signalling::kFull, "queue_full");
+                            c->release(g.task, platform_codec::kFull, "queue_full");
                             break;
                         case 2:
-                            c->release(g.task, signalling::kError);
+                            c->release(g.task, platform_codec::kError);
                             break;
                         case 3:
                             c->raw("noise that is no message");
@@ -712,7 +714,7 @@
                             break;
                         case 5:
                             c->answer(g.task);
-                            c->release(g.task, signalling::kOk);
+                            c->release(g.task, platform_codec::kOk);
                             break;
                         default:
                             break;
@@ -728,7 +730,7 @@
                     bad.raw(set_up_bytes(next - 1, "free", 500, ""));
                     break;  // an id of another's
                 case 2:
-                    bad.release(next - 1, signalling::kGivenUp);
+                    bad.release(next - 1, platform_codec::kGivenUp);
                     break;
                 default:
                     break;  // silent
@@ -742,8 +744,8 @@
     for (const Asked& a : asked) {
         INFO("seed " << seed << ", request " << a.id);
         REQUIRE(!a.client->over);
-        const std::size_t stands = a.client->count(Type::answer, a.id);
-        const std::size_t over = a.client->count(Type::release, a.id);
+        const std::size_t stands = a.client->count(MessageType::answer, a.id);
+        const std::size_t over = a.client->count(MessageType::release, a.id);
         CHECK(stands <= 1);
         CHECK(over <= 1);
         CHECK(stands + over >= 1);
--- a/tests/platform_sockets_test.cpp
+++ b/tests/platform_sockets_test.cpp
@@ -1,7 +1,7 @@
 // The platform's front on real sockets: what happens between two of its steps, in the bad order each time.
 #include <catch2/catch.hpp>
 
-#include "platform_sockets_rig.h"
+#include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
@@ -25,7 +25,7 @@
 void refused_then_gone(SocketRig& t, Plug& o) {
     t.front.reset();
     o.take();
-    CHECK(o.count(Type::release, 7) == 1);
+    CHECK(o.count(MessageType::release, 7) == 1);
     CHECK(!o.reset);
 }
 
@@ -48,7 +48,7 @@
     t.until([&] { return t.planner.taken.size() == 1; });
     t.front->defer(t.planner.taken[0], 0);
     see_out(t, {&o}, done);
-    CHECK(o.count(Type::release, 7) == 1);
+    CHECK(o.count(MessageType::release, 7) == 1);
     CHECK(o.ended);
     CHECK(!o.reset);
 }
@@ -84,7 +84,7 @@
     bool done = false;
     t.front->close([&] {
         done = true;
-        if (o.open()) o.plain(Type::progress, 7);
+        if (o.open()) o.plain(MessageType::progress, 7);
     });
     t.stand_still(kPastTaking);
     t.front->defer(t.planner.taken[0], 0);
@@ -104,7 +104,7 @@
         o.take();
         return o.ended;
     });
-    host.lines.back()->release(7, signalling::kOk);
+    host.lines.back()->release(7, platform_codec::kOk);
     t.until([&] { return done; });
     CHECK(t.planner.endings.empty());
     CHECK(t.ledger.open() == 1);
@@ -121,13 +121,13 @@
     const bool ahead = GENERATE(false, true);  // bytes lie before its close
     if (ahead)
         for (std::uint64_t id = 100; id < 150; ++id) o.raw(SocketRig::set_up(id, "no such class"));
-    host.lines.back()->release(7, signalling::kFull);
+    host.lines.back()->release(7, platform_codec::kFull);
     o.close();
     t.until([&] { return t.front->tasks() == 0; });
     t.front->bind(n, 0, kSecond);
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 7) == 1);
+    CHECK(host.count(MessageType::set_up, 7) == 1);
 }
 
 TEST_CASE("a client that goes while its launch waits for a connection: nothing leaves once that comes up") {
@@ -148,7 +148,7 @@
     });
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 7) == 0);
+    CHECK(host.count(MessageType::set_up, 7) == 0);
     full[0].close();
 }
 
@@ -160,19 +160,19 @@
     t.launched(o, host, 7);
     if (GENERATE(true, false)) {
         host.lines.back()->answer(7);
-        o.release(7, signalling::kGivenUp);
+        o.release(7, platform_codec::kGivenUp);
     } else {
-        o.release(7, signalling::kGivenUp);
+        o.release(7, platform_codec::kGivenUp);
         t.turns(5);
         host.lines.back()->answer(7);
     }
     t.until([&] {
         host.take();
-        return host.count(Type::release, 7) >= 1 && t.front->tasks() == 0;
+        return host.count(MessageType::release, 7) >= 1 && t.front->tasks() == 0;
     });
     o.take();
-    CHECK(o.count(Type::answer, 7) + o.count(Type::release, 7) <= 1);
-    CHECK(host.count(Type::set_up, 7) == 1);
+    CHECK(o.count(MessageType::answer, 7) + o.count(MessageType::release, 7) <= 1);
+    CHECK(host.count(MessageType::set_up, 7) == 1);
 }
 
 TEST_CASE("an owner that gives up on another connection of its own has given up") {
@@ -181,14 +181,14 @@
     t.known({SocketRig::entry("h", host.address())}, true);
     Plug o = t.owner(), other = t.owner();
     const auto n = t.launched(o, host, 7);
-    host.lines.back()->release(7, signalling::kFull);
+    host.lines.back()->release(7, platform_codec::kFull);
     t.until([&] { return t.planner.endings.size() == 1; });
-    other.release(7, signalling::kGivenUp);
+    other.release(7, platform_codec::kGivenUp);
     t.until([&] { return t.front->tasks() == 0; });
     t.front->bind(n, 0, kSecond);
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 7) == 1);
+    CHECK(host.count(MessageType::set_up, 7) == 1);
 }
 
 TEST_CASE("a request that comes in single bytes is taken as one") {
@@ -210,12 +210,12 @@
     SocketRig t;
     Plug o = t.owner();
     Message stray;  // what only hosts say
-    stray.type = Type::answer;
+    stray.type = MessageType::answer;
     stray.task = 5;
     stray.description = "stands";
     std::string ends;
     const int how = GENERATE(0, 1, 2);
-    if (how == 0) signalling::append(ends, stray);
+    if (how == 0) platform_codec::encode(ends, stray);
     if (how == 1) ends = SocketRig::set_up(7);  // open already
     if (how == 2) ends = "";
     std::string after = how == 2 ? "GET / HTTP/1.1\r\n\r\n" : SocketRig::set_up(9) + SocketRig::set_up(10);
@@ -225,10 +225,10 @@
         return o.ended || o.reset;
     });
     CHECK(!o.reset);
-    CHECK(o.count(Type::release, 7) == 1);
-    CHECK(o.count(Type::release, 8) == 1);
-    CHECK(o.count(Type::release, 9) == (how == 2 ? 0 : 1));
-    CHECK(o.count(Type::release, 10) == (how == 2 ? 0 : 1));
+    CHECK(o.count(MessageType::release, 7) == 1);
+    CHECK(o.count(MessageType::release, 8) == 1);
+    CHECK(o.count(MessageType::release, 9) == (how == 2 ? 0 : 1));
+    CHECK(o.count(MessageType::release, 10) == (how == 2 ? 0 : 1));
     CHECK(t.front->tasks() == 0);
 }
 
@@ -242,12 +242,12 @@
     o.half_close();
     t.until([&] {
         o.take();
-        return o.count(Type::release, 7) == 1;
+        return o.count(MessageType::release, 7) == 1;
     });
     t.front->bind(t.planner.taken[0], 0, kSecond);
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 7) == 0);
+    CHECK(host.count(MessageType::set_up, 7) == 0);
     CHECK(t.front->tasks() == 0);
 }
 
@@ -268,8 +268,8 @@
             return more.ended || more.reset;
         });
         CHECK(!more.reset);
-        CHECK(more.count(Type::release, id) == 1);
-        CHECK(more.count(Type::release, id + 1000) == 1);
+        CHECK(more.count(MessageType::release, id) == 1);
+        CHECK(more.count(MessageType::release, id + 1000) == 1);
     }
     CHECK(t.planner.taken.size() == 30);
     for (Plug& o : owners) {
@@ -294,18 +294,18 @@
     std::string bytes = SocketRig::set_up(7);
     if (how < 2) {  // behind more than one read takes: its cancel, or its close
         Message m;
-        m.type = Type::progress;
+        m.type = MessageType::progress;
         m.task = 7;
-        while (bytes.size() < kFlood) signalling::append(bytes, m);
+        while (bytes.size() < kFlood) platform_codec::encode(bytes, m);
     }
     o.raw(bytes);
-    if (how == 0) o.plain(Type::release, 7, signalling::kGivenUp);
+    if (how == 0) o.plain(MessageType::release, 7, platform_codec::kGivenUp);
     if (how == 1) o.close();
     t.until([&] { return t.planner.taken.size() == 1; });
     // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
     auto busy = t.loop.timer([&] {
         if (how == 2) {
-            o.plain(Type::release, 7, signalling::kGivenUp);
+            o.plain(MessageType::release, 7, platform_codec::kGivenUp);
             t.stand_still(80 * kMillisecond);
         }
         t.front->bind(t.planner.taken[0], 0, 10 * kSecond);
@@ -314,7 +314,7 @@
     t.until([&] { return t.front->tasks() == 0; });
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 7) == 0);
+    CHECK(host.count(MessageType::set_up, 7) == 0);
 }
 
 TEST_CASE("the wait passed on leaves out the time for which a request lay unread") {
@@ -337,9 +337,9 @@
     t.front->bind(t.planner.taken[0], 0, kWait * kMillisecond);
     t.until([&] {
         host.take();
-        return host.count(Type::set_up, 7) == 1;
+        return host.count(MessageType::set_up, 7) == 1;
     });
-    CHECK(std::stoi(host.lines.back()->all(Type::set_up)[0].wait) <= kWait - kAway);
+    CHECK(std::stoi(host.lines.back()->all(MessageType::set_up)[0].wait) <= kWait - kAway);
 }
 
 // ---------------------------------------------------------------- connections of owners
@@ -351,10 +351,10 @@
     std::vector<Plug> owners;
     for (int i = 0; i < 30; ++i) {
         owners.push_back(t.owner());
-        owners.back().plain(Type::test, 1);
+        owners.back().plain(MessageType::test, 1);
         t.until([&] {
             owners.back().take();
-            return owners.back().count(Type::tested, 1) == 1;
+            return owners.back().count(MessageType::tested, 1) == 1;
         });
     }
     REQUIRE(t.front->connections() == 30);
@@ -362,10 +362,10 @@
     // for the longest lies unread by then.
     Plug more = t.owner();
     owners[0].raw(SocketRig::set_up(7));
-    more.plain(Type::test, 2);
+    more.plain(MessageType::test, 2);
     t.until([&] {
         more.take();
-        return more.count(Type::tested, 2) == 1;
+        return more.count(MessageType::tested, 2) == 1;
     });
     t.until([&] { return t.planner.taken.size() == 1; });
     owners[0].take();
@@ -380,25 +380,25 @@
     Plug o = t.owner();
     t.standing(o, host, 7);
     t.standing(o, host, 8);
-    host.lines.front()->release(7, signalling::kOk);
+    host.lines.front()->release(7, platform_codec::kOk);
     t.until([&] {
         o.take();
-        return o.count(Type::release, 7) == 1;
+        return o.count(MessageType::release, 7) == 1;
     });
-    o.plain(Type::release_heard, 7);
-    host.lines.front()->release(8, signalling::kOk);
+    o.plain(MessageType::release_heard, 7);
+    host.lines.front()->release(8, platform_codec::kOk);
     t.until([&] { return t.front->tasks() == 0; });
     t.turns(3);
     o.close();  // the release lies in its socket, unread
     t.until([&] { return t.front->connections() == host.lines.size(); });
     Plug next = t.owner();
-    next.plain(Type::test, 1);
+    next.plain(MessageType::test, 1);
     t.until([&] {
         next.take();
-        return next.count(Type::tested, 1) == 1;
+        return next.count(MessageType::tested, 1) == 1;
     });
-    CHECK(next.count(Type::release, 8) == 1);
-    CHECK(next.count(Type::release, 7) == 0);
+    CHECK(next.count(MessageType::release, 8) == 1);
+    CHECK(next.count(MessageType::release, 7) == 0);
 }
 
 // ---------------------------------------------------------------- hosts
@@ -419,8 +419,8 @@
     o.take();
     host.take();
     REQUIRE(o.got.size() == 1);
-    CHECK(o.got[0].type == Type::answer);
-    CHECK(host.count(Type::set_up, 7) == 1);
+    CHECK(o.got[0].type == MessageType::answer);
+    CHECK(host.count(MessageType::set_up, 7) == 1);
     CHECK(t.front->tasks() == 1);
 }
 
@@ -431,11 +431,11 @@
     Plug o = t.owner();
     t.standing(o, host, 7);
     host.lines.back()->answer(7, "another");
-    host.lines.back()->release(7, signalling::kOk);
+    host.lines.back()->release(7, platform_codec::kOk);
     host.lines.back()->answer(7, "once more");
     t.until([&] {
         o.take();
-        return o.count(Type::release, 7) == 1;
+        return o.count(MessageType::release, 7) == 1;
     });
     t.turns(20);
     o.take();
@@ -456,15 +456,15 @@
     host.lines.back()->close();
     t.front->bind(t.planner.taken[1], 0, 10 * kSecond);
     t.until([&] { return !t.planner.endings.empty(); });
-    CHECK(t.planner.endings[0] != Ending::served);
+    CHECK(t.planner.endings[0] != AttemptOutcome::served);
     t.front->defer(t.planner.taken[1], 0);
     t.until([&] {
         o.take();
-        return o.count(Type::release, 8) == 1;
+        return o.count(MessageType::release, 8) == 1;
     });
     // Written or not, nobody can tell: a deferral would invite it to run twice.
-    if (t.planner.endings[0] == Ending::reset) CHECK(o.got.back().cause == signalling::kReset);
-    else CHECK(o.got.back().cause == signalling::kTryLater);
+    if (t.planner.endings[0] == AttemptOutcome::reset) CHECK(o.got.back().cause == platform_codec::kReset);
+    else CHECK(o.got.back().cause == platform_codec::kTryLater);
 }
 
 TEST_CASE("a dial that was begun before its host left says nothing to the one that has its address now") {
@@ -477,7 +477,7 @@
     if (by_cut) {  // taken over there, and ended by its owner while the connection is not up
         o.raw(SocketRig::set_up(7, "free", ";at:h"));
         t.until([&] { return t.front->tasks() == 1; });
-        o.release(7, signalling::kCancelled);
+        o.release(7, platform_codec::kCancelled);
         t.until([&] { return t.front->tasks() == 0; });
     } else t.front->probe(0);
     t.turns(5);
@@ -506,8 +506,8 @@
         host.take();
         return host.lines.size() == 1 && !host.lines[0]->got.empty();
     });
-    host.lines[0]->release(7, signalling::kOk);
-    host.lines[0]->plain(Type::tested, host.lines[0]->got[0].task, signalling::kPassed);
+    host.lines[0]->release(7, platform_codec::kOk);
+    host.lines[0]->plain(MessageType::tested, host.lines[0]->got[0].task, platform_codec::kPassed);
     t.until([&] { return t.planner.reports == 1; });
     Plug o = t.owner();
     o.raw(SocketRig::set_up(7, "free", ";at:h"));
@@ -515,8 +515,8 @@
         o.take();
         return !o.got.empty();
     });
-    CHECK(o.count(Type::release, 7) == 1);
-    CHECK(o.got[0].cause == signalling::kOk);
+    CHECK(o.count(MessageType::release, 7) == 1);
+    CHECK(o.got[0].cause == platform_codec::kOk);
     CHECK(t.front->tasks() == 0);
 }
 
@@ -535,11 +535,11 @@
     t.known({e});
     t.until([&] {
         o.take();
-        return o.count(Type::release, 7) == 1;
+        return o.count(MessageType::release, 7) == 1;
     });
     t.turns(20);
     o.take();
-    CHECK(o.count(Type::release, 8) == 0);
+    CHECK(o.count(MessageType::release, 8) == 0);
     CHECK(t.front->tasks() == 1);
 }
 
@@ -559,8 +559,8 @@
             h->take();
             for (const auto& l : h->lines)
                 for (const auto& g : l->got)
-                    if (g.type == Type::test && !l->ended)
-                        l->plain(Type::tested, g.task, signalling::kPassed);
+                    if (g.type == MessageType::test && !l->ended)
+                        l->plain(MessageType::tested, g.task, platform_codec::kPassed);
             for (const auto& l : h->lines) l->got.clear();
             n += !h->lines.empty();
         }
@@ -651,12 +651,12 @@
     t.front->bind(t.planner.taken[1], 0, kSecond);
     t.turns(20);
     host.take();
-    CHECK(host.count(Type::set_up, 8) == 0);
+    CHECK(host.count(MessageType::set_up, 8) == 0);
     CHECK(t.ledger.tally().refused_to_planner == 1);
     // What stands there still has its last words.
-    host.lines.back()->release(7, signalling::kOk);
+    host.lines.back()->release(7, platform_codec::kOk);
     t.until([&] {
         o.take();
-        return o.count(Type::release, 7) == 1;
+        return o.count(MessageType::release, 7) == 1;
     });
 }
--- a/tests/regain_test.cpp
+++ b/tests/recovery_queue_test.cpp
@@ -1,6 +1,6 @@
 // Containers that run already, handed over before their node is known; beside a plain model of the same
 // rules.
-#include "regain/regain.h"
+#include "recovery/recovery_queue.h"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -9,14 +9,14 @@
 #include <vector>
 
 using namespace whinpost;
-using regain::Handed;
-using regain::Regain;
+using recovery::PendingRecovery;
+using recovery::RecoveryQueue;
 
 namespace {
 
-struct Door : regain::Port {
-    void found(Nanos, Handed& h) override { ended[*static_cast<int*>(h.tag)] = true; }
-    void lost(Nanos, Handed& h) override { ended[*static_cast<int*>(h.tag)] = false; }
+struct Door : recovery::RecoveryHandler {
+    void found(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = true; }
+    void lost(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = false; }
     void list_again(Nanos) override { ++asked; }
     void wake(Nanos at) override { wake_at = at; }
     std::map<int, bool> ended;  // by container: found?
@@ -28,7 +28,7 @@
 
 TEST_CASE("what was handed over before any list waits for its node, however long the list takes") {
     Door door;
-    Regain r(door);
+    RecoveryQueue r(door);
     int one = 1, two = 2;
     r.wait(kSecond, "a", &one);
     r.wait(kSecond, "b", &two);
@@ -44,7 +44,7 @@
 TEST_CASE(
     "a list that is older than the owner's word says nothing of its node, and a younger one is asked for") {
     Door door;
-    Regain r(door);
+    RecoveryQueue r(door);
     int one = 1;
     const Nanos t = 1000 * kSecond;
     r.listed(t, t, true);
@@ -69,7 +69,7 @@
         CHECK(door.ended == std::map<int, bool>{{1, false}});
     }
     SECTION("dropped by its owner") {
-        Handed& h = r.wait(t + 3 * kSecond, "a", &one);
+        PendingRecovery& h = r.wait(t + 3 * kSecond, "a", &one);
         r.drop(h);
         CHECK(r.waiting() == 1);
     }
@@ -82,10 +82,10 @@
     struct Plain {
         std::string node;
         Nanos since;
-        Handed* handle;
+        PendingRecovery* handle;
     };
     Door door;
-    Regain r(door);
+    RecoveryQueue r(door);
     std::map<int, Plain> open;
     std::map<int, bool> ended;
     std::vector<int> ids(600);
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -1,13 +1,13 @@
 // Rehearsals: the scenarios that come with the program, drawn ones, what they are held to, and bad input.
-#include "lab/rehearsal.h"
+#include "simulation/rehearsal.h"
 
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <cstdlib>
 #include <sstream>
 
-#include "lab/draw.h"
-#include "lab/scenarios.h"
+#include "simulation/bundled_scenarios.h"
+#include "simulation/scenario_generator.h"
 
 using namespace whinpost;
 
@@ -15,14 +15,14 @@
 
 std::string text_of(const std::string& name) {
     std::string problem;
-    const std::string text = lab::scenario_text(name, problem);
+    const std::string text = simulation::load_scenario(name, problem);
     REQUIRE(problem.empty());
     return text;
 }
 
-standin::Plan plan_of(const std::string& text) {
+emulator::Scenario plan_of(const std::string& text) {
     std::vector<std::string> problems;
-    standin::Plan p = standin::parse_plan(text, "s.toml", problems);
+    emulator::Scenario p = emulator::parse_scenario(text, "s.toml", problems);
     INFO((problems.empty() ? "" : problems[0]));
     REQUIRE(problems.empty());
     return p;
@@ -33,24 +33,24 @@
     std::size_t waiting = 0, placed = 0;
     std::uint64_t digest = 0;
     std::string told;
-    std::vector<lab::Checked> checked;
+    std::vector<simulation::CheckedExpectation> checked;
 };
 
-Came play(const standin::Plan& plan, const std::string& planner = "whinpost") {
+Came play(const emulator::Scenario& plan, const std::string& planner = "whinpost") {
     Came c;
-    lab::play_plan(
+    simulation::run_scenario(
         plan, planner, [](const std::string&) {},
-        [&](standin::Play& day, const standin::Outcome& out, std::uint64_t digest) {
-            const lab::Findings found(day, out);
+        [&](emulator::ScenarioRun& day, const emulator::RunResult& out, std::uint64_t digest) {
+            const simulation::RunReport found(day, out);
             c.kept = out.verdict.kept();
             c.met = found.met();
             c.waiting = out.still_waiting;
-            for (const standin::GroupCount& g : out.counts) c.placed += g.placed;
+            for (const emulator::QueueGroupCounts& g : out.counts) c.placed += g.placed;
             c.digest = digest;
             c.checked = found.checked();
             c.told = found.table();
-            for (const standin::Breach& b : out.verdict.breaches)
-                c.told += "\n" + standin::told(day.seen(), b, day.began());
+            for (const emulator::Violation& b : out.verdict.breaches)
+                c.told += "\n" + emulator::describe(day.seen(), b, day.began());
         });
     return c;
 }
@@ -58,8 +58,8 @@
 }  // namespace
 
 TEST_CASE("each scenario that comes with the program keeps the rules and meets what it expects") {
-    REQUIRE(lab::scenarios().size() >= 12);
-    for (const lab::Scenario& s : lab::scenarios()) {
+    REQUIRE(simulation::scenarios().size() >= 12);
+    for (const simulation::BundledScenario& s : simulation::scenarios()) {
         const Came c = play(plan_of(text_of(s.name)));
         INFO(s.name << '\n' << c.told);
         CHECK(c.kept);
@@ -70,7 +70,7 @@
 }
 
 TEST_CASE("a rehearsal goes the same way twice, byte for byte, and another seed another way") {
-    standin::Plan p = plan_of(text_of("cut-and-burst"));
+    emulator::Scenario p = plan_of(text_of("cut-and-burst"));
     const std::uint64_t first = play(p).digest;
     CHECK(play(p).digest == first);
     ++p.seed;
@@ -78,10 +78,10 @@
 }
 
 TEST_CASE("drawn scenarios: the same text for the same seed, and the rules are kept") {
-    CHECK(lab::draw(7) == lab::draw(7));
-    CHECK(lab::draw(7) != lab::draw(8));
+    CHECK(simulation::generate_scenario(7) == simulation::generate_scenario(7));
+    CHECK(simulation::generate_scenario(7) != simulation::generate_scenario(8));
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
-        const std::string text = lab::draw(seed);
+        const std::string text = simulation::generate_scenario(seed);
         const Came c = play(plan_of(text));
         INFO(text << '\n' << c.told);
         CHECK(c.kept);
@@ -96,7 +96,7 @@
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
     for (unsigned long seed = first; seed < first + count; ++seed) {
-        const std::string text = lab::draw(seed, std::getenv("BIG") != nullptr);
+        const std::string text = simulation::generate_scenario(seed, std::getenv("BIG") != nullptr);
         const Came c = play(plan_of(text));
         INFO("seed " << seed << '\n' << c.told.substr(0, 6000));
         CHECK(c.kept);
@@ -124,7 +124,8 @@
     CHECK(with("never", "at_most = 1e9").known);
     CHECK_FALSE(with("back", "from_s = 6\nshare = 1.0\nat_most = 0").met);
     CHECK(with("back", "from_s = 6\nshare = 0.0\nat_most = 0").met);
-    const lab::Checked none = with("service", "group = \"recon\"\nfrom_s = 0\nto_s = 0.5\nat_least = 0");
+    const simulation::CheckedExpectation none =
+        with("service", "group = \"recon\"\nfrom_s = 0\nto_s = 0.5\nat_least = 0");
     CHECK_FALSE(none.known);  // nothing was wanted yet: that is not met
     CHECK_FALSE(none.met);
 }
@@ -133,7 +134,7 @@
     const std::string base = text_of("zone-cut");
     const auto refused = [&](const std::string& more, const std::string& why) {
         std::vector<std::string> problems;
-        standin::parse_plan(base + more, "s.toml", problems);
+        emulator::parse_scenario(base + more, "s.toml", problems);
         std::string all;
         for (const std::string& p : problems) all += p + "\n";
         INFO(more << " -> " << all);
@@ -172,23 +173,23 @@
 
 TEST_CASE("rehearse says what is wrong, and its exit status what came of it") {
     std::ostringstream to, err;
-    lab::Wish w;
+    simulation::RehearsalOptions w;
     w.quiet = true;
     w.scenario = "no-such-scenario";
-    CHECK(lab::rehearse(w, to, err) == 2);
+    CHECK(simulation::run_rehearsal(w, to, err) == 2);
     CHECK(err.str().find("--list") != std::string::npos);
     std::string problem;
-    lab::scenario_text("zone-cut", problem);
+    simulation::load_scenario("zone-cut", problem);
     CHECK(problem.empty());
     w.scenario = "drain-waves";
     w.nodes = 5;  // the waves are for twelve
-    CHECK(lab::rehearse(w, to, err) == 2);
+    CHECK(simulation::run_rehearsal(w, to, err) == 2);
     w.nodes = 0;
     w.planner = "oracle";
-    CHECK(lab::rehearse(w, to, err) == 2);
+    CHECK(simulation::run_rehearsal(w, to, err) == 2);
     w.planner = "whinpost";
     w.explain = "node-2";
-    CHECK(lab::rehearse(w, to, err) == 0);
+    CHECK(simulation::run_rehearsal(w, to, err) == 0);
     CHECK(to.str().find("what was seen of node-2") != std::string::npos);
     CHECK(to.str().find("rules kept") != std::string::npos);
     // Of all bytes delivered: sixteen hex digits on a line of their own.
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -9,7 +9,7 @@
 #include <random>
 #include <set>
 
-#include "stand.h"
+#include "support/scheduler_rig.h"
 #include "whinpost/hash_ring.h"
 
 using namespace whinpost;
@@ -37,18 +37,18 @@
 std::unique_ptr<Stand> fleet_of(int machines, bool room) {
     auto t = std::make_unique<Stand>();
     for (int i = 0; i < machines; ++i) {
-        Machine& m = t->placer.meet_machine(static_cast<std::uint64_t>(i));
+        Worker& m = t->placer.meet_machine(static_cast<std::uint64_t>(i));
         t->machines.push_back(&m);
-        t->placer.list_entry(t->now, m, {0, 0, 0, room ? 16.0 : -24.0, 32, Stage::serving, 0});
+        t->placer.list_entry(t->now, m, {0, 0, 0, room ? 16.0 : -24.0, 32, EndpointPhase::serving, 0});
     }
     t->placer.list_done(t->now, true);
     return t;
 }
 std::size_t considered(const Stand& t) {
     std::uint64_t latest = 0;
-    for (const Machine* m : t.machines) latest = std::max(latest, m->seen_in);
+    for (const Worker* m : t.machines) latest = std::max(latest, m->seen_in);
     return static_cast<std::size_t>(std::count_if(
-        t.machines.begin(), t.machines.end(), [latest](const Machine* m) { return m->seen_in == latest; }));
+        t.machines.begin(), t.machines.end(), [latest](const Worker* m) { return m->seen_in == latest; }));
 }
 
 }  // namespace
@@ -137,43 +137,43 @@
 TEST_CASE(
     "the first room that comes free in a full large fleet is found by what waits, within a quarter second") {
     const auto t = fleet_of(3000, false);
-    Container& c = t->take(t->placer.meet_service(1));
+    Task& c = t->take(t->placer.meet_service(1));
     t->pass(kSecond);
     REQUIRE(t->count('b') == 0);
-    t->entry(*t->machines[1234], {0, 0, 0, 16, 32, Stage::serving, 0});
+    t->entry(*t->machines[1234], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     t->pass(300 * kMillisecond);
     CHECK(c.out == t->machines[1234]);
 }
 
 TEST_CASE("a container that may go nowhere for reasons of its own closes no large fleet to others") {
     const auto t = fleet_of(3000, false);
-    t->entry(*t->machines[7], {0, 0, 0, 16, 32, Stage::serving, 0});
-    Container& refused = t->take(t->placer.meet_service(1));
+    t->entry(*t->machines[7], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+    Task& refused = t->take(t->placer.meet_service(1));
     t->pass(100 * kMillisecond);
     REQUIRE(refused.out == t->machines[7]);
-    t->end(refused, Ending::refused);  // by the only one that has room
+    t->end(refused, AttemptOutcome::refused);  // by the only one that has room
     t->pass(60 * kMillisecond, 60 * kMillisecond);
-    Container& other = t->take(t->placer.meet_service(2));
+    Task& other = t->take(t->placer.meet_service(2));
     t->pass(120 * kMillisecond);
     CHECK(other.out == t->machines[7]);
 }
 
 TEST_CASE("machines that come back, in one event or several, are chosen again; all gone leaves none") {
     auto t = fleet_of(40, true);
-    const auto tell = [&t](Stage stage, std::size_t from, std::size_t to) {
+    const auto tell = [&t](EndpointPhase stage, std::size_t from, std::size_t to) {
         for (std::size_t i = from; i < to; ++i)
             t->placer.list_entry(t->now, *t->machines[i], {0, 0, 0, 16, 32, stage, 0});
         t->placer.list_done(t->now, false);
     };
-    tell(Stage::gone, 0, 40);
+    tell(EndpointPhase::gone, 0, 40);
     t->bound(t->placer.meet_service(1));
     CHECK(t->count('b') == 0);
-    tell(Stage::serving, 7, 8);
+    tell(EndpointPhase::serving, 7, 8);
     t->pass(200 * kMillisecond);
     REQUIRE(t->count('b') == 1);
     CHECK(t->seen.back().machine == t->machines[7]);
-    tell(Stage::draining, 7, 8);
-    tell(Stage::serving, 8, 9);
+    tell(EndpointPhase::draining, 7, 8);
+    tell(EndpointPhase::serving, 8, 9);
     t->bound(t->placer.meet_service(2));
     REQUIRE(t->count('b') == 2);
     CHECK(t->seen.back().machine == t->machines[8]);
@@ -183,18 +183,18 @@
     const auto seed = GENERATE(take(10, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto once = fleet_of(60, true), bit_by_bit = fleet_of(60, true);
-    std::vector<Stage> stage(60, Stage::serving);
+    std::vector<EndpointPhase> stage(60, EndpointPhase::serving);
     for (int step = 0; step < 200; ++step) {
         const std::size_t i = chance() % 60;
-        stage[i] = chance() % 2 ? Stage::serving : Stage::draining;
+        stage[i] = chance() % 2 ? EndpointPhase::serving : EndpointPhase::draining;
         bit_by_bit->entry(*bit_by_bit->machines[i], {0, 0, 0, 16, 32, stage[i], 0});
     }
     for (std::size_t i = 0; i < 60; ++i)
         once->placer.list_entry(once->now, *once->machines[i], {0, 0, 0, 16, 32, stage[i], 0});
     once->placer.list_done(once->now, true);
     for (std::uint64_t mark = 0; mark < 30; ++mark) {
-        const Machine* a = once->bound(once->placer.meet_service(mark)).out;
-        const Machine* b = bit_by_bit->bound(bit_by_bit->placer.meet_service(mark)).out;
+        const Worker* a = once->bound(once->placer.meet_service(mark)).out;
+        const Worker* b = bit_by_bit->bound(bit_by_bit->placer.meet_service(mark)).out;
         REQUIRE(a);
         REQUIRE(b);
         CHECK(a->mark == b->mark);
--- a/tests/day_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -5,21 +5,22 @@
 #include <fstream>
 #include <iterator>
 
-#include "lab/sim_ground.h"
+#include "simulation/simulated_environment.h"
 
 using namespace whinpost;
 
 namespace {
 
 std::string bad_day() {
-    std::ifstream in(std::string(WHINPOST_SOURCE) + "/standin/days/bad-day.toml");
+    std::ifstream in(std::string(WHINPOST_SOURCE) + "/emulator/days/bad-day.toml");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
 // What broke, with the record of each container.
-std::string told(const standin::Outcome& out, const standin::Play& day) {
+std::string told(const emulator::RunResult& out, const emulator::ScenarioRun& day) {
     std::string all;
-    for (const standin::Breach& b : out.verdict.breaches) all += standin::told(day.seen(), b, day.began());
+    for (const emulator::Violation& b : out.verdict.breaches)
+        all += emulator::describe(day.seen(), b, day.began());
     return all;
 }
 
@@ -29,15 +30,15 @@
 // SEEDS=first,count.
 TEST_CASE("the bad day keeps the rules with other seeds", "[.][search]") {
     std::vector<std::string> problems;
-    standin::Plan plan = standin::parse_plan(bad_day(), "bad-day.toml", problems);
+    emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml", problems);
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
     for (unsigned long seed = first; seed < first + count; ++seed) {
         plan.seed = seed;
-        lab::World world(seed);
-        lab::SimGround ground(world, plan.placers, plan.zones);
-        standin::Play day(plan, ground, [](const std::string&) {});
-        const standin::Outcome out = lab::play(world, day);
+        simulation::SimulatedNetwork world(seed);
+        simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
+        emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
+        const emulator::RunResult out = simulation::run_to_end(world, day);
         std::string all = "seed " + std::to_string(seed) + "\n";
         all += told(out, day);
         INFO(all);
@@ -48,14 +49,14 @@
 
 TEST_CASE("the bad day keeps the rules in virtual time, and goes the same way twice") {
     std::vector<std::string> problems;
-    const standin::Plan plan = standin::parse_plan(bad_day(), "bad-day.toml", problems);
+    const emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml", problems);
     REQUIRE(problems.empty());
     std::uint64_t digests[2];
     for (std::uint64_t& digest : digests) {
-        lab::World world(5);
-        lab::SimGround ground(world, plan.placers, plan.zones);
-        standin::Play day(plan, ground, [](const std::string&) {});
-        const standin::Outcome out = lab::play(world, day);
+        simulation::SimulatedNetwork world(5);
+        simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
+        emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
+        const emulator::RunResult out = simulation::run_to_end(world, day);
         UNSCOPED_INFO(told(out, day));
         INFO(day.table(out));
         CHECK(out.verdict.kept());
@@ -77,12 +78,12 @@
     swap("yes_on = \"acceptance\"", "yes_on = \"running\"\nfree_means = \"not_in_use\"");
     swap("list_late_ms = 500", "list_late_ms = 500\nlist_pushes = false");
     std::vector<std::string> problems;
-    const standin::Plan plan = standin::parse_plan(text, "bad-day.toml", problems);
+    const emulator::Scenario plan = emulator::parse_scenario(text, "bad-day.toml", problems);
     REQUIRE(problems.empty());
-    lab::World world(6);
-    lab::SimGround ground(world, plan.placers, plan.zones);
-    standin::Play day(plan, ground, [](const std::string&) {});
-    const standin::Outcome out = lab::play(world, day);
+    simulation::SimulatedNetwork world(6);
+    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
+    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
+    const emulator::RunResult out = simulation::run_to_end(world, day);
     std::string all;
     all += told(out, day);
     INFO(all);
--- a/tests/placer_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -2,15 +2,15 @@
 #include <catch2/catch.hpp>
 #include <map>
 
-#include "stand.h"
+#include "support/scheduler_rig.h"
 
 using namespace whinpost;
 
 TEST_CASE("a pair value is learned beside one known neighbour, weights beside several") {
     Stand t;
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service &a = t.placer.meet_service(1), &b = t.placer.meet_service(1), &c = t.placer.meet_service(1);
-    Container& ca = t.bound(a);
+    Task& ca = t.bound(a);
     ca.accepted(t.now, 0);
     t.bound(b).accepted(t.now, 0);
     CHECK(t.placer.predicted(m, a) == Approx(0.006));
@@ -26,25 +26,25 @@
 
 TEST_CASE("unknown load counts by the average pair value, without this placer's own containers") {
     Stand t;
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service& a = t.placer.meet_service(1);
-    t.entry(m, {0, 0, 0, 8, 32, Stage::serving, 0});
+    t.entry(m, {0, 0, 0, 8, 32, EndpointPhase::serving, 0});
     CHECK(t.placer.predicted(m, a) == Approx(0.003 * 0.5));
     t.bound(a);
     CHECK(t.placer.predicted(m, a) == Approx(0.003 + 0.003 * 7 / 16));
 }
 
 TEST_CASE("a container whose owner saw a launch fail is answered by what may have run") {
-    const auto [effect, scope, how, answer] = GENERATE(
-        table<Effect, Place, Ending, char>({{Effect::side_effecting, Place::all, Ending::timed_out, 'k'},
-                                            {Effect::side_effecting, Place::all, Ending::unknown, 'k'},
-                                            {Effect::side_effecting, Place::all, Ending::refused, 'd'},
-                                            {Effect::fingerprinted, Place::all, Ending::error, 'd'},
-                                            {Effect::fingerprinted, Place::cell, Ending::error, 'k'},
-                                            {Effect::idempotent, Place::all, Ending::error, 'd'}}));
+    const auto [effect, scope, how, answer] = GENERATE(table<Effect, FailureDomain, AttemptOutcome, char>(
+        {{Effect::side_effecting, FailureDomain::all, AttemptOutcome::timed_out, 'k'},
+         {Effect::side_effecting, FailureDomain::all, AttemptOutcome::unknown, 'k'},
+         {Effect::side_effecting, FailureDomain::all, AttemptOutcome::refused, 'd'},
+         {Effect::fingerprinted, FailureDomain::all, AttemptOutcome::error, 'd'},
+         {Effect::fingerprinted, FailureDomain::cell, AttemptOutcome::error, 'k'},
+         {Effect::idempotent, FailureDomain::all, AttemptOutcome::error, 'd'}}));
     Stand t({group(effect, scope)}, Stand::usual_cold(), {}, 1);
     t.machine();
-    Container& c = t.bound(t.placer.meet_service(1));
+    Task& c = t.bound(t.placer.meet_service(1));
     REQUIRE(t.count('b') == 1);
     t.end(c, how);
     CHECK(c.settled);
@@ -53,9 +53,9 @@
 
 TEST_CASE("a full fleet defers after waiting, well inside the queue timeout") {
     Stand t;
-    Machine& m = t.machine();
-    t.entry(m, {0, 0, 0, -24, 32, Stage::serving, 0});
-    Container& c = t.take(t.placer.meet_service(1));
+    Worker& m = t.machine();
+    t.entry(m, {0, 0, 0, -24, 32, EndpointPhase::serving, 0});
+    Task& c = t.take(t.placer.meet_service(1));
     t.pass(kSecond);
     CHECK(t.seen.empty());
     t.pass(2 * kSecond);
@@ -65,12 +65,12 @@
 
 TEST_CASE("machines that fail starts are left for others, and come back") {
     Stand t;
-    Machine &sick = t.machine(), &well = t.machine();
+    Worker &sick = t.machine(), &well = t.machine();
     Service& s = t.placer.meet_service(1);
     for (int i = 0; i < 6; ++i) sick.failed[0].add(t.now, 1);
     for (int i = 0; i < 8; ++i) CHECK(t.bound(s).out == &well);
-    t.entry(well, {0, 0, 0, 16, 32, Stage::draining, 0});
-    Container& c = t.take(s);
+    t.entry(well, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    Task& c = t.take(s);
     t.pass(kSecond);
     CHECK(c.out == &sick);  // least bad where nothing else is left
     t.pass(5 * kSecond);
@@ -93,13 +93,13 @@
 
 TEST_CASE("a refusal without a reason counts against the machine, and heals") {
     Stand t;
-    Machine &liar = t.machine(), &other = t.machine();
+    Worker &liar = t.machine(), &other = t.machine();
     Service& s = t.placer.meet_service(1);
-    t.entry(other, {0, 0, 0, 16, 32, Stage::draining, 0});
-    Container& first = t.bound(s);
+    t.entry(other, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    Task& first = t.bound(s);
     REQUIRE(first.out == &liar);
-    t.entry(other, {0, 0, 0, 16, 32, Stage::serving, 0});
-    t.end(first, Ending::refused);
+    t.entry(other, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+    t.end(first, AttemptOutcome::refused);
     for (int i = 0; i < 6; ++i) CHECK(t.bound(s).out == &other);
     t.pass(5 * kSecond);
     CHECK(liar.failed[0].sum(t.now) == 0);
@@ -107,11 +107,11 @@
 
 TEST_CASE("a silent machine holds few launches, and a full line halves what it may hold") {
     Stand t;
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service& s = t.placer.meet_service(1);
     for (int i = 0; i < 30; ++i) t.bound(s);
     CHECK(m.waiting == 8);
-    t.end(*t.seen.front().container, Ending::refused, Reason::queue_full);
+    t.end(*t.seen.front().container, AttemptOutcome::refused, OutcomeReason::queue_full);
     CHECK(m.line == 4);
     t.pass(kSecond);
     CHECK(m.waiting == 7);  // nothing more while it owes answers
@@ -122,17 +122,17 @@
     QueueGroup g = group(effect);
     g.start_worth_s = 10;
     Stand t({g});
-    Machine &bad = t.machine(), &clean = t.machine();
+    Worker &bad = t.machine(), &clean = t.machine();
     Service& s = t.placer.meet_service(1);
-    t.entry(clean, {0, 0, 0, 16, 32, Stage::draining, 0});
-    std::vector<Container*> held;
+    t.entry(clean, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    std::vector<Task*> held;
     for (int i = 0; i < 6; ++i) {
         held.push_back(&t.bound(s));
         held.back()->accepted(t.now, 0);
         held.back()->runs(t.now, 0);
     }
     REQUIRE(held[0]->out == &bad);
-    t.entry(clean, {0, 0, 0, 16, 32, Stage::serving, 0});
+    t.entry(clean, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     t.pass(2 * kSecond);
     held[0]->served_share(t.now, 0, 0.3);
     t.pass(500 * kMillisecond);
@@ -142,12 +142,12 @@
 TEST_CASE("every placer draws a service's sample alike, whatever order it met the machines in") {
     Stand a, b;
     for (std::uint64_t i = 0; i < 40; ++i) {
-        a.entry(a.placer.meet_machine(i), {0, 0, 0, 16, 32, Stage::serving, 0});
-        b.entry(b.placer.meet_machine(39 - i), {0, 0, 0, 16, 32, Stage::serving, 0});
+        a.entry(a.placer.meet_machine(i), {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+        b.entry(b.placer.meet_machine(39 - i), {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     }
     std::map<std::uint64_t, int> chosen;
     for (std::uint64_t mark = 100; mark < 160; ++mark) {
-        Machine* m = a.bound(a.placer.meet_service(mark)).out;
+        Worker* m = a.bound(a.placer.meet_service(mark)).out;
         CHECK(m->mark == b.bound(b.placer.meet_service(mark)).out->mark);
         ++chosen[m->mark];
     }
@@ -156,13 +156,13 @@
 
 TEST_CASE("an outcome after the end, a yes after the end and a second end change nothing") {
     Stand t;
-    Machine& m = t.machine();
-    Container& c = t.bound(t.placer.meet_service(1));
+    Worker& m = t.machine();
+    Task& c = t.bound(t.placer.meet_service(1));
     c.withdrawn(t.now);
     c.accepted(t.now, 0);
-    t.end(c, Ending::cancelled);
+    t.end(c, AttemptOutcome::cancelled);
     CHECK(c.finished());
-    t.end(c, Ending::served);
+    t.end(c, AttemptOutcome::served);
     c.served_share(t.now, 0, 0.1);
     CHECK(t.count('d') + t.count('k') == 0);
     CHECK(m.own_cores == Approx(0));
@@ -171,7 +171,7 @@
 
 TEST_CASE("with no machine at all a container still gets its answer in time") {
     Stand t;
-    Container& c = t.take(t.placer.meet_service(1));
+    Task& c = t.take(t.placer.meet_service(1));
     t.pass(4 * kSecond);
     CHECK(c.settled);
     CHECK(t.count('d') == 1);
@@ -179,7 +179,7 @@
 
 TEST_CASE("a machine that fails one queue group's starts is not shielded by the other group's") {
     Stand t({QueueGroup{}, QueueGroup{}});
-    Machine &half = t.machine(), &well = t.machine();
+    Worker &half = t.machine(), &well = t.machine();
     Service& s = t.placer.meet_service(1);
     for (int i = 0; i < 40; ++i) half.begun[1].add(t.now, 1);
     half.failed[0].add(t.now, 1);
@@ -191,7 +191,7 @@
     std::vector<std::unique_ptr<Stand>> all;
     std::vector<Nanos> sent;
     for (int i = 0; i < placers; ++i) {
-        ColdTerms cold{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(borne), placers, i};
+        SlowStartSettings cold{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(borne), placers, i};
         all.push_back(std::make_unique<Stand>(std::vector{QueueGroup{}}, cold));
         all.back()->machine(0, 0, all.back()->now);
     }
@@ -220,7 +220,7 @@
     std::vector<Nanos> sent;
     Nanos now = 1000 * kSecond;
     const auto start = [&, placers = placers, borne = borne](int i) {
-        ColdTerms cold{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(borne), placers, i};
+        SlowStartSettings cold{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(borne), placers, i};
         auto t = std::make_unique<Stand>(std::vector{QueueGroup{}}, cold);
         t->now = now;
         t->machine(0, 0, 1000 * kSecond);
@@ -252,11 +252,11 @@
 
 TEST_CASE("beside much unknown load, one bad note does not put the only known neighbour past the bound") {
     Stand t;
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service &a = t.placer.meet_service(1), &b = t.placer.meet_service(2);
-    Container& ca = t.bound(a);
+    Task& ca = t.bound(a);
     t.bound(b);
-    t.entry(m, {0, 0, 0, -24, 32, Stage::serving, 0});  // forty cores asked, two of them known here
+    t.entry(m, {0, 0, 0, -24, 32, EndpointPhase::serving, 0});  // forty cores asked, two of them known here
     ca.accepted(t.now, 0);
     ca.served_share(t.now, 0, 0.3);
     CHECK(a.beside.at(b.number).value < 0.05);
@@ -267,31 +267,31 @@
     QueueGroup g;
     g.start_worth_s = 10;
     Stand t({g});
-    Machine &bad = t.machine(), &clean = t.machine();
+    Worker &bad = t.machine(), &clean = t.machine();
     Service& s = t.placer.meet_service(1);
-    t.entry(clean, {0, 0, 0, 16, 32, Stage::draining, 0});
-    std::vector<Container*> held;
+    t.entry(clean, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    std::vector<Task*> held;
     for (int i = 0; i < 6; ++i) {
         held.push_back(&t.bound(s));
         if (yes) held.back()->accepted(t.now, 0);
         held.back()->runs(t.now, 0);
     }
     REQUIRE(held[0]->out == &bad);
-    t.entry(clean, {0, 0, 0, 16, 32, Stage::serving, 0});
+    t.entry(clean, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     held[0]->served_share(t.now, 0, 0.3);
     CHECK(t.count('m') == (yes ? 1 : 0));
 }
 
 TEST_CASE("a machine not heard of lately is looked at before a bind, and the choice made anew") {
-    Acceptance a{2.5, 1.5, false, true, false, false};
+    WorkerAcceptance a{2.5, 1.5, false, true, false, false};
     Stand t({QueueGroup{}}, Stand::usual_cold(), {}, 4, a);
-    Machine &one = t.machine(), &two = t.machine();
-    Container& c = t.bound(t.placer.meet_service(1));
+    Worker &one = t.machine(), &two = t.machine();
+    Task& c = t.bound(t.placer.meet_service(1));
     REQUIRE(t.count('b') == 0);
     REQUIRE(t.count('p') == 1);
-    Machine &looked = *t.seen.back().machine, &other = &looked == &one ? two : one;
+    Worker &looked = *t.seen.back().machine, &other = &looked == &one ? two : one;
     t.now += 20 * kMillisecond;
-    Report busy;
+    LoadReport busy;
     busy.busy = 1.2;
     busy.has_busy = true;
     t.placer.heard(t.now, looked, busy);
@@ -307,32 +307,32 @@
     g.start_worth_s = 10;
     Stand t({g}, Stand::usual_cold(), {}, 4, {2.5, 1.5, false, true, false, false});
     for (int i = 0; i < 20; ++i) t.machine();
-    Container& c = t.take(t.placer.meet_service(1));
+    Task& c = t.take(t.placer.meet_service(1));
     t.pass(2 * kSecond);
     REQUIRE(c.out);
     CHECK(t.count('p') == 3);
     c.accepted(t.now, 0);
     t.placer.heard(t.now, *c.out, {});
-    Container& next = t.bound(*c.service);
+    Task& next = t.bound(*c.service);
     CHECK(next.out == c.out);
     CHECK(t.count('p') == 3);
 }
 
 namespace {
 // Machines that say nothing of how they serve.
-Acceptance quiet() {
-    Acceptance a{2.5, 1.5};
+WorkerAcceptance quiet() {
+    WorkerAcceptance a{2.5, 1.5};
     a.notes_pressure = false;
     return a;
 }
 }  // namespace
 
 TEST_CASE("a probe's answer that reports nothing ends the wait of a container that looks") {
-    Acceptance a{2.5, 1.5};
+    WorkerAcceptance a{2.5, 1.5};
     a.can_probe = true;
     Stand t({QueueGroup{}}, Stand::usual_cold(), {}, 4, a);
-    Machine& m = t.machine();
-    Container& c = t.bound(t.placer.meet_service(1));
+    Worker& m = t.machine();
+    Task& c = t.bound(t.placer.meet_service(1));
     REQUIRE(t.count('p') == 1);
     REQUIRE_FALSE(c.out);
     t.now += 5 * kMillisecond;
@@ -343,17 +343,17 @@
 
 TEST_CASE("an end without a note teaches that it was served in full only where such notes come") {
     const bool notes = GENERATE(true, false);
-    Acceptance a = quiet();
+    WorkerAcceptance a = quiet();
     a.notes_pressure = notes;
     Stand t({QueueGroup{}}, Stand::usual_cold(), {}, 4, a);
     t.machine();
     Service &s = t.placer.meet_service(1), &beside = t.placer.meet_service(2);
     t.bound(beside);
-    Container& c = t.bound(s);
+    Task& c = t.bound(s);
     c.accepted(t.now, 0);
     c.runs(t.now, 0);
     t.pass(kSecond);
-    t.end(c, Ending::served, Reason::untold, true);
+    t.end(c, AttemptOutcome::served, OutcomeReason::untold, true);
     const auto pair = s.beside.find(beside.number);
     CHECK((pair != s.beside.end()) == notes);
     if (notes) CHECK(pair->second.value < 0.003);
@@ -361,13 +361,13 @@
 
 TEST_CASE("a start far beyond the usual counts as the machine's slow-down where no notes come") {
     const bool notes = GENERATE(true, false);
-    Acceptance a = quiet();
+    WorkerAcceptance a = quiet();
     a.notes_pressure = notes;
     Stand t({QueueGroup{}}, Stand::usual_cold(), {}, 4, a);
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service& s = t.placer.meet_service(1);
     const auto start = [&](Nanos took) {
-        Container& c = t.bound(s);
+        Task& c = t.bound(s);
         c.accepted(t.now, 0);
         t.pass(took);
         c.runs(t.now, 0);
@@ -379,14 +379,14 @@
 }
 
 TEST_CASE("a lower priority leaves room for those that would push it out") {
-    Acceptance a{2.5, 1.2};
+    WorkerAcceptance a{2.5, 1.2};
     a.preempts = GENERATE(true, false);
     QueueGroup low, high;
     high.priority = 1;
     Stand t({low, high}, Stand::usual_cold(), {}, 4, a);
-    Machine& m = t.machine();
-    t.entry(m, {0, 0, 0, 16, 32 - 1.2 * 32 * 0.93, Stage::serving, 0});
-    Container &l = t.bound(t.placer.meet_service(1), 0), &h = t.bound(t.placer.meet_service(2), 1);
+    Worker& m = t.machine();
+    t.entry(m, {0, 0, 0, 16, 32 - 1.2 * 32 * 0.93, EndpointPhase::serving, 0});
+    Task &l = t.bound(t.placer.meet_service(1), 0), &h = t.bound(t.placer.meet_service(2), 1);
     t.pass(200 * kMillisecond);
     CHECK(h.out == &m);
     CHECK((l.out == &m) == !a.preempts);
@@ -399,9 +399,10 @@
     steep.fade = 0.15;
     steep.kind = 1;
     Stand t({mild, steep}, Stand::usual_cold(), {}, 4, quiet());
-    for (int i = 0; i < 6; ++i) t.entry(t.machine(), {0, 0, i % 2, i % 2 ? -4.8 : 0, 32, Stage::serving, 0});
+    for (int i = 0; i < 6; ++i)
+        t.entry(t.machine(), {0, 0, i % 2, i % 2 ? -4.8 : 0, 32, EndpointPhase::serving, 0});
     for (std::uint64_t mark = 1; mark <= 8; ++mark) {
-        Container& c = t.bound(t.placer.meet_service(mark));
+        Task& c = t.bound(t.placer.meet_service(mark));
         REQUIRE(c.out);
         CHECK(c.out->listed.kind == 0);
     }
@@ -413,7 +414,8 @@
     Stand a({QueueGroup{}}, Stand::usual_cold(), {}, 4, {2.5, 1.5}, p),
         b({QueueGroup{}}, Stand::usual_cold(), {}, 4, {2.5, 1.5}, p);
     for (Stand* t : {&a, &b})
-        for (int i = 0; i < 10; ++i) t->entry(t->machine(), {0, 0, 0, 16.0 - i, 32, Stage::serving, 0});
+        for (int i = 0; i < 10; ++i)
+            t->entry(t->machine(), {0, 0, 0, 16.0 - i, 32, EndpointPhase::serving, 0});
     for (std::uint64_t mark = 1; mark < 40; ++mark) a.bound(a.placer.meet_service(mark));
     a.pass(kSecond);
     a.bound(a.placer.meet_service(50));
@@ -430,10 +432,10 @@
 TEST_CASE("what is told after this placer stood still says nothing of how long a start took") {
     const bool still = GENERATE(true, false);
     Stand t({QueueGroup{}}, Stand::usual_cold(), {}, 4, quiet());
-    Machine& m = t.machine();
+    Worker& m = t.machine();
     Service& s = t.placer.meet_service(1);
     const auto start = [&](Nanos took, bool stands) {
-        Container& c = t.bound(s);
+        Task& c = t.bound(s);
         c.accepted(t.now, 0);
         if (stands) t.now += took;
         else t.pass(took);
@@ -447,44 +449,45 @@
 
 TEST_CASE("what a draining machine sends away is not offered to it again, until it starts anew") {
     Stand t;
-    Machine &drains = t.machine(), &other = t.machine();
+    Worker &drains = t.machine(), &other = t.machine();
     Service& s = t.placer.meet_service(1);
-    t.entry(other, {0, 0, 0, 0, 0, Stage::serving, 0});  // full: the first goes to the one that will drain
-    Container& c = t.bound(s);
+    t.entry(other,
+            {0, 0, 0, 0, 0, EndpointPhase::serving, 0});  // full: the first goes to the one that will drain
+    Task& c = t.bound(s);
     REQUIRE(c.out == &drains);
     c.accepted(t.now, 0);
     c.runs(t.now, 0);
-    t.entry(other, {0, 0, 0, 16, 32, Stage::serving, 0});
-    t.end(c, Ending::reset, Reason::sent_away, true);
+    t.entry(other, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+    t.end(c, AttemptOutcome::reset, OutcomeReason::sent_away, true);
     for (int i = 0; i < 6; ++i) {
-        Container& again = t.take(s);
+        Task& again = t.take(s);
         t.pass(100 * kMillisecond);
         REQUIRE(again.out == &other);
         again.accepted(t.now, 0);
     }
-    t.entry(drains, {0, 0, 0, 16, 32, Stage::serving, t.now - 30 * kSecond});
-    t.entry(other, {0, 0, 0, -1e9, -1e9, Stage::serving, 0});
+    t.entry(drains, {0, 0, 0, 16, 32, EndpointPhase::serving, t.now - 30 * kSecond});
+    t.entry(other, {0, 0, 0, -1e9, -1e9, EndpointPhase::serving, 0});
     CHECK(t.bound(s).out == &drains);
 }
 
 TEST_CASE("a container that errs at one machine after another speaks against itself, not against them") {
     Stand t;
-    Machine &a = t.machine(), &b = t.machine();
+    Worker &a = t.machine(), &b = t.machine();
     Service& s = t.placer.meet_service(1);
     const auto failed = [&] { return a.failed[0].sum(t.now) + b.failed[0].sum(t.now); };
-    Container& c = t.bound(s);
-    t.end(c, Ending::error);
+    Task& c = t.bound(s);
+    t.end(c, AttemptOutcome::error);
     CHECK(failed() == 1);
     t.pass(100 * kMillisecond);
     REQUIRE(c.out);
-    t.end(c, Ending::error);
+    t.end(c, AttemptOutcome::error);
     CHECK(failed() == 0);
     t.pass(100 * kMillisecond);
     REQUIRE(c.out);
-    t.end(c, Ending::error);
+    t.end(c, AttemptOutcome::error);
     CHECK(failed() == 0);
     t.pass(100 * kMillisecond);
     REQUIRE(c.out);
-    t.end(c, Ending::timed_out);  // silence is the machine's
+    t.end(c, AttemptOutcome::timed_out);  // silence is the machine's
     CHECK(failed() == 1);
 }
--- a/tests/wire_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,9 +1,9 @@
-#include "wire.h"
+#include "simulator_adapter.h"
 
 #include <catch2/catch.hpp>
 #include <sstream>
 
-using whinpost::drill::Session;
+using whinpost::simulator_adapter::SimulatorAdapter;
 
 namespace {
 
@@ -18,7 +18,7 @@
 
 std::string talk(const std::string& lines, bool* more = nullptr) {
     std::ostringstream out;
-    Session session(out);
+    SimulatorAdapter session(out);
     std::istringstream in(lines);
     bool on = true;
     for (std::string line; on && std::getline(in, line);) on = session.line(line);
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "ledger/ledger.h"
-#include "stand.h"
-#include "whinpost/mark.h"
+#include "support/scheduler_rig.h"
+#include "whinpost/stable_hash.h"
 
 using namespace whinpost;
 
@@ -30,13 +30,13 @@
 
 // One placer: the decision module and the ledger, and attempts that wait for their connection.
 struct Sender {
-    Sender(ColdTerms terms, Nanos now)
+    Sender(SlowStartSettings terms, Nanos now)
         : cold(terms), stand({QueueGroup{}}, terms), ledger({QueueGroup{}}, {4, true}, terms),
           node(&ledger.meet(kServer)) {
         stand.now = now;
-        Machine& m = stand.placer.meet_machine(mark_of(kServer));
+        Worker& m = stand.placer.meet_machine(stable_hash(kServer));
         stand.machines.push_back(&m);
-        const Listed listed{0, 0, 0, 16, 32, Stage::serving, kStart};
+        const EndpointState listed{0, 0, 0, 16, 32, EndpointPhase::serving, kStart};
         stand.entry(m, listed);
         ledger.listed(now, *node, listed);
         stand.placer.begin(now);
@@ -52,8 +52,8 @@
         for (std::size_t i = before; i < stand.seen.size(); ++i) {
             if (stand.seen[i].what != 'b') continue;
             ledger::Refusal why{};
-            ledger::Record& r = ledger.take(now, "c", 1, stand.seen[i].container->asked);
-            if (ledger::Launch* l = ledger.launch(now, r, *node, kSecond, why))
+            ledger::TaskRecord& r = ledger.take(now, "c", 1, stand.seen[i].container->asked);
+            if (ledger::Attempt* l = ledger.launch(now, r, *node, kSecond, why))
                 waiting.push_back({l, stand.seen[i].container, now + dial()});
             else over.push_back(stand.seen[i].container);
         }
@@ -65,26 +65,26 @@
             if (now < w.up) return false;
             const bool leaves = ledger.may_still_send(now, *w.attempt);
             sent += leaves;
-            if (!leaves) ledger.ended(now, *w.attempt, Ending::unsent);
+            if (!leaves) ledger.ended(now, *w.attempt, AttemptOutcome::unsent);
             over.push_back(w.container);
             return true;
         });
         // The server answers at once that it is done, so that the module's own limits bind nothing.
-        for (Container* c : std::exchange(over, {}))
-            c->ended(now, c->launches - 1, Ending::served, Reason::untold, true, {});
+        for (Task* c : std::exchange(over, {}))
+            c->ended(now, c->launches - 1, AttemptOutcome::served, OutcomeReason::untold, true, {});
         return sent;
     }
     struct Waiting {
-        ledger::Launch* attempt;
-        Container* container;
+        ledger::Attempt* attempt;
+        Task* container;
         Nanos up;
     };
-    ColdTerms cold;
+    SlowStartSettings cold;
     Stand stand;
     ledger::Ledger ledger;
-    ledger::Node* node;
+    ledger::WorkerRecord* node;
     std::vector<Waiting> waiting;
-    std::vector<Container*> over;
+    std::vector<Task*> over;
 };
 
 }  // namespace
@@ -97,7 +97,7 @@
     const auto roll = [&chance](Nanos n) { return static_cast<Nanos>(chance()) % n; };
     const auto start = [&](int i, Nanos now) {
         return std::make_unique<Sender>(
-            ColdTerms{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i}, now);
+            SlowStartSettings{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i}, now);
     };
     std::vector<std::unique_ptr<Sender>> all;
     for (int i = 0; i < placers; ++i) all.push_back(start(i, kStart - kWindow));  // in an earlier turn
@@ -130,20 +130,20 @@
 
 TEST_CASE(
     "an attempt that waited past the end of its turn, or for a server before its restart, is not sent") {
-    const ColdTerms cold{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
+    const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
     ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-    ledger::Node& n = l.meet(kServer);
-    l.listed(kStart, n, {0, 0, 0, 16, 32, Stage::serving, kStart - kSecond});
-    Asked asked;
+    ledger::WorkerRecord& n = l.meet(kServer);
+    l.listed(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
+    ResourceRequest asked;
     asked.time_left = 10 * kSecond;
     ledger::Refusal why{};
     const Nanos sent = kStart + kWindow / 2;
-    ledger::Launch* attempt = l.launch(sent, l.take(sent, "a", 1, asked), n, 5 * kSecond, why);
+    ledger::Attempt* attempt = l.launch(sent, l.take(sent, "a", 1, asked), n, 5 * kSecond, why);
     REQUIRE(attempt);
     CHECK(l.may_still_send(kStart + kWindow - 1, *attempt));
     CHECK_FALSE(l.may_still_send(kStart + kWindow, *attempt));
     CHECK(l.may_still_send(sent + 1, *attempt));
-    l.listed(sent + 2, n, {0, 0, 0, 16, 32, Stage::serving, sent + 1});
+    l.listed(sent + 2, n, {0, 0, 0, 16, 32, EndpointPhase::serving, sent + 1});
     CHECK_FALSE(l.may_still_send(sent + 3, *attempt));
 }
 
@@ -156,18 +156,18 @@
     std::ranlux24_base chance(7);
     std::vector<Nanos> sent;
     for (int i = 0; i < placers; ++i) {
-        const ColdTerms cold{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i};
+        const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i};
         ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-        ledger::Node& n = l.meet(kServer);
-        l.listed(kStart, n, {0, 0, 0, 16, 32, Stage::serving, kStart});
-        Asked asked;
+        ledger::WorkerRecord& n = l.meet(kServer);
+        l.listed(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
+        ResourceRequest asked;
         asked.time_left = 60 * kSecond;
         const Nanos first = late_dials ? kStart + kWindow - kStep : kStart;
         for (Nanos now = first; now < kStart + kTurns * kWindow; now += kStep) {
             if (late_dials && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
             for (bool refused = false; !refused;) {
                 ledger::Refusal why{};
-                const ledger::Launch* attempt = l.launch(now, l.take(now, "c", 1, asked), n, kSecond, why);
+                const ledger::Attempt* attempt = l.launch(now, l.take(now, "c", 1, asked), n, kSecond, why);
                 refused = !attempt;
                 if (refused) CHECK(why == ledger::Refusal::cold);
                 if (refused) continue;
--- a/tests/platform_words.h
+++ b/tests/support/platform_messages.h
@@ -6,18 +6,18 @@
 #include <string_view>
 #include <vector>
 
-#include "signalling/message.h"
+#include "platform_codec/message.h"
 
 namespace whinpost {
 
-using signalling::Message;
-using signalling::Type;
+using platform_codec::Message;
+using platform_codec::MessageType;
 
 // One end of a connection. What came is kept.
 class Speaker {
 public:
     struct Got {
-        Type type;
+        MessageType type;
         std::uint64_t task;
         int cause;
         std::string group, wait, name, key, description, stay_away;
@@ -26,31 +26,31 @@
     virtual void raw(std::string_view bytes) = 0;
     void say(const Message& m) {
         std::string bytes;
-        signalling::append(bytes, m);
+        platform_codec::encode(bytes, m);
         raw(bytes);
     }
     void answer(std::uint64_t id, std::string_view description = "stands") {
         Message m;
-        m.type = Type::answer;
+        m.type = MessageType::answer;
         m.task = id;
         m.description = description;
         say(m);
     }
     void release(std::uint64_t id, std::uint8_t cause, std::string_view why = {}) {
         Message m;
-        m.type = Type::release;
+        m.type = MessageType::release;
         m.task = id;
         m.cause = cause;
         if (!why.empty()) m.notes = why;
         say(m);
     }
-    std::vector<Got> all(Type t) const {
+    std::vector<Got> all(MessageType t) const {
         std::vector<Got> out;
         for (const Got& g : got)
             if (g.type == t) out.push_back(g);
         return out;
     }
-    std::size_t count(Type t, std::uint64_t id) const {
+    std::size_t count(MessageType t, std::uint64_t id) const {
         std::size_t n = 0;
         for (const Got& g : got) n += g.type == t && g.task == id;
         return n;
@@ -61,7 +61,7 @@
     // Keeps every whole message; gives back how many bytes they were.
     std::size_t hear(std::string_view in) {
         bool unreadable = false;
-        return signalling::messages(in, unreadable, [this](const Message& m) {
+        return platform_codec::decode_all(in, unreadable, [this](const Message& m) {
             const auto text = [](const std::optional<std::string_view>& v) {
                 return std::string(v.value_or(""));
             };
@@ -82,7 +82,7 @@
 inline std::string set_up_bytes(std::uint64_t id, const std::string& group, int wait_ms,
                                 const std::string& more) {
     Message m;
-    m.type = Type::set_up;
+    m.type = MessageType::set_up;
     m.task = id;
     const std::string wait = std::to_string(wait_ms), name = name_of(id),
                       figures = "cores:1;memory:2;service:00000000b4d65521" + more;
@@ -93,7 +93,7 @@
     m.description = "asked";
     if (group == "marked") m.key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     std::string out;
-    signalling::append(out, m);
+    platform_codec::encode(out, m);
     return out;
 }
 
--- a/tests/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -7,17 +7,17 @@
 #include <string>
 #include <vector>
 
-#include "lab/sim.h"
-#include "planner/planner.h"
-#include "platform/front.h"
-#include "platform_words.h"
+#include "planner/local_planner.h"
+#include "platform/platform_server.h"
+#include "simulation/simulated_network.h"
+#include "support/platform_messages.h"
 
 namespace whinpost {
 
 // One end of a connection, by hand.
-struct Line : net::StreamUser, Speaker {
+struct Line : net::StreamHandler, Speaker {
     std::size_t received(std::string_view in) override { return hear(in); }
-    void closed(net::Closed) override {
+    void closed(net::CloseReason) override {
         over = true;
         stream.reset();
     }
@@ -31,29 +31,29 @@
 struct PlatformRig {
     struct HostAt {
         std::string name, address;
-        lab::Process* process;
+        simulation::SimulatedProcess* process;
         std::unique_ptr<net::Listener> listener;
         std::vector<std::unique_ptr<Line>> conns;
         // Every set-up that came, on any connection.
         std::vector<Line::Got> launches() const {
             std::vector<Line::Got> out;
             for (const auto& c : conns)
-                for (const auto& g : c->all(Type::set_up)) out.push_back(g);
+                for (const auto& g : c->all(MessageType::set_up)) out.push_back(g);
             return out;
         }
-        std::size_t count(Type t, std::uint64_t id) const {
+        std::size_t count(MessageType t, std::uint64_t id) const {
             std::size_t n = 0;
             for (const auto& c : conns) n += c->count(t, id);
             return n;
         }
         Line& last() { return *conns.back(); }
     };
-    struct BusLine : net::StreamUser {
+    struct BusLine : net::StreamHandler {
         std::size_t received(std::string_view in) override {
             asked += in;
             return in.size();
         }
-        void closed(net::Closed) override { stream.reset(); }
+        void closed(net::CloseReason) override { stream.reset(); }
         std::unique_ptr<net::Stream> stream;
         std::string asked;
     };
@@ -63,7 +63,7 @@
           ledger(groups(), {4, true}, cold()),
           front(placer, log, ledger, {"free", "marked", "once"}, kinds(), {"std"}, {"a", "b"},
                 250 * kMillisecond, 15 * kSecond, descriptors, 5),
-          planner(front, 5, 0, groups(), kinds(), Acceptance{2.5, 1.5, true, false, true, false, true},
+          planner(front, 5, 0, groups(), kinds(), WorkerAcceptance{2.5, 1.5, true, false, true, false, true},
                   cold(), {}, {4, true}, {}) {
         front.plan_with(planner);
         open_bus("10.0.9.1:1");
@@ -81,13 +81,13 @@
             g.fade = 0.25;
         }
         out[1].effect = Effect::fingerprinted;
-        out[1].repeats_dropped_by = Place::cell;
+        out[1].repeats_dropped_by = FailureDomain::cell;
         out[1].repeat_window = 5 * kSecond;
         out[2].effect = Effect::side_effecting;
         return out;
     }
-    static std::vector<MachineKind> kinds() { return {{16, 32}}; }
-    static ColdTerms cold() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}; }
+    static std::vector<WorkerKind> kinds() { return {{16, 32}}; }
+    static SlowStartSettings cold() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}; }
 
     void open_bus(const std::string& address) {
         std::string error;
@@ -154,7 +154,7 @@
         must(h.listener != nullptr);
     }
     Line& owner(int number = 1) {
-        lab::Process*& p = owner_processes[number];
+        simulation::SimulatedProcess*& p = owner_processes[number];
         if (!p) p = &world.process("10.0.2." + std::to_string(number));
         owners.push_back(std::make_unique<Line>());
         Line& l = *owners.back();
@@ -169,17 +169,17 @@
         run(60 * kMillisecond);
     }
 
-    lab::World world{1};
-    lab::Process& placer;
-    lab::Process& bus_process;
-    log::Log log;
+    simulation::SimulatedNetwork world{1};
+    simulation::SimulatedProcess& placer;
+    simulation::SimulatedProcess& bus_process;
+    log::Logger log;
     ledger::Ledger ledger;
-    platform::Front front;
-    planner::Planner planner;
+    platform::PlatformServer front;
+    planner::LocalPlanner planner;
     std::vector<std::unique_ptr<net::Listener>> bus_listeners;
     std::vector<std::unique_ptr<BusLine>> buses;
     std::map<std::string, HostAt> hosts;
-    std::map<int, lab::Process*> owner_processes;
+    std::map<int, simulation::SimulatedProcess*> owner_processes;
     std::vector<std::unique_ptr<Line>> owners;
     std::int64_t events = 0;
     Nanos next_comment = world.now() + kSecond;
--- a/tests/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -16,10 +16,10 @@
 #include <utility>
 #include <vector>
 
-#include "net/event_loop.h"
-#include "platform/front.h"
-#include "platform_words.h"
-#include "quiet_planner.h"
+#include "net/libevent_loop.h"
+#include "platform/platform_server.h"
+#include "support/platform_messages.h"
+#include "support/quiet_planner.h"
 
 namespace whinpost {
 
@@ -62,11 +62,11 @@
         must(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()),
              "send");
     }
-    void plain(Type type, std::uint64_t id, std::uint8_t cause = 0) {
+    void plain(MessageType type, std::uint64_t id, std::uint8_t cause = 0) {
         Message m;
         m.type = type;
         m.task = id;
-        if (type == Type::test || type == Type::tested) m.cause = cause;
+        if (type == MessageType::test || type == MessageType::tested) m.cause = cause;
         say(m);
     }
     // Reads all that is there.
@@ -134,7 +134,7 @@
             lines.push_back(std::make_unique<Plug>(fd));
         for (const auto& l : lines) l->take();
     }
-    std::size_t count(Type t, std::uint64_t id) const {
+    std::size_t count(MessageType t, std::uint64_t id) const {
         std::size_t n = 0;
         for (const auto& l : lines) n += l->count(t, id);
         return n;
@@ -155,24 +155,25 @@
 
 struct SocketRig {
     struct Planner : QuietPlanner {
-        void withdrawn(Nanos, planner::ContainerNumber) override { ++gone; }
-        void heard(Nanos, planner::NodeNumber, const Report&) override { ++reports; }
-        void ended(Nanos, planner::ContainerNumber, int, Ending how, Reason, bool, const Report&) override {
+        void withdrawn(Nanos, planner::TaskNumber) override { ++gone; }
+        void heard(Nanos, planner::WorkerNumber, const LoadReport&) override { ++reports; }
+        void ended(Nanos, planner::TaskNumber, int, AttemptOutcome how, OutcomeReason, bool,
+                   const LoadReport&) override {
             endings.push_back(how);
         }
         void round(Nanos) override {
             if (in_round) in_round();
         }
         int gone = 0, reports = 0;
-        std::vector<Ending> endings;
+        std::vector<AttemptOutcome> endings;
         std::function<void()> in_round;
     };
 
     explicit SocketRig(std::size_t descriptors = 256, Nanos dial_timeout = 10 * kSecond)
         : port(Ear().port()), ledger(groups(), {4, true}, {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}),
-          front(std::make_unique<platform::Front>(
+          front(std::make_unique<platform::PlatformServer>(
               loop, log, ledger, std::vector<std::string>{"free", "marked", "once"},
-              std::vector<MachineKind>{{16, 32}}, std::vector<std::string>{"std"},
+              std::vector<WorkerKind>{{16, 32}}, std::vector<std::string>{"std"},
               std::vector<std::string>{"a", "b"}, dial_timeout, 15 * kSecond, descriptors, 5)) {
         front->plan_with(planner);
         must(front->listen("127.0.0.1:" + std::to_string(port)).empty(), "the front listens");
@@ -181,7 +182,7 @@
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
         out[1].effect = Effect::fingerprinted;
-        out[1].repeats_dropped_by = Place::cell;
+        out[1].repeats_dropped_by = FailureDomain::cell;
         out[1].repeat_window = 5 * kSecond;
         out[2].effect = Effect::side_effecting;
         return out;
@@ -226,15 +227,14 @@
         return set_up_bytes(id, group, wait_ms, more);
     }
     // A container of `o` that is launched on host 0, the set-up come whole to it.
-    planner::ContainerNumber launched(Plug& o, Ear& host, std::uint64_t id,
-                                      const std::string& group = "free") {
+    planner::TaskNumber launched(Plug& o, Ear& host, std::uint64_t id, const std::string& group = "free") {
         const std::size_t before = planner.taken.size();
         o.raw(set_up(id, group));
         until([&] { return planner.taken.size() == before + 1; });
         front->bind(planner.taken.back(), 0, 10 * kSecond);
         until([&] {
             host.take();
-            return host.count(Type::set_up, id) == 1;
+            return host.count(MessageType::set_up, id) == 1;
         });
         return planner.taken.back();
     }
@@ -243,17 +243,17 @@
         host.lines.back()->answer(id);
         until([&] {
             o.take();
-            return o.count(Type::answer, id) == 1;
+            return o.count(MessageType::answer, id) == 1;
         });
     }
 
-    net::EventLoop loop;
-    log::Log log;
+    net::LibeventLoop loop;
+    log::Logger log;
     Ear bus;
     int port;
     ledger::Ledger ledger;
     Planner planner;
-    std::unique_ptr<platform::Front> front;
+    std::unique_ptr<platform::PlatformServer> front;
     std::int64_t events = 0;
 };
 
--- a/tests/rig.h
+++ b/tests/support/server_rig.h
@@ -4,33 +4,33 @@
 #include <string>
 #include <vector>
 
-#include "embedded.h"
-#include "lab/sim.h"
-#include "proto/list.pb.h"
-#include "proto/node.pb.h"
-#include "proto/owner.pb.h"
+#include "embedded_placer.h"
+#include "proto/client.pb.h"
+#include "proto/discovery.pb.h"
+#include "proto/worker.pb.h"
+#include "simulation/simulated_network.h"
 
 namespace whinpost {
 
 // One end of a stream, by hand. What came is kept.
 template <class In, class Out>
-struct Peer : net::StreamUser {
+struct Peer : net::StreamHandler {
     std::size_t received(std::string_view bytes) override {
         bool too_long = false;
-        return net::frames(bytes, 1 << 20, too_long, [this](std::string_view f) {
+        return net::decode_frames(bytes, 1 << 20, too_long, [this](std::string_view f) {
             In m;
             if (m.ParseFromArray(f.data(), static_cast<int>(f.size()))) got.push_back(m);
             return true;
         });
     }
-    void closed(net::Closed how) override {
+    void closed(net::CloseReason how) override {
         over = true;
         ended = how;
         stream.reset();
     }
     void say(const Out& m) {
         std::string frame;
-        net::append_frame(frame, m);
+        net::encode_frame(frame, m);
         if (stream) stream->write(frame);
     }
     // The messages of one kind, in their order.
@@ -48,7 +48,7 @@
     std::unique_ptr<net::Stream> stream;
     std::vector<In> got;
     bool over = false;
-    net::Closed ended{};
+    net::CloseReason ended{};
 };
 
 using OwnerPeer = Peer<v1::ToOwner, v1::FromOwner>;
@@ -113,7 +113,7 @@
         std::vector<std::string> problems;
         placer_host = &world.process("10.0.0.1");
         ++incarnation;
-        placer = apps::Embedded::make(*placer_host, d, 7, incarnation, problems);
+        placer = apps::EmbeddedPlacer::make(*placer_host, d, 7, incarnation, problems);
         if (!placer) throw std::runtime_error(problems.at(0));
         placer->list = "list:1";
         if (!(error = placer->start()).empty()) throw std::runtime_error(error);
@@ -154,7 +154,7 @@
         std::uint64_t incarnation = 1;
         Nanos up_for = 0, clock = 0;
         bool mute = false;
-        lab::Process* host = nullptr;
+        simulation::SimulatedProcess* host = nullptr;
         std::vector<std::unique_ptr<NodePeer>> conns;  // the last is the present one
         std::vector<std::uint64_t> holds;
         std::unique_ptr<net::Listener> listener;
@@ -224,7 +224,7 @@
     OwnerPeer& owner(const std::string& name = "o", bool hello = true) {
         owners.push_back(std::make_unique<OwnerPeer>());
         OwnerPeer& o = *owners.back();
-        lab::Process& host = world.process("owner-" + std::to_string(owners.size()));
+        simulation::SimulatedProcess& host = world.process("owner-" + std::to_string(owners.size()));
         o.stream = host.dial("10.0.0.1:7400", o);
         run(5 * kMillisecond);
         if (hello) {
@@ -253,15 +253,15 @@
         run(50 * kMillisecond);
     }
 
-    lab::World world;
+    simulation::SimulatedNetwork world;
     std::string text, error;
     std::uint64_t list_number = 0, incarnation = 0;
-    lab::Process *list_host = nullptr, *placer_host = nullptr;
+    simulation::SimulatedProcess *list_host = nullptr, *placer_host = nullptr;
     std::vector<std::unique_ptr<net::Listener>> listeners;
     std::vector<std::unique_ptr<ListPeer>> lists;
     std::vector<std::unique_ptr<NodeAt>> nodes;
     std::vector<std::unique_ptr<OwnerPeer>> owners;
-    std::unique_ptr<apps::Embedded> placer;
+    std::unique_ptr<apps::EmbeddedPlacer> placer;
 };
 
 }  // namespace whinpost
--- a/tests/wheel_test.cpp
+++ b/tests/timer_wheel_test.cpp
@@ -1,5 +1,5 @@
 // The timing wheel beside a plain ordered map of deadlines.
-#include "wheel/wheel.h"
+#include "timer_wheel/timer_wheel.h"
 
 #include <catch2/catch.hpp>
 #include <map>
@@ -8,17 +8,17 @@
 #include <vector>
 
 using namespace whinpost;
-using wheel::Wheel;
+using timer_wheel::TimerWheel;
 
 namespace {
 
-struct Probe : wheel::Timer {
+struct Probe : timer_wheel::Timer {
     void due(Nanos now) override {
         ++fired;
         fired_at = now;
         if (again > 0) on->arm(*this, now + again);
     }
-    Wheel* on = nullptr;
+    TimerWheel* on = nullptr;
     int fired = 0;
     Nanos fired_at = 0, again = 0;
 };
@@ -35,10 +35,10 @@
                                          static_cast<std::uint64_t>(n));
     };
     Nanos now = 1'700'000'000 * kSecond + roll(kSecond);
-    Wheel w(now);
+    TimerWheel w(now);
     std::vector<std::unique_ptr<Probe>> timers;
     std::map<Probe*, std::int64_t> plain;  // the tick in which each is due: one that has been turned is past
-    std::int64_t turned = now / Wheel::kTick - 1;
+    std::int64_t turned = now / TimerWheel::kTick - 1;
     for (int i = 0; i < 60; ++i) timers.push_back(std::make_unique<Probe>());
     for (int step = 0; step < 2000; ++step) {
         Probe& t = *timers[static_cast<std::size_t>(roll(60))];
@@ -49,17 +49,17 @@
                                    40'000 * kSecond};
             const Nanos at = now + (roll(4) ? roll(std::abs(spans[roll(5)]) + 1) : spans[roll(5)]);
             w.arm(t, at);
-            plain[&t] = std::max((at + Wheel::kTick - 1) / Wheel::kTick, turned + 1);
+            plain[&t] = std::max((at + TimerWheel::kTick - 1) / TimerWheel::kTick, turned + 1);
         } else if (what < 8) {
             t.disarm();
             plain.erase(&t);
         } else {
             const Nanos jumps[] = {kMicrosecond, kMillisecond, 50 * kMillisecond, 3 * kSecond, 200 * kSecond};
             const Nanos next = w.next();
-            for (const auto& [p, tick] : plain) REQUIRE(next <= tick * Wheel::kTick);
+            for (const auto& [p, tick] : plain) REQUIRE(next <= tick * TimerWheel::kTick);
             now += roll(jumps[roll(5)]) + 1;
             w.turn(now);
-            turned = std::max(turned, now / Wheel::kTick);
+            turned = std::max(turned, now / TimerWheel::kTick);
             for (auto it = plain.begin(); it != plain.end();) {
                 const bool due = it->second <= turned;
                 REQUIRE(it->first->armed() != due);
@@ -78,7 +78,7 @@
 
 TEST_CASE(
     "a timer that arms itself for the same moment comes again in a later turn, not in the same for ever") {
-    Wheel w(0);
+    TimerWheel w(0);
     Probe t;
     t.on = &w;
     t.again = 1;
@@ -90,9 +90,9 @@
 }
 
 TEST_CASE("timers destroyed by another's call in the same turn do not come due") {
-    Wheel w(0);
+    TimerWheel w(0);
     auto victim = std::make_unique<Probe>();
-    struct Killer : wheel::Timer {
+    struct Killer : timer_wheel::Timer {
         void due(Nanos) override { victim->reset(); }
         std::unique_ptr<Probe>* victim;
     } killer;
