--- a/tests/link_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -1,5 +1,5 @@
 // A node's connection: what a break proves of each launch, and how many dials a lost zone costs.
-#include "link/link.h"
+#include "worker_connection/worker_connection.h"
 
 #include <catch2/catch.hpp>
 #include <memory>
@@ -7,70 +7,72 @@
 #include <vector>
 
 using namespace whinpost;
-using link::Link;
-using link::State;
+using worker_connection::ConnectionState;
+using worker_connection::WorkerConnection;
 
 namespace {
 
 struct Told {
-    ledger::Launch* launch;
-    Ending how;
+    ledger::Attempt* launch;
+    AttemptOutcome how;
 };
 
 // The edge's side, with a socket whose kernel takes what it is let take.
-struct Bench : link::Wire {
+struct Bench : worker_connection::ConnectionHandler {
     explicit Bench(int at_once = 100, int a_second = 1000) : dialler(at_once, a_second) {
-        led.listed(0, node, {0, 0, 0, 8, 16, Stage::serving, 0});
+        led.listed(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
     }
-    void dial(Link&) override {
+    void dial(WorkerConnection&) override {
         ++dials;
         bytes = taken = 0;
     }
-    void drop(Link&, bool at_once) override {
+    void drop(WorkerConnection&, bool at_once) override {
         ++drops;
         aborted = at_once;
     }
-    void write(Link&, ledger::Launch& l) override {
+    void write(WorkerConnection&, ledger::Attempt& l) override {
         bytes += 100;
         sent.push_back(&l);
     }
-    void ask_for_life(Link&) override { ++asked; }
-    void ask_after(Link&, ledger::Launch&) override { ++asked_after; }
-    std::size_t unsent(const Link&) const override { return static_cast<std::size_t>(bytes - taken); }
-    std::uint64_t handed(const Link&) const override { return taken; }
-    std::uint64_t written(const Link&) const override { return bytes; }
-    bool may_still_send(Nanos t, const ledger::Launch& l) const override { return led.may_still_send(t, l); }
-    void over(Nanos t, ledger::Launch& l, Ending how) override {
+    void ask_for_life(WorkerConnection&) override { ++asked; }
+    void ask_after(WorkerConnection&, ledger::Attempt&) override { ++asked_after; }
+    std::size_t unsent(const WorkerConnection&) const override {
+        return static_cast<std::size_t>(bytes - taken);
+    }
+    std::uint64_t handed(const WorkerConnection&) const override { return taken; }
+    std::uint64_t written(const WorkerConnection&) const override { return bytes; }
+    bool may_still_send(Nanos t, const ledger::Attempt& l) const override { return led.may_still_send(t, l); }
+    void over(Nanos t, ledger::Attempt& l, AttemptOutcome how) override {
         told.push_back({&l, how});
         led.ended(t, l, how);
     }
-    void wake(Link&, Nanos at) override { wake_at = at; }
-    void down(Nanos, Link&, bool was_up) override { downs.push_back(was_up); }
+    void wake(WorkerConnection&, Nanos at) override { wake_at = at; }
+    void down(Nanos, WorkerConnection&, bool was_up) override { downs.push_back(was_up); }
 
-    ledger::Launch& launch() {
-        Asked a;
+    ledger::Attempt& launch() {
+        ResourceRequest a;
         a.time_left = 60 * kSecond;
         Refusal why{};
         return *led.launch(now, led.take(now, "c", 1, a), node, 50 * kSecond, why);
     }
-    void up(Link& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
+    void up(WorkerConnection& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
         l.want(now, true);
-        if (l.state() == State::waiting) l.tick(now = std::max(now, wake_at));
-        REQUIRE(l.state() == State::dialling);
+        if (l.state() == ConnectionState::waiting) l.tick(now = std::max(now, wake_at));
+        REQUIRE(l.state() == ConnectionState::dialling);
         l.connected(now);
         l.greeted(now, incarnation, holds, 60 * kSecond);
-        REQUIRE(l.state() == State::up);
+        REQUIRE(l.state() == ConnectionState::up);
     }
     using Refusal = ledger::Refusal;
 
-    link::Dialler dialler;
+    worker_connection::DialLimiter dialler;
     ledger::Ledger led{{QueueGroup{}}, {4, true}, {}};
-    ledger::Node& node = led.meet("n");
+    ledger::WorkerRecord& node = led.meet("n");
     Nanos now = 1000 * kSecond, wake_at = 0;
     std::uint64_t bytes = 0, taken = 0;
     int dials = 0, drops = 0, asked = 0, asked_after = 0;
     bool aborted = false;
-    std::vector<ledger::Launch*> sent;
+    std::vector<ledger::Attempt*> sent;
     std::vector<Told> told;
     std::vector<bool> downs;  // whether it had been up
 };
@@ -80,9 +82,9 @@
 TEST_CASE(
     "when a connection breaks, what the kernel never had whole is proven unsent; the rest is in doubt") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
-    std::vector<ledger::Launch*> all;
+    std::vector<ledger::Attempt*> all;
     for (int i = 0; i < 60; ++i) {
         all.push_back(&b.launch());
         l.offer(b.now, *all.back());
@@ -91,7 +93,7 @@
     b.taken = 1050;              // ten whole launches, and half of one
     l.broken(b.now, b.taken);
     REQUIRE(b.told.size() == 50);
-    for (const Told& t : b.told) CHECK(t.how == Ending::unsent);
+    for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::unsent);
     for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->over);
     CHECK(l.counts().in_doubt == 10);
 }
@@ -99,10 +101,10 @@
 TEST_CASE(
     "a node that greets again clears up what was in doubt: held, never taken, or lost with another life") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
-    ledger::Launch &held = b.launch(), &never = b.launch(), &yes = b.launch();
-    for (ledger::Launch* each : {&held, &never, &yes}) l.offer(b.now, *each);
+    ledger::Attempt &held = b.launch(), &never = b.launch(), &yes = b.launch();
+    for (ledger::Attempt* each : {&held, &never, &yes}) l.offer(b.now, *each);
     b.led.accepted(b.now, yes);
     b.taken = b.bytes;
     l.broken(b.now, b.taken);
@@ -111,24 +113,24 @@
         b.up(l, 7, {held.number, yes.number});
         REQUIRE(b.told.size() == 1);
         CHECK(b.told[0].launch == &never);
-        CHECK(b.told[0].how == Ending::unsent);
+        CHECK(b.told[0].how == AttemptOutcome::unsent);
     }
     SECTION("the same, but gone for longer than it remembers") {
         b.now += 100 * kSecond;
         b.up(l, 7, {held.number, yes.number});
         REQUIRE(b.told.size() == 1);
-        CHECK(b.told[0].how == Ending::reset);
+        CHECK(b.told[0].how == AttemptOutcome::reset);
     }
     SECTION("the same, and a container that it accepted is there no more") {
         b.up(l, 7, {held.number});
         REQUIRE(b.told.size() == 2);
-        CHECK(b.told[0].how == Ending::unsent);
-        CHECK(b.told[1].how == Ending::reset);
+        CHECK(b.told[0].how == AttemptOutcome::unsent);
+        CHECK(b.told[1].how == AttemptOutcome::reset);
     }
     SECTION("another one at its address, under its name") {
         b.up(l, 8, {});
         REQUIRE(b.told.size() == 3);
-        for (const Told& t : b.told) CHECK(t.how == Ending::reset);
+        for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::reset);
     }
     SECTION("gone by the list") {
         l.gone(b.now);
@@ -138,25 +140,25 @@
 
 TEST_CASE("a node that takes the connection and never greets is cut, and what waited for it was never sent") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.want(b.now, true);
-    ledger::Launch& waits = b.launch();
+    ledger::Attempt& waits = b.launch();
     l.offer(b.now, waits);
     l.connected(b.now);
     CHECK(b.sent.empty());
     l.tick(b.now + 2 * kSecond);
     CHECK(b.drops == 1);
     REQUIRE(b.told.size() == 1);
-    CHECK(b.told[0].how == Ending::unsent);
+    CHECK(b.told[0].how == AttemptOutcome::unsent);
     // While it pauses, nothing is held for it.
     l.offer(b.now + 2 * kSecond, b.launch());
     REQUIRE(b.told.size() == 2);
-    CHECK(b.told[1].how == Ending::unconnected);
+    CHECK(b.told[1].how == AttemptOutcome::unconnected);
 }
 
 TEST_CASE("a connection that stays open and says nothing is asked for life once, then cut") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     l.tick(b.now + 3 * kSecond);
     l.tick(b.now + 4 * kSecond);
@@ -164,7 +166,7 @@
     CHECK(b.drops == 0);
     l.heard(b.now + 5 * kSecond);
     l.tick(b.now + 6 * kSecond);
-    CHECK(l.state() == State::up);
+    CHECK(l.state() == ConnectionState::up);
     l.tick(b.now + 11 * kSecond);
     CHECK(b.drops == 1);
     CHECK(l.counts().silent_cuts == 1);
@@ -174,7 +176,7 @@
     "when a drain is heard, what waits is taken back, and what may lie in a buffer is cut before the grace "
     "ends") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     for (int i = 0; i < 60; ++i) l.offer(b.now, b.launch());
     b.taken = 400;
@@ -193,7 +195,7 @@
         CHECK(l.counts().in_doubt == 1);  // whole in the kernel's hands, not received
     }
     SECTION("given up meanwhile: it may still lie in a buffer, and is cut all the same") {
-        for (ledger::Launch* out : l.in_order()) l.forget(*out, false);
+        for (ledger::Attempt* out : l.in_order()) l.forget(*out, false);
         l.tick(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
     }
@@ -212,9 +214,9 @@
 
 TEST_CASE("a launch whose time is up while it waits here was never sent") {
     Bench b;
-    Link l(b, b.dialler, b.node, {}, 1);
+    WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.want(b.now, true);
-    ledger::Launch& waits = b.launch();
+    ledger::Attempt& waits = b.launch();
     l.offer(b.now, waits);
     CHECK(l.take_back(waits));
     CHECK_FALSE(l.take_back(waits));
@@ -224,31 +226,32 @@
 }
 
 TEST_CASE("a hundred nodes that come back after a cut are not dialled in one moment") {
-    struct Many : link::Wire {
-        void dial(Link&) override { ++dials; }
-        void drop(Link&, bool) override {}
-        void write(Link&, ledger::Launch&) override {}
-        void ask_for_life(Link&) override {}
-        void ask_after(Link&, ledger::Launch&) override {}
-        std::size_t unsent(const Link&) const override { return 0; }
-        std::uint64_t handed(const Link&) const override { return 0; }
-        std::uint64_t written(const Link&) const override { return 0; }
-        bool may_still_send(Nanos, const ledger::Launch&) const override { return true; }
-        void over(Nanos, ledger::Launch&, Ending) override {}
-        void down(Nanos, Link&, bool) override {}
-        void wake(Link& l, Nanos at) override { wakes[*static_cast<std::size_t*>(l.tag)] = at; }
+    struct Many : worker_connection::ConnectionHandler {
+        void dial(WorkerConnection&) override { ++dials; }
+        void drop(WorkerConnection&, bool) override {}
+        void write(WorkerConnection&, ledger::Attempt&) override {}
+        void ask_for_life(WorkerConnection&) override {}
+        void ask_after(WorkerConnection&, ledger::Attempt&) override {}
+        std::size_t unsent(const WorkerConnection&) const override { return 0; }
+        std::uint64_t handed(const WorkerConnection&) const override { return 0; }
+        std::uint64_t written(const WorkerConnection&) const override { return 0; }
+        bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
+        void over(Nanos, ledger::Attempt&, AttemptOutcome) override {}
+        void down(Nanos, WorkerConnection&, bool) override {}
+        void wake(WorkerConnection& l, Nanos at) override { wakes[*static_cast<std::size_t*>(l.tag)] = at; }
         int dials = 0;
         std::vector<Nanos> wakes = std::vector<Nanos>(100, 0);
     } wire;
-    link::Dialler dialler(16, 50);
+    worker_connection::DialLimiter dialler(16, 50);
     ledger::Ledger led({QueueGroup{}}, {4, true}, {});
-    std::vector<std::unique_ptr<Link>> links;
+    std::vector<std::unique_ptr<WorkerConnection>> links;
     std::vector<std::size_t> numbers(100);
     Nanos now = kSecond;
     for (std::size_t i = 0; i < 100; ++i) {
         numbers[i] = i;
-        links.push_back(std::make_unique<Link>(wire, dialler, led.meet("n" + std::to_string(i)),
-                                               link::Terms{}, i * 77 + 1));
+        links.push_back(std::make_unique<WorkerConnection>(wire, dialler, led.meet("n" + std::to_string(i)),
+                                                           worker_connection::ConnectionSettings{},
+                                                           i * 77 + 1));
         links.back()->tag = &numbers[i];
         links.back()->want(now, true);
     }
@@ -263,7 +266,7 @@
         most_at_once = std::max(most_at_once, dialler.dialling());
         // For the first four seconds nobody can be reached; then all can.
         for (const auto& l : links)
-            if (l->state() == State::dialling) {
+            if (l->state() == ConnectionState::dialling) {
                 if (now < 4 * kSecond) l->dial_failed(now);
                 else {
                     l->connected(now);
@@ -274,7 +277,7 @@
         for (const Nanos at : dialled) lately += now - at < kSecond;
         most_in_a_second = std::max(most_in_a_second, lately);
     }
-    for (const auto& l : links) up += l->state() == State::up;
+    for (const auto& l : links) up += l->state() == ConnectionState::up;
     CHECK(up == 100);
     CHECK(most_in_a_second <= 50);
     CHECK(most_at_once <= 16);
@@ -282,9 +285,9 @@
 
 TEST_CASE("no more than a window of launches is on the way to a node that has not said it read them") {
     Bench b;
-    Link l(b, b.dialler, b.node, link::Terms{}, 1);
+    WorkerConnection l(b, b.dialler, b.node, worker_connection::ConnectionSettings{}, 1);
     b.up(l);
-    std::vector<ledger::Launch*> all;
+    std::vector<ledger::Attempt*> all;
     for (int i = 0; i < 100; ++i) {
         all.push_back(&b.launch());
         l.offer(b.now, *all.back());
@@ -301,6 +304,6 @@
     CHECK(l.take_back(*all[99]));
     l.broken(b.now, b.bytes);
     int unsent = 0;
-    for (const Told& t : b.told) unsent += t.how == Ending::unsent;
+    for (const Told& t : b.told) unsent += t.how == AttemptOutcome::unsent;
     CHECK(unsent == 24);
 }
