--- a/apps/embedded_placer.cpp
+++ b/apps/embedded_placer.cpp
@@ -12,7 +12,7 @@
 }
 std::vector<QueueGroup> terms_of(const std::vector<config::NamedQueueGroup>& groups) {
     std::vector<QueueGroup> out;
-    for (const config::NamedQueueGroup& g : groups) out.push_back(g.terms);
+    for (const config::NamedQueueGroup& g : groups) out.push_back(g.queue_group);
     return out;
 }
 }  // namespace
@@ -25,13 +25,13 @@
                                worker_connection::ConnectionSettings links, config::DialLimits dials,
                                config::LogSettings says, std::uint64_t seed, std::uint64_t incarnation,
                                const MakeLedger& make_ledger)
-    : listen(me.listen), list(at.address), on_request(at.terms.on_request), log(says.level, says.form),
+    : listen(me.listen), list(at.address), on_request(at.settings.poll), log(says.level, says.format),
       names(names_of(groups)), intake(limits, groups.size()),
       ledger(make_ledger ? make_ledger(terms_of(groups), launches, cold)
                          : std::make_unique<ledger::Ledger>(terms_of(groups), launches, cold)),
       edge(loop, log, {me.name, incarnation, seed}, *ledger, intake, names, kinds.size(), links,
-           dials.at_once, dials.a_second, !accepts.reports_use, cold.warm_after + cold.window),
-      planner(edge, seed, me.zone, terms_of(groups), kinds, accepts, cold, at.terms, launches, prices) {
+           dials.concurrent, dials.per_second, !accepts.reports_use, cold.warm_up_time + cold.window),
+      planner(edge, seed, me.zone, terms_of(groups), kinds, accepts, cold, at.settings, launches, prices) {
     edge.plan_with(planner);
 }
 
--- a/apps/emulator_main.cpp
+++ b/apps/emulator_main.cpp
@@ -58,7 +58,7 @@
     rehearse->add_option("scenario", wish.scenario, "A scenario's name (--list) or file (TOML)");
     rehearse->add_option("--seed", wish.seed, "Another seed than the scenario's");
     rehearse->add_option("--placers", wish.placers, "Another number of placers");
-    rehearse->add_option("--nodes", wish.nodes, "Another number of nodes");
+    rehearse->add_option("--nodes", wish.workers, "Another number of nodes");
     rehearse
         ->add_option("--on", on,
                      "virtual: simulated network and time; sockets: loopback, placers as processes")
--- a/apps/migrate.cpp
+++ b/apps/migrate.cpp
@@ -71,9 +71,9 @@
     }
     say("carried", c.carried);
     say("replaced by the shape", c.replaced);
-    say("left behind", c.left);
+    say("left behind", c.left_behind);
     std::cout << new_path << (dry_run ? ": would be written\n" : ": written\n");
-    return c.left.empty() ? 0 : 1;
+    return c.left_behind.empty() ? 0 : 1;
 }
 
 }  // namespace whinpost::apps
--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -36,12 +36,11 @@
     const RetrySettings launches = settings::retry_settings(settings);
     const SlowStartSettings cold = settings::slow_start_settings(settings);
     const auto kind_names = texts(settings.list("flavors"));
-    if (kind_names.size() != kinds.size())
-        settings.wrong("flavors", "does not match family_info.cpu_of_kind");
+    if (kind_names.size() != kinds.size()) settings.fail("flavors", "does not match family_info.cpu_of_kind");
     ledger::Ledger ledger(groups, launches, cold);
     platform::PlatformServer front(loop, log, ledger, settings::group_names(settings), kinds, kind_names,
-                                   texts(settings.list("zones")), settings.micros("limits.dial_timeout_us"),
-                                   settings.micros("limits.conn_idle_us"), told->sockets(), told->seed());
+                                   texts(settings.list("zones")), settings.duration("limits.dial_timeout_us"),
+                                   settings.duration("limits.conn_idle_us"), told->sockets(), told->seed());
     planner::LocalPlanner planner(
         front, told->seed(), settings::zone(settings), groups, kinds, settings::worker_acceptance(settings),
         cold, settings::discovery_settings(settings), launches, settings::prices(settings));
--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -68,8 +68,8 @@
 
 struct LightNode final : net::StreamHandler {
     LightNode(Rig& r, std::string n) : rig(r), name(std::move(n)) {}
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override { stream.reset(); }
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override { stream.reset(); }
     Rig& rig;
     std::string name, address, frame;
     std::unique_ptr<net::Listener> listener;
@@ -79,17 +79,17 @@
 
 struct ListEnd final : net::StreamHandler {
     explicit ListEnd(Rig& r) : rig(r) {}
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override { stream.reset(); }
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override { stream.reset(); }
     Rig& rig;
     std::unique_ptr<net::Stream> stream;
 };
 
 struct OwnerEnd final : net::StreamHandler {
     explicit OwnerEnd(Rig& r) : rig(r) {}
-    void connected() override;
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override;
+    void on_connected() override;
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override;
     Rig& rig;
     std::unique_ptr<net::Stream> stream;
     bool up = false;
@@ -147,65 +147,66 @@
     return 0;
 }
 
-std::size_t LightNode::received(std::string_view in) {
+std::size_t LightNode::on_received(std::string_view in) {
     bool too_long = false;
     const std::uint64_t before = read;
     const std::size_t done = net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
-        v1::ToNode m;
+        v1::ToWorker m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
-        v1::FromNode out;
+        v1::FromWorker out;
         if (m.has_hello()) {
             out.mutable_hello()->set_version(1);
             out.mutable_hello()->set_name(name);
             out.mutable_hello()->set_incarnation(1);
             send(*stream, frame, out);
-            out.mutable_holding()->set_remembers(60 * kSecond);
+            out.mutable_state()->set_remembers_for(60 * kSecond);
             send(*stream, frame, out);
-        } else if (m.has_launch()) {
+        } else if (m.has_start_attempt()) {
             ++read;
             ++rig.launches;
             const Nanos now = rig.loop.now();
-            if (const auto it = rig.ids.find(m.launch().container()); it != rig.ids.end()) {
+            if (const auto it = rig.ids.find(m.start_attempt().task()); it != rig.ids.end()) {
                 if (rig.counts()) rig.to_bind.add(now - rig.due[it->second]);
                 rig.yes[it->second] = now;
                 rig.ids.erase(it);
             }
-            out.mutable_accepted()->set_launch(m.launch().launch());
+            out.mutable_accepted()->set_attempt(m.start_attempt().attempt());
             send(*stream, frame, out);
-            out.mutable_running()->set_launch(m.launch().launch());
+            out.mutable_running()->set_attempt(m.start_attempt().attempt());
             send(*stream, frame, out);
-            rig.ends.push_back({now + static_cast<Nanos>(rig.life_s * 1e9), this, m.launch().launch()});
-        } else if (m.has_probe()) {
-            out.mutable_probe_reply()->set_probe(m.probe().probe());
-            out.mutable_probe_reply()->mutable_report()->set_busy(0.3);
+            rig.ends.push_back(
+                {now + static_cast<Nanos>(rig.life_s * 1e9), this, m.start_attempt().attempt()});
+        } else if (m.has_health_check()) {
+            out.mutable_health_check_reply()->set_id(m.health_check().id());
+            out.mutable_health_check_reply()->mutable_report()->set_utilization(0.3);
             send(*stream, frame, out);
         }
         return true;
     });
     if (read != before) {
-        v1::FromNode out;
-        out.mutable_received()->set_launches(read);
+        v1::FromWorker out;
+        out.mutable_attempts_read()->set_attempts(read);
         send(*stream, frame, out);
     }
     return done;
 }
 
-std::size_t ListEnd::received(std::string_view in) {
+std::size_t ListEnd::on_received(std::string_view in) {
     bool too_long = false;
     return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
-        v1::ToList m;
+        v1::ToDiscovery m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size())) || !m.has_hello()) return true;
-        v1::FromList out;
+        v1::FromDiscovery out;
         out.mutable_hello()->set_version(1);
         out.mutable_hello()->set_name("list");
         out.mutable_hello()->set_incarnation(1);
         send(*stream, rig.frame, out);
-        v1::Entries& all = *out.mutable_entries();
-        all.set_whole(true);
-        all.set_number(1);
+        v1::EndpointUpdate& all = *out.mutable_update();
+        all.set_is_snapshot(true);
+        all.set_sequence(1);
         for (std::size_t i = 0; i < rig.nodes.size(); ++i) {
-            v1::Entry& e = *all.add_entries();
-            e.set_node(rig.nodes[i]->name);
+            v1::Endpoint& e = *all.add_endpoints();
+            e.set_worker(rig.nodes[i]->name);
             e.set_address(rig.nodes[i]->address);
             e.set_cell(static_cast<std::uint32_t>(i / 10));
             e.set_free_cores(1e6);
@@ -216,27 +217,27 @@
     });
 }
 
-void OwnerEnd::connected() {
-    v1::FromOwner m;
+void OwnerEnd::on_connected() {
+    v1::FromClient m;
     m.mutable_hello()->set_version(1);
     m.mutable_hello()->set_name("load");
     send(*stream, rig.frame, m);
 }
-void OwnerEnd::closed(net::CloseReason) {
+void OwnerEnd::on_closed(net::CloseReason) {
     stream.reset();
     if (!up) {  // the placer is not there yet
-        rig.pulse = rig.loop.timer([this] { rig.pump(); });
+        rig.pulse = rig.loop.make_timer([this] { rig.pump(); });
         rig.pulse->arm(rig.loop.now() + 50 * kMillisecond);
     }
 }
-std::size_t OwnerEnd::received(std::string_view in) {
+std::size_t OwnerEnd::on_received(std::string_view in) {
     bool too_long = false;
     return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
-        v1::ToOwner m;
+        v1::ToClient m;
         if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
         if (m.has_hello()) {
             up = true;
-            rig.pulse = rig.loop.timer([this] { rig.pump(); });
+            rig.pulse = rig.loop.make_timer([this] { rig.pump(); });
             rig.pulse->arm(rig.loop.now() + kSecond);  // the nodes are dialled meanwhile
         } else if (m.has_placed()) {
             ++rig.placed;
@@ -245,19 +246,19 @@
                 rig.yes.erase(it);
             }
             rig.due.erase(m.placed().id());
-        } else if (m.has_deferred()) ++rig.deferred;
-        else if (m.has_killed()) ++rig.killed;
+        } else if (m.has_rejected()) ++rig.deferred;
+        else if (m.has_failed()) ++rig.killed;
         return true;
     });
 }
 
 void Rig::reap_due() {
     const Nanos now = loop.now();
-    v1::FromNode out;
+    v1::FromWorker out;
     while (!ends.empty() && ends.front().at <= now) {
         const Ending& e = ends.front();
-        out.mutable_ended()->set_launch(e.launch);
-        out.mutable_ended()->set_how(v1::Ended::SERVED);
+        out.mutable_ended()->set_attempt(e.launch);
+        out.mutable_ended()->set_outcome(v1::AttemptEnded::COMPLETED);
         if (e.node->stream) send(*e.node->stream, frame, out);
         ends.pop_front();
     }
@@ -272,24 +273,24 @@
     }
     if (!begun) {
         begun = next_due = now;
-        reap = loop.timer([this] { reap_due(); });
+        reap = loop.make_timer([this] { reap_due(); });
         reap_due();
     }
     if (cpu_begun == 0 && now >= begun + warm) cpu_begun = child_cpu(child), counted_from = offered;
     const auto u = [this] { return (static_cast<double>(chance() % 65536) + 1) / 65537; };
     while (next_due <= now && next_due < begun + length) {
-        v1::FromOwner m;
-        v1::Offer& o = *m.mutable_offer();
+        v1::FromClient m;
+        v1::SubmitTask& o = *m.mutable_submit();
         o.set_id(next_id++);
-        o.set_container("c" + std::to_string(o.id()));
+        o.set_task("c" + std::to_string(o.id()));
         o.set_service("s" + std::to_string(chance() % static_cast<unsigned>(services)));
-        o.set_group("load");
+        o.set_queue_group("load");
         o.set_cores(0.5);
         o.set_memory(0.5);
         o.set_time_left(5 * kSecond);
-        o.set_life_left(static_cast<Nanos>(life_s * 1e9));
+        o.set_expected_runtime(static_cast<Nanos>(life_s * 1e9));
         due[o.id()] = next_due;
-        ids[o.container()] = o.id();
+        ids[o.task()] = o.id();
         if (now >= begun + warm) late_by.add(now - next_due);
         send(*owner.stream, frame, m);
         ++offered;
@@ -338,7 +339,7 @@
             [&rig, &n](std::unique_ptr<net::Stream> s) {
                 n.stream = std::move(s);
                 n.read = 0;
-                rig.loop.use(*n.stream, n);
+                rig.loop.attach(*n.stream, n);
             },
             error);
         if (!n.listener) {
@@ -351,7 +352,7 @@
         "127.0.0.1:0",
         [&rig](std::unique_ptr<net::Stream> s) {
             rig.list_end->stream = std::move(s);
-            rig.loop.use(*rig.list_end->stream, *rig.list_end);
+            rig.loop.attach(*rig.list_end->stream, *rig.list_end);
         },
         error);
     {
@@ -374,7 +375,7 @@
         execl(program.c_str(), program.c_str(), "run", file, static_cast<char*>(nullptr));
         _exit(127);
     }
-    rig.pulse = rig.loop.timer([&rig] { rig.pump(); });
+    rig.pulse = rig.loop.make_timer([&rig] { rig.pump(); });
     rig.pulse->arm(rig.loop.now() + 200 * kMillisecond);
     rig.loop.run();
     kill(rig.child, SIGKILL);
--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -18,7 +18,7 @@
 using namespace whinpost;
 
 struct Deadline final : timer_wheel::Timer {
-    void due(Nanos) override { ++fired; }
+    void on_deadline(Nanos) override { ++fired; }
     int fired = 0;
 };
 
@@ -42,7 +42,7 @@
     for (auto _ : state) {
         now += kMicrosecond;
         w.arm(all[i % n], now + span[i * 7 % 4096]);
-        if (++i % 1000 == 0) w.turn(now);
+        if (++i % 1000 == 0) w.run_timers(now);
     }
 }
 BENCHMARK(wheel_moves)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
@@ -95,19 +95,19 @@
 // One container's course through the ledger, with so many others open.
 void ledger_course(benchmark::State& state) {
     ledger::Ledger led({QueueGroup{}}, {4, true}, {});
-    ledger::WorkerRecord& n = led.meet("n");
-    led.listed(0, n, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
+    ledger::WorkerRecord& n = led.add_worker("n");
+    led.on_endpoint(0, n, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
     ResourceRequest a;
     a.time_left = 5 * kSecond;
-    for (std::int64_t i = 0; i < state.range(0); ++i) led.take(0, "waiting", 1, a);
+    for (std::int64_t i = 0; i < state.range(0); ++i) led.create_task(0, "waiting", 1, a);
     for (auto _ : state) {
         ledger::Refusal why{};
-        ledger::TaskRecord& r = led.take(0, "c", 1, a);
-        ledger::Attempt& l = *led.launch(0, r, n, kSecond, why);
-        led.accepted(0, l);
-        led.runs(0, l);
-        led.ended(0, l, AttemptOutcome::served);
-        led.forget(r);
+        ledger::TaskRecord& r = led.create_task(0, "c", 1, a);
+        ledger::Attempt& l = *led.start_attempt(0, r, n, kSecond, why);
+        led.on_accepted(0, l);
+        led.on_running(0, l);
+        led.on_ended(0, l, AttemptOutcome::completed);
+        led.erase_task(r);
     }
 }
 BENCHMARK(ledger_course)->Arg(10)->Arg(10'000)->Arg(200'000);
@@ -115,17 +115,17 @@
 void launch_message(benchmark::State& state) {
     std::string frame;
     for (auto _ : state) {
-        v1::ToNode m;
-        v1::Launch& l = *m.mutable_launch();
-        l.set_launch(123456);
-        l.set_container("c123456");
+        v1::ToWorker m;
+        v1::StartAttempt& l = *m.mutable_start_attempt();
+        l.set_attempt(123456);
+        l.set_task("c123456");
         l.set_service("ingest-12");
         l.set_cores(0.5);
         l.set_memory(1);
-        l.set_ask(123456);
+        l.set_request(123456);
         frame.clear();
         net::encode_frame(frame, m);
-        v1::ToNode back;
+        v1::ToWorker back;
         bool too_long = false;
         net::decode_frames(frame, 1 << 20, too_long, [&back](std::string_view f) {
             return back.ParseFromArray(f.data(), static_cast<int>(f.size()));
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -30,9 +30,9 @@
 public:
     RandomPlanner(platform::PlatformServer& front, std::size_t hosts, std::uint64_t seed)
         : front_(front), hosts_(hosts), chance_(static_cast<std::ranlux24_base::result_type>(seed)) {}
-    void round(Nanos now) override {
+    void run_round(Nanos now) override {
         for (int i = 0; i < 3; ++i) say_something(taken.empty() ? 1 : taken[roll(taken.size())]);
-        front_.wake(now + static_cast<Nanos>(5 + roll(60)) * kMillisecond);
+        front_.wake_at(now + static_cast<Nanos>(5 + roll(60)) * kMillisecond);
     }
 
 private:
@@ -40,12 +40,12 @@
     void say_something(planner::TaskNumber task) {
         const std::size_t what = roll(40);
         const auto host = static_cast<planner::WorkerNumber>(roll(hosts_));
-        if (what == 0) front_.defer(task, static_cast<Nanos>(roll(500)) * kMillisecond);
-        else if (what == 1) front_.kill(task);
-        else if (what == 2) front_.move(task);
-        else if (what == 3) front_.stop_waiting(task, 0);
-        else if (what < 8) front_.probe(host);
-        else if (what < 30) front_.bind(task, host, static_cast<Nanos>(50 + roll(3000)) * kMillisecond);
+        if (what == 0) front_.reject(task, static_cast<Nanos>(roll(500)) * kMillisecond);
+        else if (what == 1) front_.fail(task);
+        else if (what == 2) front_.migrate(task);
+        else if (what == 3) front_.cancel_attempt(task, 0);
+        else if (what < 8) front_.check_health(host);
+        else if (what < 30) front_.place(task, host, static_cast<Nanos>(50 + roll(3000)) * kMillisecond);
     }
     platform::PlatformServer& front_;
     const std::size_t hosts_;
@@ -202,7 +202,7 @@
         auto& client = *clients_[i];
         if (client.stream && luck(30)) client.raw(std::string("\x00\x40\x01half", 7));
         else if (client.stream && luck(30)) client.raw("\xff\xff no message");
-        else if (client.stream && luck(40)) client.stream->finish();
+        else if (client.stream && luck(40)) client.stream->shutdown_write();
         else if (client.stream) client.stream->abort();
         clients_[i] = &rig_.owner(static_cast<int>(i) + 1);
     }
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -45,10 +45,10 @@
 std::vector<QueueGroup> queue_groups(int count) {
     std::vector<QueueGroup> out(static_cast<std::size_t>(count));
     for (QueueGroup& g : out) {
-        g.start_target = 800 * kMillisecond;
-        g.start_worth_s = 10;
-        g.calm = 0.8;
-        g.fade = 0.25;
+        g.start_objective = 800 * kMillisecond;
+        g.start_value_s = 10;
+        g.full_service_utilization = 0.8;
+        g.degradation_range = 0.25;
     }
     return out;
 }
@@ -69,27 +69,27 @@
                             EndpointPhase::serving, 0};
             if (full) l.free_cores = -1.5 * kWorkerSize.cores;
             listed_.push_back(l);
-            nodes_.push_back(&ledger_.meet("worker-" + std::to_string(i)));
+            nodes_.push_back(&ledger_.add_worker("worker-" + std::to_string(i)));
             tell(i);
         }
-        planner_.list_done(now_, true);
-        planner_.begin(now_);
+        planner_.on_watch_event_done(now_, true);
+        planner_.start(now_);
     }
     void recover(int count) {
         for (int i = 0; i < count; ++i) {
             const auto on = static_cast<std::size_t>(i % sizes_.workers);
             const std::uint64_t service = service_of(i);
             const ResourceRequest a = asked(i);
-            const ledger::TaskRecord& r = ledger_.take_over(now_, "recovered", service, a, *nodes_[on]);
-            planner_.take_over(now_, r.number, service, a, static_cast<planner::WorkerNumber>(on));
+            const ledger::TaskRecord& r = ledger_.adopt_task(now_, "recovered", service, a, *nodes_[on]);
+            planner_.adopt(now_, r.number, service, a, static_cast<planner::WorkerNumber>(on));
         }
     }
     // One event that tells these workers as they are in `listed()`, and the round after it.
     void event(const std::vector<int>& workers) {
         timed([&] {
             for (const int i : workers) tell(i);
-            planner_.list_done(now_, false);
-            planner_.round(now_);
+            planner_.on_watch_event_done(now_, false);
+            planner_.run_round(now_);
         });
         carry_out();
     }
@@ -97,19 +97,19 @@
         for (int i = 0; i < count; ++i) {
             const int n = asks_++;
             const std::uint64_t service = service_of(n);
-            const ledger::TaskRecord& r = ledger_.take(now_, "task", service, asked(n));
-            planner_.take(now_, r.number, service, asked(n));
+            const ledger::TaskRecord& r = ledger_.create_task(now_, "task", service, asked(n));
+            planner_.submit(now_, r.number, service, asked(n));
         }
     }
     void round() {
-        timed([&] { planner_.round(now_); });
+        timed([&] { planner_.run_round(now_); });
         carry_out();
     }
     // Time goes on; tasks whose life is over end.
     void pass(Nanos by) {
         now_ += by;
         while (!running_.empty() && running_.front().first <= now_) {
-            end(running_.front().second, AttemptOutcome::served);
+            end(running_.front().second, AttemptOutcome::completed);
             running_.pop_front();
         }
     }
@@ -120,16 +120,16 @@
     void forget_longest() { longest_ = 0; }
     Nanos now() const { return now_; }
 
-    void bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos) override { bound_.push_back({n, to}); }
-    void defer(planner::TaskNumber n, Nanos) override { answer(n); }
-    void kill(planner::TaskNumber n) override { answer(n); }
-    void move(planner::TaskNumber) override {}
-    void stop_waiting(planner::TaskNumber, int) override {}
-    void probe(planner::WorkerNumber) override {}
-    void follow_list() override {}
-    void fetch_list() override {}
-    void wake(Nanos) override {}
-    void note(std::string_view) override {}
+    void place(planner::TaskNumber n, planner::WorkerNumber to, Nanos) override { bound_.push_back({n, to}); }
+    void reject(planner::TaskNumber n, Nanos) override { answer(n); }
+    void fail(planner::TaskNumber n) override { answer(n); }
+    void migrate(planner::TaskNumber) override {}
+    void cancel_attempt(planner::TaskNumber, int) override {}
+    void check_health(planner::WorkerNumber) override {}
+    void watch_endpoints() override {}
+    void fetch_endpoints() override {}
+    void wake_at(Nanos) override {}
+    void log(std::string_view) override {}
 
 private:
     std::uint64_t service_of(int n) const {
@@ -139,14 +139,14 @@
         ResourceRequest a;
         a.cores = kTaskCores;
         a.memory = kTaskMemory;
-        a.group = n % sizes_.queue_groups;
+        a.queue_group = n % sizes_.queue_groups;
         a.time_left = kQueueTimeout;
         return a;
     }
     void tell(int i) {
         const auto at = static_cast<std::size_t>(i);
-        ledger_.listed(now_, *nodes_[at], listed_[at]);
-        planner_.node(now_, static_cast<planner::WorkerNumber>(i), nodes_[at]->mark, listed_[at]);
+        ledger_.on_endpoint(now_, *nodes_[at], listed_[at]);
+        planner_.on_endpoint(now_, static_cast<planner::WorkerNumber>(i), nodes_[at]->name_hash, listed_[at]);
     }
     template <class F>
     void timed(F what) {
@@ -155,32 +155,33 @@
         longest_ = std::max(longest_, processor_seconds() - before);
     }
     void answer(planner::TaskNumber n) {
-        ledger::TaskRecord* r = ledger_.find(n);
+        ledger::TaskRecord* r = ledger_.find_task(n);
         if (!r) return;
-        answered_ += now_ <= r->until;
-        ledger_.give(now_, *r, ledger_.honest(*r));
-        if (r->over) ledger_.forget(*r);
+        answered_ += now_ <= r->deadline;
+        ledger_.record_answer(now_, *r, ledger_.honest_answer(*r));
+        if (r->closed) ledger_.erase_task(*r);
     }
     void carry_out() {
         for (const auto& [n, to] : std::exchange(bound_, {})) {
             ledger::Refusal why{};
-            ledger::TaskRecord* r = ledger_.find(n);
-            ledger::Attempt* l = r ? ledger_.launch(now_, *r, *nodes_[to], kSecond, why) : nullptr;
+            ledger::TaskRecord* r = ledger_.find_task(n);
+            ledger::Attempt* l = r ? ledger_.start_attempt(now_, *r, *nodes_[to], kSecond, why) : nullptr;
             if (!l) {
-                planner_.ended(now_, n, 0, AttemptOutcome::unsent, OutcomeReason::untold, false, {});
+                planner_.on_attempt_ended(now_, n, 0, AttemptOutcome::not_sent, OutcomeReason::unspecified,
+                                          false, {});
                 continue;
             }
-            answered_ += now_ <= r->until;
-            ledger_.accepted(now_, *l);
-            planner_.accepted(now_, n, 0);
+            answered_ += now_ <= r->deadline;
+            ledger_.on_accepted(now_, *l);
+            planner_.on_accepted(now_, n, 0);
             running_.push_back({now_ + kTaskLife, n});
         }
     }
     void end(planner::TaskNumber n, AttemptOutcome how) {
-        ledger::TaskRecord* r = ledger_.find(n);
-        if (r->out) ledger_.ended(now_, *r->out, how);
-        planner_.ended(now_, n, 0, how, OutcomeReason::untold, true, {});
-        ledger_.forget(*r);
+        ledger::TaskRecord* r = ledger_.find_task(n);
+        if (r->in_flight) ledger_.on_ended(now_, *r->in_flight, how);
+        planner_.on_attempt_ended(now_, n, 0, how, OutcomeReason::unspecified, true, {});
+        ledger_.erase_task(*r);
     }
 
     const ScaleSizes sizes_;
@@ -236,7 +237,7 @@
         w.list_all(false);
         std::vector<int> zone;
         for (int i = 0; i < s.workers; i += s.zones) zone.push_back(i);
-        for (const int i : zone) w.listed()[static_cast<std::size_t>(i)].stage = EndpointPhase::gone;
+        for (const int i : zone) w.listed()[static_cast<std::size_t>(i)].phase = EndpointPhase::gone;
         const double before = processor_seconds();
         if (at_once) w.event(zone);
         else
@@ -290,7 +291,7 @@
     w.forget_longest();
     f.state_event_ms = 1e3 * each(20, [&](int i) {
                            const int worker = i / 2 % s.workers;
-                           w.listed()[static_cast<std::size_t>(worker)].stage =
+                           w.listed()[static_cast<std::size_t>(worker)].phase =
                                i % 2 ? EndpointPhase::serving : EndpointPhase::draining;
                            w.pass(kMillisecond);
                            w.event({worker});
--- a/bench/virtual_time.cpp
+++ b/bench/virtual_time.cpp
@@ -30,7 +30,7 @@
     for (const std::string& p : problems) std::cerr << p << '\n';
     if (!problems.empty()) return 2;
     if (seconds > 0) plan.length = static_cast<Nanos>(seconds * 1e9);
-    for (emulator::LoadProfile& l : plan.loads) l.a_second *= rate;
+    for (emulator::LoadProfile& l : plan.loads) l.per_second *= rate;
     simulation::SimulatedNetwork world(plan.seed, simulation::network_delays(plan));
     simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
     emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
@@ -41,9 +41,9 @@
     const double simulated = static_cast<double>(world.now() - from) / 1e9;
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
-    std::cout << plan.placers << " placers, " << plan.nodes << " nodes: " << simulated << " s simulated in "
+    std::cout << plan.placers << " placers, " << plan.workers << " nodes: " << simulated << " s simulated in "
               << took << " s: " << simulated / took << " a second; " << world.steps() << " steps; "
               << used.ru_maxrss / 1024 << " MiB at most\n"
-              << day.table(out) << out.verdict.line() << '\n';
+              << day.table(out) << out.verdict.summary() << '\n';
     return 0;
 }
--- a/emulator/discovery_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -6,14 +6,14 @@
 
 struct DiscoveryService::Session final : net::StreamHandler {
     Session(DiscoveryService& s, std::unique_ptr<net::Stream> st) : service(s), stream(std::move(st)) {}
-    std::size_t received(std::string_view in) override {
+    std::size_t on_received(std::string_view in) override {
         bool too_long = false;
         return net::decode_frames(in, 1 << 16, too_long, [this](std::string_view f) {
-            v1::ToList m;
+            v1::ToDiscovery m;
             if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
             if (m.has_hello()) {
                 placer = m.hello().name() + "#" + std::to_string(m.hello().incarnation());
-                v1::FromList back;
+                v1::FromDiscovery back;
                 back.mutable_hello()->set_version(1);
                 back.mutable_hello()->set_name("list");
                 back.mutable_hello()->set_incarnation(service.incarnation_);
@@ -22,14 +22,14 @@
                     follows = true;
                     service.tell(*this, {}, true);
                 }
-            } else if (m.has_follow()) {
-                follows = m.follow().on();
+            } else if (m.has_watch()) {
+                follows = m.watch().on();
                 service.tell(*this, {}, true);
-            } else if (m.has_fetch()) service.tell(*this, {}, true);
+            } else if (m.has_fetch_snapshot()) service.tell(*this, {}, true);
             return true;
         });
     }
-    void closed(net::CloseReason) override {
+    void on_closed(net::CloseReason) override {
         stream.reset();
         auto& all = service.sessions_;
         const auto it =
@@ -47,7 +47,7 @@
 DiscoveryService::DiscoveryService(net::EventLoop& l, EventLog& s, bool push, Nanos late,
                                    std::uint64_t incarnation)
     : loop_(l), seen_(s), push_(push), late_(late), incarnation_(incarnation),
-      flush_(l.timer([this] { flush(); })), sweep_(l.timer([this] { left_.clear(); })) {}
+      flush_(l.make_timer([this] { flush(); })), sweep_(l.make_timer([this] { left_.clear(); })) {}
 DiscoveryService::~DiscoveryService() = default;
 
 std::string DiscoveryService::listen(const std::string& address) {
@@ -57,69 +57,69 @@
         [this](std::unique_ptr<net::Stream> s) {
             net::Stream& stream = *s;
             sessions_.push_back(std::make_unique<Session>(*this, std::move(s)));
-            loop_.use(stream, *sessions_.back());
+            loop_.attach(stream, *sessions_.back());
         },
         error);
     if (listener_) address_ = listener_->address();
     return listener_ ? "" : error;
 }
 
-v1::Entry DiscoveryService::aged(const Known& k) const {
-    v1::Entry e = k.entry;
-    e.set_up_for(k.started ? std::max<Nanos>(1, loop_.now() - k.started) : 0);
+v1::Endpoint DiscoveryService::aged(const Known& k) const {
+    v1::Endpoint e = k.entry;
+    e.set_uptime(k.started ? std::max<Nanos>(1, loop_.now() - k.started) : 0);
     return e;
 }
 
-void DiscoveryService::send(Session& s, const v1::FromList& m) {
+void DiscoveryService::send(Session& s, const v1::FromDiscovery& m) {
     if (!s.stream) return;
     std::string frame;
     net::encode_frame(frame, m);
     s.stream->write(frame);
-    if (!m.has_entries()) return;
-    for (const v1::Entry& e : m.entries().entries()) {
+    if (!m.has_update()) return;
+    for (const v1::Endpoint& e : m.update().endpoints()) {
         RecordedEvent l;
         l.at = loop_.now();
-        l.what = e.stage() == v1::Entry::SERVING    ? EventKind::list_serving
-                 : e.stage() == v1::Entry::DRAINING ? EventKind::list_draining
-                                                    : EventKind::list_gone;
+        l.kind = e.phase() == v1::Endpoint::SERVING    ? EventKind::list_serving
+                 : e.phase() == v1::Endpoint::DRAINING ? EventKind::list_draining
+                                                       : EventKind::list_gone;
         l.placer = s.placer;
-        l.node = e.node();
+        l.worker = e.worker();
         seen_.add(std::move(l));
     }
 }
 
 void DiscoveryService::tell(Session& s, const std::vector<std::string>& changed, bool whole) {
-    v1::FromList m;
+    v1::FromDiscovery m;
     if (old_since_) {
         m = old_view_;
-        m.mutable_entries()->set_number(number_);
-        m.mutable_entries()->set_age(loop_.now() - old_since_);
+        m.mutable_update()->set_sequence(number_);
+        m.mutable_update()->set_age(loop_.now() - old_since_);
         return send(s, m);
     }
-    v1::Entries& list = *m.mutable_entries();
-    list.set_whole(whole);
-    list.set_number(number_);
+    v1::EndpointUpdate& list = *m.mutable_update();
+    list.set_is_snapshot(whole);
+    list.set_sequence(number_);
     if (whole) {
         for (const auto& [name, k] : known_)
-            if (k.entry.stage() != v1::Entry::GONE) *list.add_entries() = aged(k);
+            if (k.entry.phase() != v1::Endpoint::GONE) *list.add_endpoints() = aged(k);
         old_.push_back(m);
         if (old_.size() > 20) old_.pop_front();
     } else {
-        for (const std::string& name : changed) *list.add_entries() = aged(known_.at(name));
+        for (const std::string& name : changed) *list.add_endpoints() = aged(known_.at(name));
     }
     send(s, m);
 }
 
-void DiscoveryService::put(const v1::Entry& e, Nanos started) {
-    known_[e.node()] = {e, started};
-    changes_.emplace_back(loop_.now() + late_, e.node());
+void DiscoveryService::put(const v1::Endpoint& e, Nanos started) {
+    known_[e.worker()] = {e, started};
+    changes_.emplace_back(loop_.now() + late_, e.worker());
     flush_->arm(changes_.front().first);
 }
 
 void DiscoveryService::remove(const std::string& node) {
     const auto it = known_.find(node);
     if (it == known_.end()) return;
-    it->second.entry.set_stage(v1::Entry::GONE);
+    it->second.entry.set_phase(v1::Endpoint::GONE);
     changes_.emplace_back(loop_.now() + late_, node);
     flush_->arm(changes_.front().first);
 }
@@ -167,14 +167,14 @@
     }
 }
 
-void DiscoveryService::be_old(Nanos age, const std::vector<v1::Entry>& ghosts,
+void DiscoveryService::be_old(Nanos age, const std::vector<v1::Endpoint>& ghosts,
                               const std::vector<std::string>& unknown) {
     old_since_ = loop_.now() - age;
-    old_view_.mutable_entries()->set_whole(true);
+    old_view_.mutable_update()->set_is_snapshot(true);
     for (const auto& [name, k] : known_)
         if (std::find(unknown.begin(), unknown.end(), name) == unknown.end())
-            *old_view_.mutable_entries()->add_entries() = aged(k);
-    for (const v1::Entry& e : ghosts) *old_view_.mutable_entries()->add_entries() = e;
+            *old_view_.mutable_update()->add_endpoints() = aged(k);
+    for (const v1::Endpoint& e : ghosts) *old_view_.mutable_update()->add_endpoints() = e;
 }
 
 void DiscoveryService::end_old() {
@@ -185,17 +185,17 @@
 }
 
 void DiscoveryService::name_none() {
-    v1::FromList m;
-    m.mutable_entries()->set_whole(true);
-    m.mutable_entries()->set_number(++number_);
+    v1::FromDiscovery m;
+    m.mutable_update()->set_is_snapshot(true);
+    m.mutable_update()->set_sequence(++number_);
     for (const auto& s : sessions_) send(*s, m);
 }
 
-void DiscoveryService::name_twice(const std::string& node, const v1::Entry& other) {
-    v1::FromList m;
-    m.mutable_entries()->set_number(++number_);
-    *m.mutable_entries()->add_entries() = other;
-    *m.mutable_entries()->add_entries() = aged(known_.at(node));
+void DiscoveryService::name_twice(const std::string& node, const v1::Endpoint& other) {
+    v1::FromDiscovery m;
+    m.mutable_update()->set_sequence(++number_);
+    *m.mutable_update()->add_endpoints() = other;
+    *m.mutable_update()->add_endpoints() = aged(known_.at(node));
     for (const auto& s : sessions_) send(*s, m);
 }
 
--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -28,24 +28,24 @@
         greeted = false;
         stream = owner.fleet_.loop.dial(address, *this);
     }
-    void connected() override {
-        v1::FromOwner m;
+    void on_connected() override {
+        v1::FromClient m;
         m.mutable_hello()->set_version(1);
         m.mutable_hello()->set_name(owner.name_);
         m.mutable_hello()->set_incarnation(1);
         send(m);
     }
-    std::size_t received(std::string_view in) override {
+    std::size_t on_received(std::string_view in) override {
         bool too_long = false;
         return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
-            v1::ToOwner m;
+            v1::ToClient m;
             if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
             owner.heard(*this, m);
             return stream != nullptr;
         });
     }
-    void closed(net::CloseReason) override { owner.lost(*this); }
-    void send(const v1::FromOwner& m) {
+    void on_closed(net::CloseReason) override { owner.lost(*this); }
+    void send(const v1::FromClient& m) {
         if (!stream) return;
         std::string frame;
         net::encode_frame(frame, m);
@@ -79,9 +79,9 @@
 RecordedEvent EmulatedClient::line(EventKind w, const Session& s, const Task& t) const {
     RecordedEvent l;
     l.at = fleet_.loop.now();
-    l.what = w;
+    l.kind = w;
     l.placer = s.placer;
-    l.container = t.ask.container;
+    l.task = t.ask.container;
     l.service = t.ask.service;
     l.group = t.ask.group;
     l.until = t.until;
@@ -94,7 +94,7 @@
     t->ask = a;
     t->due = fleet_.loop.now();
     t->until = t->due + a.queue_timeout;
-    ++counts_[static_cast<std::size_t>(a.group)].asked;
+    ++counts_[static_cast<std::size_t>(a.group)].requested;
     ++waiting_;
     send(*t, false);
 }
@@ -113,7 +113,7 @@
     const Nanos now = fleet_.loop.now();
     QueueGroupCounts& c = counts_[static_cast<std::size_t>(t.ask.group)];
     if (t.first && now >= t.until) {  // its queue timeout: the owner has given up
-        ++c.never;
+        ++c.abandoned;
         --waiting_;
         tasks_.erase(t.ask.container);
         return;
@@ -125,30 +125,30 @@
         if (next.greeted) s = &next;
     }
     if (!s) return send_later(t, 100 * kMillisecond);
-    if (again) ++c.again;
+    if (again) ++c.retried;
     t.id = next_id_++;
     t.at = s;
     t.may_run = false;
     s->open[t.id] = &t;
-    v1::FromOwner m;
-    v1::Offer& o = *m.mutable_offer();
+    v1::FromClient m;
+    v1::SubmitTask& o = *m.mutable_submit();
     o.set_id(t.id);
-    o.set_container(t.ask.container);
+    o.set_task(t.ask.container);
     o.set_service(t.ask.service);
-    o.set_group(fleet_.groups[static_cast<std::size_t>(t.ask.group)].name);
+    o.set_queue_group(fleet_.groups[static_cast<std::size_t>(t.ask.group)].name);
     o.set_cores(t.ask.cores);
     o.set_memory(t.ask.memory);
     if (!t.first) t.until = now + t.ask.queue_timeout;  // one that was placed and lost has its time anew
     o.set_time_left(t.until - now);
-    o.set_life_left(t.ask.life);
-    o.set_came_again(again);
+    o.set_expected_runtime(t.ask.life);
+    o.set_is_retry(again);
     RecordedEvent l = line(EventKind::offered, *s, t);
-    l.ask = t.id;
+    l.request = t.id;
     fleet_.seen.add(l);
     s->send(m);
 }
 
-void EmulatedClient::heard(Session& s, const v1::ToOwner& m) {
+void EmulatedClient::heard(Session& s, const v1::ToClient& m) {
     const Nanos now = fleet_.loop.now();
     if (m.has_hello()) {
         s.placer = m.hello().name() + "#" + std::to_string(m.hello().incarnation());
@@ -162,7 +162,7 @@
     };
     const auto note = [&](EventKind w, Task& t, std::string text = "") {
         RecordedEvent l = line(w, s, t);
-        l.ask = t.id;
+        l.request = t.id;
         l.text = std::move(text);
         fleet_.seen.add(std::move(l));
     };
@@ -172,35 +172,35 @@
         t.at = nullptr;
         t.node.clear();
     };
-    if (m.has_taken()) {
-        if (Task* t = find(m.taken().id())) note(EventKind::taken, *t);
+    if (m.has_received()) {
+        if (Task* t = find(m.received().id())) note(EventKind::taken, *t);
     } else if (m.has_placed()) {
         Task* t = find(m.placed().id());
         if (!t) return;
-        note(EventKind::placed, *t, m.placed().node());
-        t->node = m.placed().node();
+        note(EventKind::placed, *t, m.placed().worker());
+        t->node = m.placed().worker();
         QueueGroupCounts& c = counts_[static_cast<std::size_t>(t->ask.group)];
         if (t->first) {
-            ++c.placed;
+            ++c.accepted;
             --waiting_;
-            c.in_time +=
-                now - t->due <= fleet_.groups[static_cast<std::size_t>(t->ask.group)].terms.start_target;
+            c.in_time += now - t->due <=
+                         fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.start_objective;
         }
         t->first = false;
-    } else if (m.has_deferred()) {
-        Task* t = find(m.deferred().id());
+    } else if (m.has_rejected()) {
+        Task* t = find(m.rejected().id());
         if (!t) return;
-        note(EventKind::deferred, *t, m.deferred().why());
-        ++counts_[static_cast<std::size_t>(t->ask.group)].deferred;
+        note(EventKind::deferred, *t, m.rejected().reason());
+        ++counts_[static_cast<std::size_t>(t->ask.group)].rejected;
         over(*t);
-        send_later(*t, std::max<Nanos>(m.deferred().stay_away(), kAgain));
-    } else if (m.has_killed()) {
-        Task* t = find(m.killed().id());
+        send_later(*t, std::max<Nanos>(m.rejected().retry_after(), kAgain));
+    } else if (m.has_failed()) {
+        Task* t = find(m.failed().id());
         if (!t) return;
-        note(EventKind::killed, *t, m.killed().why());
-        ++counts_[static_cast<std::size_t>(t->ask.group)].killed;
+        note(EventKind::killed, *t, m.failed().reason());
+        ++counts_[static_cast<std::size_t>(t->ask.group)].failed;
         // It may run. What does no harm twice is asked for again; the rest waits to be found.
-        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].terms.effect == Effect::idempotent) {
+        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect == Effect::idempotent) {
             over(*t);
             send_later(*t, kAgain);
         } else {
@@ -208,7 +208,7 @@
             t->later = std::make_unique<ScheduledCall>([this, t] {
                 if (t->at) t->at->open.erase(t->id);
                 if (t->first) --waiting_;
-                ++counts_[static_cast<std::size_t>(t->ask.group)].never;
+                ++counts_[static_cast<std::size_t>(t->ask.group)].abandoned;
                 tasks_.erase(t->ask.container);
             });
             fleet_.arm(*t->later, now + kSettle);
@@ -219,30 +219,32 @@
         // It runs where a launch was given up: the same placer is asked to look after it.
         t->later.reset();
         over(*t);
-        t->node = m.found().node();
+        t->node = m.found().worker();
         if (t->first) --waiting_;
         t->first = false;
         t->may_run = false;
         s.orphans.push_back(t);
         hand_over(s);
-    } else if (m.has_over()) {
-        Task* t = find(m.over().id());
+    } else if (m.has_ended()) {
+        Task* t = find(m.ended().id());
         if (!t) return;
-        note(EventKind::over, *t, v1::Over::How_Name(m.over().how()));
+        note(EventKind::over, *t, v1::TaskEnded::Outcome_Name(m.ended().outcome()));
         over(*t);
-        if (m.over().how() == v1::Over::SERVED || m.over().how() == v1::Over::STOPPED) {
+        if (m.ended().outcome() == v1::TaskEnded::COMPLETED ||
+            m.ended().outcome() == v1::TaskEnded::CANCELLED) {
             tasks_.erase(t->ask.container);
             return;
         }
         // Lost, moved or sent away: it is still wanted. One that must not run twice has run.
-        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].terms.effect == Effect::side_effecting &&
-            m.over().how() != v1::Over::MOVED) {
+        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect ==
+                Effect::side_effecting &&
+            m.ended().outcome() != v1::TaskEnded::MIGRATED) {
             tasks_.erase(t->ask.container);
             return;
         }
-        send_later(*t, m.over().how() == v1::Over::MOVED  ? 50 * kMillisecond
-                       : m.over().how() == v1::Over::LOST ? kSettle
-                                                          : kAgain);
+        send_later(*t, m.ended().outcome() == v1::TaskEnded::MIGRATED ? 50 * kMillisecond
+                       : m.ended().outcome() == v1::TaskEnded::LOST   ? kSettle
+                                                                      : kAgain);
     }
 }
 
@@ -255,7 +257,7 @@
     if (was) {
         RecordedEvent l;
         l.at = fleet_.loop.now();
-        l.what = EventKind::placer_lost;
+        l.kind = EventKind::placer_lost;
         l.placer = s.placer;
         fleet_.seen.add(l);
     }
@@ -271,12 +273,12 @@
         }
         if (t->may_run) continue;  // its own clock runs
         const bool harmless =
-            fleet_.groups[static_cast<std::size_t>(t->ask.group)].terms.effect == Effect::idempotent;
+            fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect == Effect::idempotent;
         if (harmless) send_later(*t, kAgain);
         else {
             // Nobody knows whether it ran: it is left alone.
             if (t->first) --waiting_;
-            ++counts_[static_cast<std::size_t>(t->ask.group)].never;
+            ++counts_[static_cast<std::size_t>(t->ask.group)].abandoned;
             tasks_.erase(t->ask.container);
         }
     }
@@ -292,20 +294,20 @@
         t->id = next_id_++;
         t->at = &s;
         s.open[t->id] = t;
-        v1::FromOwner m;
-        v1::Offer& o = *m.mutable_hand_over()->mutable_offer();
+        v1::FromClient m;
+        v1::SubmitTask& o = *m.mutable_hand_over()->mutable_submit();
         o.set_id(t->id);
-        o.set_container(t->ask.container);
+        o.set_task(t->ask.container);
         o.set_service(t->ask.service);
-        o.set_group(fleet_.groups[static_cast<std::size_t>(t->ask.group)].name);
+        o.set_queue_group(fleet_.groups[static_cast<std::size_t>(t->ask.group)].name);
         o.set_cores(t->ask.cores);
         o.set_memory(t->ask.memory);
         o.set_time_left(t->ask.queue_timeout);
-        o.set_life_left(t->ask.life);
-        m.mutable_hand_over()->set_node(t->node);
+        o.set_expected_runtime(t->ask.life);
+        m.mutable_hand_over()->set_worker(t->node);
         RecordedEvent l = line(EventKind::handed_over, s, *t);
-        l.ask = t->id;
-        l.node = t->node;
+        l.request = t->id;
+        l.worker = t->node;
         fleet_.seen.add(l);
         s.send(m);
     }
@@ -319,11 +321,11 @@
                 ++it;
                 continue;
             }
-            v1::FromOwner m;
-            m.mutable_withdraw()->set_id(t.id);
+            v1::FromClient m;
+            m.mutable_cancel()->set_id(t.id);
             s->send(m);
             RecordedEvent l = line(EventKind::withdrawn, *s, t);
-            l.ask = t.id;
+            l.request = t.id;
             fleet_.seen.add(l);
             it = s->open.erase(it);
             --waiting_;
@@ -344,7 +346,7 @@
 }
 
 void EmulatedClient::read(std::size_t placer, bool on) {
-    if (sessions_[placer]->stream) sessions_[placer]->stream->read(on);
+    if (sessions_[placer]->stream) sessions_[placer]->stream->set_reading(on);
 }
 
 }  // namespace whinpost::emulator
--- a/emulator/emulated_client.h
+++ b/emulator/emulated_client.h
@@ -24,7 +24,8 @@
 };
 
 struct QueueGroupCounts {
-    std::uint64_t asked = 0, placed = 0, deferred = 0, killed = 0, in_time = 0, again = 0, never = 0;
+    std::uint64_t requested = 0, accepted = 0, rejected = 0, failed = 0, in_time = 0, retried = 0,
+                  abandoned = 0;
 };
 
 class EmulatedClient {
@@ -51,7 +52,7 @@
     struct Task;
     void send(Task&, bool again);
     void send_later(Task&, Nanos after);
-    void heard(Session&, const v1::ToOwner&);
+    void heard(Session&, const v1::ToClient&);
     void lost(Session&);
     void hand_over(Session&);
     RecordedEvent line(EventKind, const Session&, const Task&) const;
--- a/emulator/emulated_worker.h
+++ b/emulator/emulated_worker.h
@@ -66,7 +66,7 @@
 
 struct NamedQueueGroup {
     std::string name;
-    QueueGroup terms;
+    QueueGroup queue_group;
 };
 
 // What the nodes of a fleet share: the record, the marks by which repeats are known, and one wheel.
@@ -99,7 +99,7 @@
 class ScheduledCall final : public timer_wheel::Timer {
 public:
     explicit ScheduledCall(std::function<void()> f) : then(std::move(f)) {}
-    void due(Nanos) override {
+    void on_deadline(Nanos) override {
         const auto f = then;
         f();
     }
@@ -151,9 +151,9 @@
     void judge(Asked&);
     void begin_starts();
     void running(Container&);
-    void end(Container&, v1::Ended::How, v1::Reason);
-    void say(const std::string& placer, std::uint64_t incarnation, v1::FromNode, Nanos more = 0);
-    void remember(const std::string& placer, std::uint64_t incarnation, const v1::FromNode&,
+    void end(Container&, v1::AttemptEnded::Outcome, v1::Reason);
+    void say(const std::string& placer, std::uint64_t incarnation, v1::FromWorker, Nanos more = 0);
+    void remember(const std::string& placer, std::uint64_t incarnation, const v1::FromWorker&,
                   const std::string& container);
     void refuse(const Asked&, v1::Reason);
     void notes();
@@ -166,7 +166,7 @@
     bool over_rate(int group);
     bool too_late(const Asked&) const;
     void release_says();
-    v1::Report report();
+    v1::LoadReport report();
     void use();
     bool make_room(const Asked&);
     RecordedEvent line(EventKind, const std::string& placer, const std::string& container);
@@ -190,14 +190,14 @@
         std::string placer;
         std::uint64_t incarnation;
         Nanos at;
-        v1::FromNode message;
+        v1::FromWorker message;
         std::string container;
     };
     std::deque<Told> ends_;
     std::map<std::string, Nanos> programs_;  // when its last container ended
     std::unique_ptr<ScheduledCall> judging_, noting_, sending_away_, sweeping_, giving_;
     std::list<std::unique_ptr<ScheduledCall>> late_;
-    v1::Report report_;
+    v1::LoadReport report_;
     Nanos reported_ = -kSecond;
     ActiveFaults faults_;
     std::vector<std::function<void()>> unsaid_;  // while nothing it says arrives
--- a/emulator/event_log.cpp
+++ b/emulator/event_log.cpp
@@ -20,15 +20,15 @@
 std::string to_string(const RecordedEvent& l, Nanos start) {
     char at[32];
     std::snprintf(at, sizeof at, "%10.4f s  ", static_cast<double>(l.at - start) / 1e9);
-    std::string out = std::string(at) + to_string(l.what);
+    std::string out = std::string(at) + to_string(l.kind);
     const auto field = [&out](const char* key, const std::string& v) {
         if (!v.empty()) out += std::string(" ") + key + "=" + v;
     };
     field("placer", l.placer);
-    field("node", l.node);
-    field("container", l.container);
-    if (l.ask) field("ask", std::to_string(l.ask));
-    if (l.launch) field("launch", std::to_string(l.launch));
+    field("node", l.worker);
+    field("container", l.task);
+    if (l.request) field("ask", std::to_string(l.request));
+    if (l.attempt) field("launch", std::to_string(l.attempt));
     field("", l.text);
     return out;
 }
--- a/emulator/event_log.h
+++ b/emulator/event_log.h
@@ -47,24 +47,24 @@
 
 struct RecordedEvent {
     Nanos at = 0;
-    EventKind what{};
+    EventKind kind{};
     std::string placer;  // with its incarnation where a node or owner heard it: name#incarnation
-    std::string node;
-    std::string container;  // the key
+    std::string worker;
+    std::string task;  // the key
     std::string service;
     int group = -1;
-    std::uint64_t ask = 0, launch = 0;  // the placer's numbers
-    Nanos until = 0;                    // of an offer
+    std::uint64_t request = 0, attempt = 0;  // the placer's numbers
+    Nanos until = 0;                         // of an offer
     std::string text;
 };
 
 class EventLog {
 public:
-    void add(RecordedEvent l) { lines_.push_back(std::move(l)); }
-    const std::vector<RecordedEvent>& lines() const { return lines_; }
+    void add(RecordedEvent l) { events_.push_back(std::move(l)); }
+    const std::vector<RecordedEvent>& events() const { return events_; }
 
 private:
-    std::vector<RecordedEvent> lines_;
+    std::vector<RecordedEvent> events_;
 };
 
 std::string to_string(const RecordedEvent&, Nanos start);
--- a/emulator/invariant_checker.cpp
+++ b/emulator/invariant_checker.cpp
@@ -33,10 +33,10 @@
 public:
     InvariantChecker(const EventLog& seen, const RuleSettings& terms, Nanos end)
         : seen_(seen), terms_(terms), end_(end) {
-        for (const WorkerLocation& p : terms.places) places_[p.node] = p;
+        for (const WorkerLocation& p : terms.locations) places_[p.worker] = p;
     }
     Verdict run() {
-        for (const RecordedEvent& l : seen_.lines()) read(l);
+        for (const RecordedEvent& l : seen_.events()) read(l);
         for (const Together& t : together_) found(Violation::twice, "two launches out together", t.line);
         for (auto& [key, offers] : offers_)
             for (const ObservedRequest& o : offers) judge(key.first, o);
@@ -45,7 +45,7 @@
 
 private:
     void found(Violation::Rule r, std::string what, const RecordedEvent& l) {
-        verdict_.breaches.push_back({r, std::move(what), l});
+        verdict_.violations.push_back({r, std::move(what), l});
     }
 
     // Whether the script had laid trouble on the node at any time in [from, to].
@@ -66,28 +66,28 @@
     bool same(const std::string& a, const std::string& b, FailureDomain p) const {
         const auto x = places_.find(a), y = places_.find(b);
         if (p == FailureDomain::all) return true;
-        if (p == FailureDomain::machine || x == places_.end() || y == places_.end()) return a == b;
+        if (p == FailureDomain::worker || x == places_.end() || y == places_.end()) return a == b;
         if (p == FailureDomain::zone) return x->second.zone == y->second.zone;
         return x->second.cell == y->second.cell;
     }
-    const QueueGroup& group(int g) const { return terms_.groups.at(static_cast<std::size_t>(g)).terms; }
+    const QueueGroup& group(int g) const { return terms_.groups.at(static_cast<std::size_t>(g)).queue_group; }
 
     ObservedAttempt* find(const RecordedEvent& l) {
         const auto it = sent_.find(l.placer);
         if (it == sent_.end()) return nullptr;
-        const auto s = it->second.find(l.launch);
-        return s == it->second.end() || s->second.node != l.node ? nullptr : &s->second;
+        const auto s = it->second.find(l.attempt);
+        return s == it->second.end() || s->second.node != l.worker ? nullptr : &s->second;
     }
     ObservedRequest* offer(const RecordedEvent& l) {
-        const auto it = offers_.find({l.placer, l.container});
+        const auto it = offers_.find({l.placer, l.task});
         if (it == offers_.end()) return nullptr;
         for (ObservedRequest& o : it->second)
-            if (o.id == l.ask) return &o;
+            if (o.id == l.request) return &o;
         return nullptr;
     }
 
     void read(const RecordedEvent& l) {
-        switch (l.what) {
+        switch (l.kind) {
             case EventKind::launch:
                 return launch(l);
             case EventKind::stop:
@@ -105,40 +105,40 @@
                     s->over = l.at;
                     s->failed = s->failed || !s->accepted;
                 }
-                if (l.what == EventKind::finished) running_[l.container].erase(l.node);
+                if (l.kind == EventKind::finished) running_[l.task].erase(l.worker);
                 return;
             case EventKind::started:
                 return started(l);
             case EventKind::drain_said:
-                drains_[{l.placer, l.node}] = std::min(told(l), l.at);
+                drains_[{l.placer, l.worker}] = std::min(told(l), l.at);
                 return;
             case EventKind::list_draining:
             case EventKind::list_gone:
-                drains_[{l.placer, l.node}] = std::min(told(l), l.at);
+                drains_[{l.placer, l.worker}] = std::min(told(l), l.at);
                 return;
             case EventKind::list_serving:
-                drains_.erase({l.placer, l.node});
+                drains_.erase({l.placer, l.worker});
                 return;
             case EventKind::fell:
                 return found(Violation::pushed_over, "a cold node was sent more than it bears", l);
             case EventKind::node_trouble:
-                troubles_[l.node].emplace_back(l.at, 0);
+                troubles_[l.worker].emplace_back(l.at, 0);
                 if (l.text == "dead") dead(l);
                 return;
             case EventKind::node_well:
-                if (auto& t = troubles_[l.node]; !t.empty()) t.back().second = l.at;
+                if (auto& t = troubles_[l.worker]; !t.empty()) t.back().second = l.at;
                 return;
             case EventKind::link_lost:
                 if (const auto it = sent_.find(l.placer); it != sent_.end())
                     for (auto& [number, s] : it->second)
-                        if (s.node == l.node && !s.over && !s.broken) s.broken = l.at;
+                        if (s.node == l.worker && !s.over && !s.broken) s.broken = l.at;
                 std::erase_if(together_, [&l](const Together& t) {
-                    return t.line.placer == l.placer && t.node == l.node && t.until >= l.at;
+                    return t.line.placer == l.placer && t.node == l.worker && t.until >= l.at;
                 });
                 return;
             case EventKind::offered:
-                offers_[{l.placer, l.container}].push_back(
-                    {l.at, l.until, 0, l.container, l.group, l.ask, {}, 0, 0, 0});
+                offers_[{l.placer, l.task}].push_back(
+                    {l.at, l.until, 0, l.task, l.group, l.request, {}, 0, 0, 0});
                 return;
             case EventKind::handed_over:
             case EventKind::over:
@@ -173,16 +173,16 @@
     // nothing of which was sent first.
     void let_go(const RecordedEvent& stop) {
         std::erase_if(together_, [&stop](const Together& t) {
-            return t.line.placer == stop.placer && t.launch == stop.launch && t.node == stop.node &&
+            return t.line.placer == stop.placer && t.launch == stop.attempt && t.node == stop.worker &&
                    t.until >= stop.at;
         });
     }
     // All that ran there is gone with it.
     void dead(const RecordedEvent& l) {
-        for (auto& [container, nodes] : running_) nodes.erase(l.node);
+        for (auto& [container, nodes] : running_) nodes.erase(l.worker);
         for (auto& [placer, mine] : sent_)
             for (auto& [number, s] : mine)
-                if (s.node == l.node && !s.over && !s.broken) s.broken = l.at;
+                if (s.node == l.worker && !s.over && !s.broken) s.broken = l.at;
     }
     bool given_up(const std::string& placer, const ObservedAttempt& s) const {
         const auto it = offers_.find({placer, s.container});
@@ -193,24 +193,24 @@
         return false;
     }
     Nanos told(const RecordedEvent& l) const {
-        const auto it = drains_.find({l.placer, l.node});
+        const auto it = drains_.find({l.placer, l.worker});
         return it == drains_.end() ? INT64_MAX : it->second;
     }
 
     void launch(const RecordedEvent& l) {
         auto& mine = sent_[l.placer];
-        const bool timed = !troubled(l.node, l.at, l.at) && !stalled(l.placer, l.at, l.at);
+        const bool timed = !troubled(l.worker, l.at, l.at) && !stalled(l.placer, l.at, l.at);
         // Rule 3.
-        if (const auto it = drains_.find({l.placer, l.node}); it != drains_.end())
+        if (const auto it = drains_.find({l.placer, l.worker}); it != drains_.end())
             if (timed && l.at > it->second + terms_.drain_grace + terms_.slack)
                 found(Violation::drain, "sent to a node that the placer knew to drain", l);
-        if (!mine.emplace(l.launch,
-                          ObservedAttempt{l.at, l.node, l.container, l.service, l.group, l.ask, l.launch})
+        if (!mine.emplace(l.attempt,
+                          ObservedAttempt{l.at, l.worker, l.task, l.service, l.group, l.request, l.attempt})
                  .second)
             found(Violation::twice, "one launch reached nodes twice", l);
         const QueueGroup& g = group(l.group);
         // Rule 2: against the earlier launches of the same ask.
-        auto& asks = by_ask_[{l.placer, l.ask}];
+        auto& asks = by_ask_[{l.placer, l.request}];
         const ObservedAttempt* first_maybe = nullptr;
         for (const std::uint64_t number : asks) {
             const ObservedAttempt& s = mine.at(number);
@@ -224,16 +224,16 @@
         if (first_maybe) {
             if (g.effect == Effect::side_effecting)
                 found(Violation::twice, "launched again where an earlier launch may have run", l);
-            if (g.effect == Effect::fingerprinted) {
-                if (!same(first_maybe->node, l.node, g.repeats_dropped_by))
+            if (g.effect == Effect::keyed) {
+                if (!same(first_maybe->node, l.worker, g.deduplicated_by))
                     found(Violation::twice, "repeated outside the nodes that drop the repeat", l);
-                if (timed && l.at - first_maybe->at > g.repeat_window + terms_.slack)
+                if (timed && l.at - first_maybe->at > g.deduplication_window + terms_.slack)
                     found(Violation::twice, "repeated after the nodes' memory of it", l);
             }
         }
-        asks.push_back(l.launch);
+        asks.push_back(l.attempt);
         // Rule 1: nothing after the final answer.
-        if (const auto it = offers_.find({l.placer, l.container}); it != offers_.end() && timed) {
+        if (const auto it = offers_.find({l.placer, l.task}); it != offers_.end() && timed) {
             const ObservedRequest* last = nullptr;
             for (const ObservedRequest& o : it->second)
                 if (o.at <= l.at) last = &o;
@@ -242,30 +242,30 @@
                 found(Violation::lost, "launched after its final answer", l);
         }
         // Rule 5.
-        if (g.spread != FailureDomain::none) {
+        if (g.spread_domain != FailureDomain::none) {
             auto& numbers = by_service_[{l.placer, l.service}];
-            numbers.push_back(l.launch);
+            numbers.push_back(l.attempt);
             int there = 0;
             for (const std::uint64_t number : numbers) {
                 const ObservedAttempt& s = mine.at(number);
                 // Given up: another launch of the same ask, or its final answer, came after it.
-                if (number != l.launch && (s.ask == l.ask || given_up(l.placer, s))) continue;
-                there += same(s.node, l.node, g.spread) && !s.over && !s.stopped && !s.broken &&
+                if (number != l.attempt && (s.ask == l.request || given_up(l.placer, s))) continue;
+                there += same(s.node, l.worker, g.spread_domain) && !s.over && !s.stopped && !s.broken &&
                          !troubled(s.node, s.at, s.at);  // its answers may have been lost, and it given up
             }
-            if (there > g.most && timed)
+            if (there > g.max_per_domain && timed)
                 found(Violation::spread, "more of one service in one place than stated", l);
         }
     }
 
     void started(const RecordedEvent& l) {
-        auto& at = running_[l.container];
-        at.insert(l.node);
-        if (group(l.group).effect == Effect::side_effecting && !ran_.insert(l.container).second)
+        auto& at = running_[l.task];
+        at.insert(l.worker);
+        if (group(l.group).effect == Effect::side_effecting && !ran_.insert(l.task).second)
             found(Violation::twice, "a side-effecting container ran twice", l);
-        if (group(l.group).effect == Effect::fingerprinted)
+        if (group(l.group).effect == Effect::keyed)
             for (const std::string& other : at)
-                if (other != l.node && !same(other, l.node, group(l.group).repeats_dropped_by) &&
+                if (other != l.worker && !same(other, l.worker, group(l.group).deduplicated_by) &&
                     !troubled(other, l.at, l.at))
                     found(Violation::twice, "a fingerprinted container runs in two groups of nodes", l);
     }
@@ -275,29 +275,29 @@
         if (!o) return;
         if (++o->answers > 1) found(Violation::lost, "a second final answer", l);
         if (!o->answer) {
-            o->answer = l.what;
+            o->answer = l.kind;
             o->answered = l.at;
         }
-        if (l.what != EventKind::deferred) return;
+        if (l.kind != EventKind::deferred) return;
         // Rule 2: a deferral says that trying again is harmless.
         const QueueGroup& g = group(l.group);
         if (g.effect == Effect::idempotent ||
-            (g.effect == Effect::fingerprinted && g.repeats_dropped_by == FailureDomain::all))
+            (g.effect == Effect::keyed && g.deduplicated_by == FailureDomain::all))
             return;
         const auto it = sent_.find(l.placer);
         if (it == sent_.end()) return;
         for (const auto& [number, s] : it->second)
-            if (s.container == l.container && s.at >= o->at && !s.refused)
+            if (s.container == l.task && s.at >= o->at && !s.refused)
                 found(Violation::twice, "deferred where a launch may have run", l);
     }
 
     void judge(const std::string& placer, const ObservedRequest& o) {
         RecordedEvent l;
         l.at = o.until;
-        l.what = EventKind::offered;
+        l.kind = EventKind::offered;
         l.placer = placer;
-        l.container = o.container;
-        l.ask = o.id;
+        l.task = o.container;
+        l.request = o.id;
         const Nanos due = o.until + terms_.slack;
         if (o.let_go && (!o.answer || o.let_go < o.answered)) return;
         if (o.answer) {
@@ -336,10 +336,10 @@
 
 int Verdict::count(Violation::Rule r) const {
     return static_cast<int>(
-        std::count_if(breaches.begin(), breaches.end(), [r](const Violation& b) { return b.rule == r; }));
+        std::count_if(violations.begin(), violations.end(), [r](const Violation& b) { return b.rule == r; }));
 }
 
-std::string Verdict::line() const {
+std::string Verdict::summary() const {
     const auto n = [this](Violation::Rule r) { return std::to_string(count(r)); };
     return std::string(kept() ? "rules kept" : "RULES BROKEN") + ": lost " + n(Violation::lost) + ", twice " +
            n(Violation::twice) + ", drains " + n(Violation::drain) + ", pushed over " +
@@ -351,17 +351,17 @@
 }
 
 std::string describe(const EventLog& seen, const Violation& b, Nanos start) {
-    std::string out = "broken: " + b.what + "\n  " + to_string(b.line, start) + "\n  the record:\n";
-    for (const std::string& l : history_of(seen, b.line.container, start)) out += "    " + l + "\n";
+    std::string out = "broken: " + b.what + "\n  " + to_string(b.event, start) + "\n  the record:\n";
+    for (const std::string& l : history_of(seen, b.event.task, start)) out += "    " + l + "\n";
     return out;
 }
 
 std::vector<std::string> history_of(const EventLog& seen, const std::string& container, Nanos start) {
     std::vector<std::string> out;
     std::set<std::pair<std::string, std::uint64_t>> launches;
-    for (const RecordedEvent& l : seen.lines()) {
-        if (l.what == EventKind::launch && l.container == container) launches.insert({l.placer, l.launch});
-        if (l.container == container || (l.launch && launches.contains({l.placer, l.launch})))
+    for (const RecordedEvent& l : seen.events()) {
+        if (l.kind == EventKind::launch && l.task == container) launches.insert({l.placer, l.attempt});
+        if (l.task == container || (l.attempt && launches.contains({l.placer, l.attempt})))
             out.push_back(to_string(l, start));
     }
     return out;
--- a/emulator/invariant_checker.h
+++ b/emulator/invariant_checker.h
@@ -14,13 +14,13 @@
 namespace whinpost::emulator {
 
 struct WorkerLocation {  // of a node, for scopes
-    std::string node;
+    std::string worker;
     int zone = 0, cell = 0;
 };
 
 struct RuleSettings {
     std::vector<NamedQueueGroup> groups;
-    std::vector<WorkerLocation> places;
+    std::vector<WorkerLocation> locations;
     Nanos drain_grace = kSecond;
     Nanos slack = 50 * kMillisecond;  // for what a message takes, and a busy machine's scheduling
 };
@@ -28,14 +28,14 @@
 struct Violation {
     enum Rule { lost, twice, drain, pushed_over, spread } rule;
     std::string what;
-    RecordedEvent line;  // the one at which it shows
+    RecordedEvent event;  // the one at which it shows
 };
 
 struct Verdict {
-    std::vector<Violation> breaches;
+    std::vector<Violation> violations;
     int count(Violation::Rule) const;
-    bool kept() const { return breaches.empty(); }
-    std::string line() const;  // "rules kept: lost 0, twice 0, drains 0, pushed over 0, spread 0"
+    bool kept() const { return violations.empty(); }
+    std::string summary() const;  // "rules kept: lost 0, twice 0, drains 0, pushed over 0, spread 0"
 };
 
 // `end`: until when the record goes. What is still waiting then with time left is not judged.
--- a/emulator/scenario_run.cpp
+++ b/emulator/scenario_run.cpp
@@ -51,64 +51,67 @@
 
 void read_fault(Scenario& p, config::Table& t, const std::vector<std::string_view>& groups) {
     Fault f;
-    f.at = t.span("at_s", 0, p.length);
-    f.lasts = t.span("for_s", 0, p.length, 0);
-    f.what = static_cast<FaultKind>(t.word("do", kDo));
+    f.at = t.duration("at_s", 0, p.length);
+    f.duration = t.duration("for_s", 0, p.length, 0);
+    f.kind = static_cast<FaultKind>(t.choice("do", kDo));
     f.size = t.number("size", 0, 1e6, 1);
-    f.tell = t.truth("tell", true);
+    f.announce = t.boolean("tell", true);
     const bool share =
-        f.what == FaultKind::refuse || f.what == FaultKind::fail_starts || f.what == FaultKind::lose_answers;
-    if (share && f.size > 1) t.wrong("size", "is a share here: at most 1");
-    if (lasting(f.what) && !f.lasts) t.wrong("for_s", "is missing: this trouble lasts for a time");
-    if (f.what == FaultKind::rate || f.what == FaultKind::swell) {
-        if (f.what == FaultKind::rate || t.has("group")) f.group = static_cast<int>(t.word("group", groups));
+        f.kind == FaultKind::refuse || f.kind == FaultKind::fail_starts || f.kind == FaultKind::lose_answers;
+    if (share && f.size > 1) t.add_problem("size", "is a share here: at most 1");
+    if (lasting(f.kind) && !f.duration) t.add_problem("for_s", "is missing: this trouble lasts for a time");
+    if (f.kind == FaultKind::rate || f.kind == FaultKind::swell) {
+        if (f.kind == FaultKind::rate || t.has("group"))
+            f.group = static_cast<int>(t.choice("group", groups));
     }
-    if (f.what == FaultKind::cut) {
-        const std::size_t way = t.word("way", {"both", "in", "out"}, 0);
+    if (f.kind == FaultKind::cut) {
+        const std::size_t way = t.choice("way", {"both", "in", "out"}, 0);
         f.in = way != 2;
         f.out = way != 1;
     }
-    const auto waves = static_cast<std::size_t>(t.whole("waves", 1, 10'000, 1));
-    const Nanos every = waves > 1 ? t.span("every_s", kMillisecond, p.length) : 0;
-    if (at_nodes(f.what)) {
+    const auto waves = static_cast<std::size_t>(t.integer("waves", 1, 10'000, 1));
+    const Nanos every = waves > 1 ? t.duration("every_s", kMillisecond, p.length) : 0;
+    if (at_nodes(f.kind)) {
         const auto first =
-            static_cast<std::size_t>(t.whole("node", 0, static_cast<std::int64_t>(p.nodes) - 1, 0));
+            static_cast<std::size_t>(t.integer("node", 0, static_cast<std::int64_t>(p.workers) - 1, 0));
         const auto count =
-            static_cast<std::size_t>(t.whole("count", 1, static_cast<std::int64_t>(p.nodes - first), 1));
+            static_cast<std::size_t>(t.integer("count", 1, static_cast<std::int64_t>(p.workers - first), 1));
         if (t.has("zone")) {
-            const std::string name = t.text("zone");
+            const std::string name = t.string("zone");
             const auto at = std::find(p.zones.begin(), p.zones.end(), name);
-            if (at == p.zones.end()) t.wrong("zone", "must be one of fleet.zones");
-            for (std::size_t i = 0; i < p.nodes && !p.zones.empty(); ++i)
+            if (at == p.zones.end()) t.add_problem("zone", "must be one of fleet.zones");
+            for (std::size_t i = 0; i < p.workers && !p.zones.empty(); ++i)
                 if (static_cast<std::ptrdiff_t>(i % p.zones.size()) == at - p.zones.begin())
                     f.nodes.push_back(i);
         } else {
             for (std::size_t i = first; i < first + count; ++i) f.nodes.push_back(i);
         }
-        if (waves > f.nodes.size()) t.wrong("waves", "must be no more than the nodes it is for");
-    } else if (at_placer(f.what)) {
-        f.which = static_cast<std::size_t>(t.whole("placer", 0, static_cast<std::int64_t>(p.placers) - 1, 0));
-    } else if (at_owner(f.what)) {
-        f.which = static_cast<std::size_t>(t.whole("owner", 0, static_cast<std::int64_t>(p.owners) - 1, 0));
+        if (waves > f.nodes.size()) t.add_problem("waves", "must be no more than the nodes it is for");
+    } else if (at_placer(f.kind)) {
+        f.target =
+            static_cast<std::size_t>(t.integer("placer", 0, static_cast<std::int64_t>(p.placers) - 1, 0));
+    } else if (at_owner(f.kind)) {
+        f.target =
+            static_cast<std::size_t>(t.integer("owner", 0, static_cast<std::int64_t>(p.clients) - 1, 0));
     }
     if (f.at + static_cast<Nanos>(waves - 1) * every > p.length)
-        t.wrong("waves", "must all begin within the day");
+        t.add_problem("waves", "must all begin within the day");
     // The same trouble twice at once on one node, or any on what was killed for good, is a slip.
     std::size_t killed = 0;
     for (const Fault& o : p.faults) {
-        const bool meet = f.at < o.at + o.lasts && o.at < f.at + f.lasts;
+        const bool meet = f.at < o.at + o.duration && o.at < f.at + f.duration;
         for (const std::size_t n : f.nodes) {
             if (std::find(o.nodes.begin(), o.nodes.end(), n) == o.nodes.end()) continue;
-            if (o.what == f.what && meet) {
-                t.wrong("at_s", "overlaps with the same trouble on node " + std::to_string(n));
+            if (o.kind == f.kind && meet) {
+                t.add_problem("at_s", "overlaps with the same trouble on node " + std::to_string(n));
                 break;
             }
-            killed += o.what == FaultKind::kill && f.at > o.at;
+            killed += o.kind == FaultKind::kill && f.at > o.at;
         }
-        if (o.what == f.what && meet && f.nodes.empty() && o.which == f.which && o.group == f.group)
-            t.wrong("at_s", "overlaps with the same trouble named before");
+        if (o.kind == f.kind && meet && f.nodes.empty() && o.target == f.target && o.group == f.group)
+            t.add_problem("at_s", "overlaps with the same trouble named before");
     }
-    if (!f.nodes.empty() && killed >= f.nodes.size()) t.wrong("node", "is killed for good before");
+    if (!f.nodes.empty() && killed >= f.nodes.size()) t.add_problem("node", "is killed for good before");
     for (std::size_t w = 0; w < waves; ++w) {
         Fault one = f;
         one.at = f.at + static_cast<Nanos>(w) * every;
@@ -124,30 +127,32 @@
 // One that can never be checked is refused: it would pass for ever.
 Expectation read_expect(const Scenario& p, config::Table& t, const std::vector<std::string_view>& groups) {
     Expectation e;
-    e.of = static_cast<Metric>(t.word("of", kOf));
-    if (t.has("group")) e.group = static_cast<int>(t.word("group", groups));
-    e.from = t.span("from_s", 0, p.length, 0);
-    e.to = t.span("to_s", 0, p.length, p.length);
-    if (e.to <= e.from) t.wrong("to_s", "must be later than from_s");
-    const bool shares = e.of == Metric::placed || e.of == Metric::in_time || e.of == Metric::service ||
-                        e.of == Metric::worst_second || e.of == Metric::refused || e.of == Metric::busiest;
+    e.metric = static_cast<Metric>(t.choice("of", kOf));
+    if (t.has("group")) e.group = static_cast<int>(t.choice("group", groups));
+    e.from = t.duration("from_s", 0, p.length, 0);
+    e.to = t.duration("to_s", 0, p.length, p.length);
+    if (e.to <= e.from) t.add_problem("to_s", "must be later than from_s");
+    const bool shares = e.metric == Metric::placed || e.metric == Metric::in_time ||
+                        e.metric == Metric::service || e.metric == Metric::worst_second ||
+                        e.metric == Metric::refused || e.metric == Metric::busiest;
     const double most = shares ? 1 : 1e9;
     e.at_least = t.has("at_least");
-    if (e.at_least == t.has("at_most")) t.wrong("at_least", "or at_most must be there, and one of them only");
+    if (e.at_least == t.has("at_most"))
+        t.add_problem("at_least", "or at_most must be there, and one of them only");
     else e.bound = t.number(e.at_least ? "at_least" : "at_most", 0, most);
-    if (e.of == Metric::back) e.share = t.number("share", 0, 1);
+    if (e.metric == Metric::back) e.share = t.number("share", 0, 1);
     const auto any = [&p](auto which) { return std::any_of(p.faults.begin(), p.faults.end(), which); };
     if (e.group >= 0 && std::none_of(p.loads.begin(), p.loads.end(), [&e](const LoadProfile& l) {
-            return l.group == e.group && l.a_second > 0;
+            return l.group == e.group && l.per_second > 0;
         }))
-        t.wrong("group", "has no load: this can never be checked");
-    if (e.of == Metric::drain_lag && !any([](const Fault& f) { return f.what == FaultKind::drain; }))
-        t.wrong("of", "is about drains, and no node drains: this can never be checked");
-    if (e.of == Metric::fallen &&
-        !any([](const Fault& f) { return f.what == FaultKind::drain || f.what == FaultKind::rejoin; }))
-        t.wrong("of", "is about cold nodes, and none comes up: this can never be checked");
-    if (e.of == Metric::back && !any([&e](const Fault& f) { return f.at <= e.from; }))
-        t.wrong("from_s", "is before all troubles: there is nothing to be back from");
+        t.add_problem("group", "has no load: this can never be checked");
+    if (e.metric == Metric::drain_lag && !any([](const Fault& f) { return f.kind == FaultKind::drain; }))
+        t.add_problem("of", "is about drains, and no node drains: this can never be checked");
+    if (e.metric == Metric::fallen &&
+        !any([](const Fault& f) { return f.kind == FaultKind::drain || f.kind == FaultKind::rejoin; }))
+        t.add_problem("of", "is about cold nodes, and none comes up: this can never be checked");
+    if (e.metric == Metric::back && !any([&e](const Fault& f) { return f.at <= e.from; }))
+        t.add_problem("from_s", "is before all troubles: there is nothing to be back from");
     return e;
 }
 
@@ -155,104 +160,105 @@
                  std::size_t placers, std::size_t nodes) {
     Scenario p;
     config::Table root = file.root();
-    if (root.has("like")) root.text("like");  // whose tables were added by whoever read the file
-    if (!root.has("day")) root.wrong("day", "is missing: a table with length_s");
+    if (root.has("like")) root.string("like");  // whose tables were added by whoever read the file
+    if (!root.has("day")) root.add_problem("day", "is missing: a table with length_s");
     config::Table day = root.table("day");
-    p.name = day.text("name", "day");
-    p.length = day.span("length_s", kSecond, 24 * 3600 * kSecond, 30 * kSecond);
-    p.seed = static_cast<std::uint64_t>(day.whole("seed", 1, INT64_MAX, 1));
-    p.placers = static_cast<std::size_t>(day.whole("placers", 1, 1000, 1));
+    p.name = day.string("name", "day");
+    p.length = day.duration("length_s", kSecond, 24 * 3600 * kSecond, 30 * kSecond);
+    p.seed = static_cast<std::uint64_t>(day.integer("seed", 1, INT64_MAX, 1));
+    p.placers = static_cast<std::size_t>(day.integer("placers", 1, 1000, 1));
     if (placers) p.placers = placers;
-    p.owners = static_cast<std::size_t>(day.whole("owners", 1, 1000, 1));
-    p.list_pushes = day.truth("list_pushes", true);
-    p.slack = day.span("slack_ms", kMillisecond, 10 * kSecond, p.slack);
-    p.list_late = day.span("list_late_ms", 0, 3600 * kSecond, 500 * kMillisecond);
+    p.clients = static_cast<std::size_t>(day.integer("owners", 1, 1000, 1));
+    p.discovery_pushes = day.boolean("list_pushes", true);
+    p.slack = day.duration("slack_ms", kMillisecond, 10 * kSecond, p.slack);
+    p.discovery_delay = day.duration("list_late_ms", 0, 3600 * kSecond, 500 * kMillisecond);
 
-    if (!root.has("fleet")) root.wrong("fleet", "is missing: a table with nodes and zones");
+    if (!root.has("fleet")) root.add_problem("fleet", "is missing: a table with nodes and zones");
     config::Table fleet = root.table("fleet");
-    p.nodes = static_cast<std::size_t>(fleet.whole("nodes", 1, 100'000));
-    if (day.has("nodes")) p.nodes = static_cast<std::size_t>(day.whole("nodes", 1, 100'000));
-    if (nodes) p.nodes = nodes;
-    p.zones = fleet.texts("zones");
-    p.cells_in_zone = static_cast<int>(fleet.whole("cells_in_zone", 1, 10'000, 1));
-    EmulatedWorkerSettings& n = p.node;
+    p.workers = static_cast<std::size_t>(fleet.integer("nodes", 1, 100'000));
+    if (day.has("nodes")) p.workers = static_cast<std::size_t>(day.integer("nodes", 1, 100'000));
+    if (nodes) p.workers = nodes;
+    p.zones = fleet.strings("zones");
+    p.cells_per_zone = static_cast<int>(fleet.integer("cells_in_zone", 1, 10'000, 1));
+    EmulatedWorkerSettings& n = p.worker;
     const Nanos hour = 3600 * kSecond;
-    n.judge = fleet.span("judge_ms", 0, hour, n.judge);
-    n.line = static_cast<std::size_t>(fleet.whole("line", 1, 1'000'000, static_cast<std::int64_t>(n.line)));
-    n.starts = static_cast<int>(fleet.whole("starts", 1, 10'000, n.starts));
-    n.start = fleet.span("start_ms", kMillisecond, hour, n.start);
+    n.judge = fleet.duration("judge_ms", 0, hour, n.judge);
+    n.line = static_cast<std::size_t>(fleet.integer("line", 1, 1'000'000, static_cast<std::int64_t>(n.line)));
+    n.starts = static_cast<int>(fleet.integer("starts", 1, 10'000, n.starts));
+    n.start = fleet.duration("start_ms", kMillisecond, hour, n.start);
     n.without_program = fleet.number("without_program", 1, 1000, n.without_program);
-    n.program_kept = fleet.span("program_kept_ms", 0, hour, n.program_kept);
-    n.gives_turns = fleet.truth("gives_turns", false);
-    n.drawn_starts = fleet.truth("drawn_starts", false);
-    n.reports = fleet.truth("reports", true);
-    n.sends_away_every = fleet.span("sends_away_every_ms", 0, hour, 0);
-    n.report_every = fleet.span("report_every_ms", kMillisecond, hour, n.report_every);
+    n.program_kept = fleet.duration("program_kept_ms", 0, hour, n.program_kept);
+    n.gives_turns = fleet.boolean("gives_turns", false);
+    n.drawn_starts = fleet.boolean("drawn_starts", false);
+    n.reports = fleet.boolean("reports", true);
+    n.sends_away_every = fleet.duration("sends_away_every_ms", 0, hour, 0);
+    n.report_every = fleet.duration("report_every_ms", kMillisecond, hour, n.report_every);
 
     p.kinds = config::worker_kinds(root);
     for (const config::NamedQueueGroup& g : config::queue_groups(root, p.kinds.size()))
-        p.groups.push_back({g.name, g.terms});
+        p.groups.push_back({g.name, g.queue_group});
     const WorkerAcceptance accepts = config::worker_acceptance(root);
     const SlowStartSettings cold = config::slow_start_settings(root);
-    p.launches = config::retry_settings(root);
+    p.retry = config::retry_settings(root);
     config::prices(root);
     config::admission_limits(root);
     p.drain_grace = config::connection_settings(root).drain_grace;
     config::dial_limits(root);
     config::log_settings(root);
-    n.cores_multiple = accepts.cores_multiple;
-    n.memory_multiple = accepts.memory_multiple;
-    n.yes_on_running = accepts.yes_on_running;
+    n.cores_multiple = accepts.cores_overcommit;
+    n.memory_multiple = accepts.memory_overcommit;
+    n.yes_on_running = accepts.accepts_when_running;
     n.preempts = accepts.preempts;
     n.reports_use = accepts.reports_use;
-    n.notes_pressure = accepts.notes_pressure;
-    n.cold_from = cold.from;
-    n.warm_after = cold.warm_after;
-    n.fall_multiple = cold.multiple;
+    n.notes_pressure = accepts.reports_pressure;
+    n.cold_from = cold.initial_capacity;
+    n.warm_after = cold.warm_up_time;
+    n.fall_multiple = cold.overload_factor;
     n.fall_window = cold.window;
-    n.always_borne = cold.always_borne;
+    n.always_borne = cold.guaranteed_attempts;
 
     std::vector<std::string_view> group_names;
     for (const NamedQueueGroup& g : p.groups) group_names.push_back(g.name);
     const double factor = day.number("load", 0, 1000, 1);
     for (config::Table& t : root.tables("load")) {
         LoadProfile l;
-        l.group = static_cast<int>(t.word("group", group_names));
-        l.a_second = factor * t.number("a_second", 0, 1e6);
-        l.services = static_cast<int>(t.whole("services", 1, 100'000, 4));
-        l.batch = static_cast<int>(t.whole("batch", 1, 10'000, 1));
+        l.group = static_cast<int>(t.choice("group", group_names));
+        l.per_second = factor * t.number("a_second", 0, 1e6);
+        l.services = static_cast<int>(t.integer("services", 1, 100'000, 4));
+        l.batch_size = static_cast<int>(t.integer("batch", 1, 10'000, 1));
         l.cores = amounts(t, "cores");
         l.memory = amounts(t, "memory");
-        if (l.cores.size() != l.memory.size()) t.wrong("memory", "must have as many shapes as cores");
-        l.queue_timeout = t.span("queue_timeout_ms", 10 * kMillisecond, hour);
-        l.life_least = t.span("life_least_ms", kMillisecond, hour, l.life_least);
-        l.life_most = t.span("life_most_ms", l.life_least, hour, std::max(l.life_least, l.life_most));
+        if (l.cores.size() != l.memory.size()) t.add_problem("memory", "must have as many shapes as cores");
+        l.queue_timeout = t.duration("queue_timeout_ms", 10 * kMillisecond, hour);
+        l.min_runtime = t.duration("life_least_ms", kMillisecond, hour, l.min_runtime);
+        l.max_runtime =
+            t.duration("life_most_ms", l.min_runtime, hour, std::max(l.min_runtime, l.max_runtime));
         p.loads.push_back(l);
     }
-    if (p.loads.empty()) root.wrong("load", "must name one load or more");
-    p.lean = day.number("lean", 0, 1, 0);
+    if (p.loads.empty()) root.add_problem("load", "must name one load or more");
+    p.first_placer_share = day.number("lean", 0, 1, 0);
     if (root.has("network")) {
         config::Table net = root.table("network");
-        p.network.least = net.span("least_ms", 0, 10 * kSecond, p.network.least);
-        p.network.spread = net.span("spread_ms", 0, 10 * kSecond, p.network.spread);
+        p.network.least = net.duration("least_ms", 0, 10 * kSecond, p.network.least);
+        p.network.spread = net.duration("spread_ms", 0, 10 * kSecond, p.network.spread);
         p.network.late_share = net.number("late_share", 0, 1, 0);
-        p.network.late = net.span("late_ms", 0, 10 * kSecond, 0);
+        p.network.late = net.duration("late_ms", 0, 10 * kSecond, 0);
         // An offer and its answer are each on the way for up to that: what owners see is so much later than
         // what the placer did.
         p.slack += 2 * (p.network.least + p.network.spread + p.network.late);
     }
     if (root.has("list_at_start")) {
         config::Table old = root.table("list_at_start");
-        p.old_list.age = old.span("age_s", kSecond, 30 * 24 * hour);
-        p.old_list.lasts = old.span("for_s", kSecond, p.length);
-        p.old_list.ghosts = static_cast<std::size_t>(old.whole("ghosts", 0, 100'000, 0));
-        p.old_list.missing =
-            static_cast<std::size_t>(old.whole("missing", 0, static_cast<std::int64_t>(p.nodes), 0));
+        p.stale_discovery.age = old.duration("age_s", kSecond, 30 * 24 * hour);
+        p.stale_discovery.lasts = old.duration("for_s", kSecond, p.length);
+        p.stale_discovery.ghosts = static_cast<std::size_t>(old.integer("ghosts", 0, 100'000, 0));
+        p.stale_discovery.missing =
+            static_cast<std::size_t>(old.integer("missing", 0, static_cast<std::int64_t>(p.workers), 0));
     }
     for (config::Table& t : root.tables("fault")) read_fault(p, t, group_names);
     std::stable_sort(p.faults.begin(), p.faults.end(),
                      [](const Fault& a, const Fault& b) { return a.at < b.at; });
-    for (config::Table& t : root.tables("expect")) p.expects.push_back(read_expect(p, t, group_names));
+    for (config::Table& t : root.tables("expect")) p.expectations.push_back(read_expect(p, t, group_names));
     problems = file.problems();
     if (!problems.empty()) return p;
     toml::table all = toml::parse(text);
@@ -282,7 +288,7 @@
         << "\"\nzone = \"" << p.zones[i % p.zones.size()] << "\"\nzones = [";
     for (std::size_t z = 0; z < p.zones.size(); ++z) out << (z ? ", " : "") << '"' << p.zones[z] << '"';
     out << "]\nplacers = " << p.placers << "\nme = " << i << "\n\n[list]\naddress = \"" << list
-        << "\"\nmode = \"" << (p.list_pushes ? "push" : "on_request") << "\"\n";
+        << "\"\nmode = \"" << (p.discovery_pushes ? "push" : "on_request") << "\"\n";
     return out.str();
 }
 
@@ -290,211 +296,217 @@
 
 ScenarioRun::ScenarioRun(const Scenario& plan, TestEnvironment& ground,
                          std::function<void(const std::string&)> progress)
-    : plan_(plan), ground_(ground), progress_(std::move(progress)),
-      fleet_(std::make_unique<EmulatedFleet>(ground.loop(), seen_, plan.groups, plan.seed)),
-      chance_(static_cast<std::ranlux24_base::result_type>(plan.seed * 7919 + 1)) {}
+    : scenario_(plan), environment_(ground), progress_(std::move(progress)),
+      fleet_(std::make_unique<EmulatedFleet>(ground.loop(), events_, plan.groups, plan.seed)),
+      random_(static_cast<std::ranlux24_base::result_type>(plan.seed * 7919 + 1)) {}
 
 ScenarioRun::~ScenarioRun() = default;
 
-void ScenarioRun::later(Nanos at, std::function<void()> f) {
-    laters_.push_back(std::make_unique<ScheduledCall>(std::move(f)));
-    fleet_->arm(*laters_.back(), at);
-    if (laters_.size() > 4096) std::erase_if(laters_, [](const auto& l) { return !l->armed(); });
+void ScenarioRun::schedule(Nanos at, std::function<void()> f) {
+    scheduled_.push_back(std::make_unique<ScheduledCall>(std::move(f)));
+    fleet_->arm(*scheduled_.back(), at);
+    if (scheduled_.size() > 4096) std::erase_if(scheduled_, [](const auto& l) { return !l->armed(); });
 }
 
-std::string ScenarioRun::raise(std::size_t i, const std::string& name, const std::string& address,
-                               Nanos started) {
-    WorkerSlot& at = places_[i];
-    EmulatedWorkerSettings terms = plan_.node;
-    terms.cores = plan_.kinds[static_cast<std::size_t>(at.kind)].cores;
-    terms.memory = plan_.kinds[static_cast<std::size_t>(at.kind)].memory;
+std::string ScenarioRun::start_worker(std::size_t i, const std::string& name, const std::string& address,
+                                      Nanos started) {
+    WorkerSlot& at = slots_[i];
+    EmulatedWorkerSettings terms = scenario_.worker;
+    terms.cores = scenario_.kinds[static_cast<std::size_t>(at.kind)].cores;
+    terms.memory = scenario_.kinds[static_cast<std::size_t>(at.kind)].memory;
     terms.kind = at.kind;
-    if (nodes_[i]) dead_.push_back(std::move(nodes_[i]));
-    nodes_[i] = std::make_unique<EmulatedWorker>(*fleet_, ground_.node_loop(name, at.zone), name, at.zone,
-                                                 at.cell, terms, next_incarnation_++, started);
-    const std::string wrong = nodes_[i]->listen(address);
+    if (workers_[i]) dead_workers_.push_back(std::move(workers_[i]));
+    workers_[i] = std::make_unique<EmulatedWorker>(*fleet_, environment_.worker_loop(name, at.zone), name,
+                                                   at.zone, at.cell, terms, next_incarnation_++, started);
+    const std::string wrong = workers_[i]->listen(address);
     if (!wrong.empty()) return name + " can't listen on " + address + ": " + wrong;
     at.name = name;
-    at.address = nodes_[i]->address();
+    at.address = workers_[i]->address();
     at.started = started;
-    all_places_.push_back({name, at.zone, at.cell});
+    locations_.push_back({name, at.zone, at.cell});
     return "";
 }
 
 std::string ScenarioRun::start(std::function<void(const RunResult&)> done) {
     done_ = std::move(done);
-    list_ = std::make_unique<DiscoveryService>(ground_.loop(), seen_, plan_.list_pushes, plan_.list_late, 1);
-    std::string wrong = list_->listen(ground_.list_address());
+    discovery_ = std::make_unique<DiscoveryService>(environment_.loop(), events_, scenario_.discovery_pushes,
+                                                    scenario_.discovery_delay, 1);
+    std::string wrong = discovery_->listen(environment_.discovery_address());
     if (!wrong.empty()) return "the list service can't listen: " + wrong;
-    nodes_.resize(plan_.nodes);
-    const int zones = static_cast<int>(plan_.zones.size());
-    for (std::size_t i = 0; i < plan_.nodes; ++i) {
+    workers_.resize(scenario_.workers);
+    const int zones = static_cast<int>(scenario_.zones.size());
+    for (std::size_t i = 0; i < scenario_.workers; ++i) {
         const int zone = static_cast<int>(i) % zones;
-        const int cell = zone * plan_.cells_in_zone + static_cast<int>(i) / zones % plan_.cells_in_zone;
-        places_.push_back({"", "", zone, cell, static_cast<int>(i % plan_.kinds.size()), 0, 0});
-        const std::string name = "node-" + std::to_string(next_node_++);
-        wrong = raise(i, name, ground_.node_address(name), 0);
+        const int cell =
+            zone * scenario_.cells_per_zone + static_cast<int>(i) / zones % scenario_.cells_per_zone;
+        slots_.push_back({"", "", zone, cell, static_cast<int>(i % scenario_.kinds.size()), 0, 0});
+        const std::string name = "node-" + std::to_string(next_worker_++);
+        wrong = start_worker(i, name, environment_.worker_address(name), 0);
         if (!wrong.empty()) return wrong;
-        put(i);
+        publish(i);
     }
-    if (plan_.old_list.age) {
-        std::vector<v1::Entry> ghosts;
-        for (std::size_t i = 0; i < plan_.old_list.ghosts; ++i) {
-            v1::Entry e;
-            e.set_node("former-" + std::to_string(i));
-            e.set_address(ground_.nowhere(i));
-            e.set_zone(static_cast<std::uint32_t>(i % plan_.zones.size()));
-            e.set_cell(static_cast<std::uint32_t>(i % plan_.zones.size()) *
-                       static_cast<std::uint32_t>(plan_.cells_in_zone));
+    if (scenario_.stale_discovery.age) {
+        std::vector<v1::Endpoint> ghosts;
+        for (std::size_t i = 0; i < scenario_.stale_discovery.ghosts; ++i) {
+            v1::Endpoint e;
+            e.set_worker("former-" + std::to_string(i));
+            e.set_address(environment_.dead_address(i));
+            e.set_zone(static_cast<std::uint32_t>(i % scenario_.zones.size()));
+            e.set_cell(static_cast<std::uint32_t>(i % scenario_.zones.size()) *
+                       static_cast<std::uint32_t>(scenario_.cells_per_zone));
             e.set_kind(0);
-            e.set_free_cores(plan_.kinds[0].cores);
-            e.set_free_memory(plan_.kinds[0].memory);
+            e.set_free_cores(scenario_.kinds[0].cores);
+            e.set_free_memory(scenario_.kinds[0].memory);
             ghosts.push_back(e);
         }
         std::vector<std::string> unknown;
-        for (std::size_t i = 0; i < plan_.old_list.missing; ++i) unknown.push_back(places_[i].name);
-        list_->be_old(plan_.old_list.age, ghosts, unknown);
+        for (std::size_t i = 0; i < scenario_.stale_discovery.missing; ++i) unknown.push_back(slots_[i].name);
+        discovery_->be_old(scenario_.stale_discovery.age, ghosts, unknown);
     }
     std::vector<std::string> placers;
-    for (std::size_t i = 0; i < plan_.placers; ++i) {
-        placers.push_back(ground_.placer_address(i));
-        ground_.start_placer(i, placer_configuration(plan_, i, placers.back(), list_->address()));
+    for (std::size_t i = 0; i < scenario_.placers; ++i) {
+        placers.push_back(environment_.placer_address(i));
+        environment_.start_placer(i,
+                                  placer_configuration(scenario_, i, placers.back(), discovery_->address()));
     }
-    for (std::size_t i = 0; i < plan_.owners; ++i) {
-        owners_.push_back(
-            std::make_unique<EmulatedClient>(*fleet_, "owner-" + std::to_string(i), placers, plan_.lean));
-        owners_.back()->connect();
+    for (std::size_t i = 0; i < scenario_.clients; ++i) {
+        clients_.push_back(std::make_unique<EmulatedClient>(*fleet_, "owner-" + std::to_string(i), placers,
+                                                            scenario_.first_placer_share));
+        clients_.back()->connect();
     }
-    await(ground_.loop().now() + 20 * kSecond);
+    await_connections(environment_.loop().now() + 20 * kSecond);
     return "";
 }
 
 // The day begins when every owner has every placer, and the first list had its time.
-void ScenarioRun::await(Nanos give_up) {
+void ScenarioRun::await_connections(Nanos give_up) {
     bool all = true;
-    for (const auto& o : owners_)
-        for (std::size_t i = 0; i < plan_.placers; ++i) all = all && o->connected(i);
-    const Nanos now = ground_.loop().now();
-    if (all || now > give_up) later(now + plan_.list_late + 500 * kMillisecond, [this] { begin(); });
-    else later(now + 50 * kMillisecond, [this, give_up] { await(give_up); });
+    for (const auto& o : clients_)
+        for (std::size_t i = 0; i < scenario_.placers; ++i) all = all && o->connected(i);
+    const Nanos now = environment_.loop().now();
+    if (all || now > give_up)
+        schedule(now + scenario_.discovery_delay + 500 * kMillisecond, [this] { begin(); });
+    else schedule(now + 50 * kMillisecond, [this, give_up] { await_connections(give_up); });
 }
 
 void ScenarioRun::begin() {
-    began_ = ground_.loop().now();
-    for (std::size_t i = 0; i < plan_.loads.size(); ++i) arrive(i);
-    for (const Fault& f : plan_.faults) {
-        later(began_ + f.at, [this, &f] { lay(f); });
-        if (f.lasts) later(began_ + f.at + f.lasts, [this, &f] { lift(f); });
+    started_at_ = environment_.loop().now();
+    for (std::size_t i = 0; i < scenario_.loads.size(); ++i) on_arrival(i);
+    for (const Fault& f : scenario_.faults) {
+        schedule(started_at_ + f.at, [this, &f] { inject(f); });
+        if (f.duration) schedule(started_at_ + f.at + f.duration, [this, &f] { heal(f); });
     }
-    if (plan_.old_list.age) later(began_ + plan_.old_list.lasts, [this] { list_->end_old(); });
-    refresh();
+    if (scenario_.stale_discovery.age)
+        schedule(started_at_ + scenario_.stale_discovery.lasts, [this] { discovery_->end_old(); });
+    publish_all();
     tell_progress();
     sample();
-    later(began_ + plan_.length, [this] { finish(); });
+    schedule(started_at_ + scenario_.length, [this] { finish(); });
 }
 
-void ScenarioRun::arrive(std::size_t i) {
-    const LoadProfile& l = plan_.loads[i];
-    const Nanos now = ground_.loop().now();
-    if (now >= began_ + plan_.length) return;
-    if (now > began_) {
-        const auto roll = [this](std::size_t n) { return static_cast<std::size_t>(chance_()) % n; };
-        const std::string service = plan_.groups[static_cast<std::size_t>(l.group)].name + "-" +
+void ScenarioRun::on_arrival(std::size_t i) {
+    const LoadProfile& l = scenario_.loads[i];
+    const Nanos now = environment_.loop().now();
+    if (now >= started_at_ + scenario_.length) return;
+    if (now > started_at_) {
+        const auto roll = [this](std::size_t n) { return static_cast<std::size_t>(random_()) % n; };
+        const std::string service = scenario_.groups[static_cast<std::size_t>(l.group)].name + "-" +
                                     std::to_string(roll(static_cast<std::size_t>(l.services)));
         const std::size_t shape = stable_hash(service) % l.cores.size();
-        for (int k = 0; k < l.batch; ++k) {
+        for (int k = 0; k < l.batch_size; ++k) {
             TaskRequest a;
-            a.container = "c" + std::to_string(next_container_++);
+            a.container = "c" + std::to_string(next_task_++);
             a.service = service;
             a.group = l.group;
             a.cores = l.cores[shape];
             a.memory = l.memory[shape];
             a.queue_timeout = l.queue_timeout;
-            a.life = l.life_least + static_cast<Nanos>(static_cast<double>(roll(4096)) / 4096 *
-                                                       static_cast<double>(l.life_most - l.life_least));
-            std::size_t who = roll(owners_.size());
-            for (std::size_t tried = 0; owners_[who]->left() && tried < owners_.size(); ++tried)
-                who = (who + 1) % owners_.size();
-            owners_[who]->ask(a);
+            a.life = l.min_runtime + static_cast<Nanos>(static_cast<double>(roll(4096)) / 4096 *
+                                                        static_cast<double>(l.max_runtime - l.min_runtime));
+            std::size_t who = roll(clients_.size());
+            for (std::size_t tried = 0; clients_[who]->left() && tried < clients_.size(); ++tried)
+                who = (who + 1) % clients_.size();
+            clients_[who]->ask(a);
         }
     }
-    const double u = (static_cast<double>(chance_() % 65536) + 1) / 65537;
-    const double gap = -std::log(u) / std::max(1e-9, l.a_second * burst_ / l.batch);
-    later(now + std::max<Nanos>(1, static_cast<Nanos>(gap * 1e9)), [this, i] { arrive(i); });
+    const double u = (static_cast<double>(random_() % 65536) + 1) / 65537;
+    const double gap = -std::log(u) / std::max(1e-9, l.per_second * burst_ / l.batch_size);
+    schedule(now + std::max<Nanos>(1, static_cast<Nanos>(gap * 1e9)), [this, i] { on_arrival(i); });
 }
 
-void ScenarioRun::put(std::size_t i) {
-    v1::Entry e;
-    const WorkerSlot& at = places_[i];
-    e.set_node(at.name);
+void ScenarioRun::publish(std::size_t i) {
+    v1::Endpoint e;
+    const WorkerSlot& at = slots_[i];
+    e.set_worker(at.name);
     e.set_address(at.address);
     e.set_zone(static_cast<std::uint32_t>(at.zone));
     e.set_cell(static_cast<std::uint32_t>(at.cell));
     e.set_kind(static_cast<std::uint32_t>(at.kind));
-    const EmulatedWorker* n = nodes_[i].get();
+    const EmulatedWorker* n = workers_[i].get();
     if (!n) return;
     e.set_free_cores(n->free_cores());
     e.set_free_memory(n->free_memory());
-    e.set_stage(n->draining() ? v1::Entry::DRAINING : v1::Entry::SERVING);
-    list_->put(e, at.started);
+    e.set_phase(n->draining() ? v1::Endpoint::DRAINING : v1::Endpoint::SERVING);
+    discovery_->put(e, at.started);
 }
 
-void ScenarioRun::refresh() {
-    for (std::size_t i = 0; i < nodes_.size(); ++i) put(i);
-    if (!over_) later(ground_.loop().now() + 500 * kMillisecond, [this] { refresh(); });
+void ScenarioRun::publish_all() {
+    for (std::size_t i = 0; i < workers_.size(); ++i) publish(i);
+    if (!finished_) schedule(environment_.loop().now() + 500 * kMillisecond, [this] { publish_all(); });
 }
 
-void ScenarioRun::trouble(std::size_t i, bool on) {
-    WorkerSlot& at = places_[i];
-    if (on && at.troubles++ == 0 && nodes_[i]) nodes_[i]->trouble(true);
-    if (!on && --at.troubles == 0 && nodes_[i]) nodes_[i]->trouble(false);
+void ScenarioRun::mark_fault(std::size_t i, bool on) {
+    WorkerSlot& at = slots_[i];
+    if (on && at.troubles++ == 0 && workers_[i]) workers_[i]->trouble(true);
+    if (!on && --at.troubles == 0 && workers_[i]) workers_[i]->trouble(false);
 }
 
-void ScenarioRun::lay(const Fault& f) {
-    const Nanos now = ground_.loop().now();
-    progress_("fault " + std::string(kDo[static_cast<std::size_t>(f.what)]) +
+void ScenarioRun::inject(const Fault& f) {
+    const Nanos now = environment_.loop().now();
+    progress_("fault " + std::string(kDo[static_cast<std::size_t>(f.kind)]) +
               (f.nodes.empty() ? "" : " on " + std::to_string(f.nodes.size()) + " node(s)"));
     const auto each = [&](auto then) {
         for (const std::size_t i : f.nodes)
-            if (nodes_[i]) then(i);
+            if (workers_[i]) then(i);
     };
     const auto with = [&](auto change) {
         each([&](std::size_t i) {
-            ActiveFaults now_in_force = nodes_[i]->faults();
+            ActiveFaults now_in_force = workers_[i]->faults();
             change(now_in_force);
-            trouble(i, true);
-            nodes_[i]->set(now_in_force);
+            mark_fault(i, true);
+            workers_[i]->set(now_in_force);
         });
     };
     const auto dies = [this](std::size_t i) {
-        seen_.add({ground_.loop().now(), EventKind::node_trouble, "", nodes_[i]->name(), "", "", -1, 0, 0, 0,
-                   "dead"});
-        ground_.node_killed(nodes_[i]->name());
-        nodes_[i].reset();
+        events_.add({environment_.loop().now(), EventKind::node_trouble, "", workers_[i]->name(), "", "", -1,
+                     0, 0, 0, "dead"});
+        environment_.on_worker_killed(workers_[i]->name());
+        workers_[i].reset();
     };
-    switch (f.what) {
+    switch (f.kind) {
         case FaultKind::drain:
             each([&](std::size_t i) {
-                nodes_[i]->drain(f.tell);
-                put(i);
+                workers_[i]->drain(f.announce);
+                publish(i);
             });
             break;
         case FaultKind::kill:
             each([&](std::size_t i) {
-                const std::string name = places_[i].name;
+                const std::string name = slots_[i].name;
                 dies(i);
-                later(now + plan_.list_late + kSecond, [this, name] { list_->remove(name); });
+                schedule(now + scenario_.discovery_delay + kSecond,
+                         [this, name] { discovery_->remove(name); });
             });
             break;
         case FaultKind::rejoin:
             each([&](std::size_t i) {
-                const WorkerSlot at = places_[i];
+                const WorkerSlot at = slots_[i];
                 dies(i);
-                later(now + 300 * kMillisecond, [this, i, at] {
-                    raise(i, at.name, at.address, ground_.loop().now());
-                    seen_.add(
-                        {ground_.loop().now(), EventKind::node_well, "", at.name, "", "", -1, 0, 0, 0, ""});
-                    put(i);
+                schedule(now + 300 * kMillisecond, [this, i, at] {
+                    start_worker(i, at.name, at.address, environment_.loop().now());
+                    events_.add({environment_.loop().now(), EventKind::node_well, "", at.name, "", "", -1, 0,
+                                 0, 0, ""});
+                    publish(i);
                 });
             });
             break;
@@ -521,12 +533,12 @@
             break;
         case FaultKind::cut:
             each([&](std::size_t i) {
-                trouble(i, true);
-                if (ground_.cut(nodes_[i]->name(), f.in, f.out)) return;
-                ActiveFaults x = nodes_[i]->faults();
+                mark_fault(i, true);
+                if (environment_.cut(workers_[i]->name(), f.in, f.out)) return;
+                ActiveFaults x = workers_[i]->faults();
                 x.deaf = f.in;
                 x.mute = f.out;
-                nodes_[i]->set(x);
+                workers_[i]->set(x);
             });
             break;
         case FaultKind::pause:
@@ -543,52 +555,52 @@
             break;
         case FaultKind::reset:
             each([&](std::size_t i) {
-                trouble(i, true);
-                nodes_[i]->drop_connections();
-                trouble(i, false);
+                mark_fault(i, true);
+                workers_[i]->drop_connections();
+                mark_fault(i, false);
             });
             break;
         case FaultKind::list_still:
-            list_->stand_still(true);
+            discovery_->stand_still(true);
             break;
         case FaultKind::list_down:
-            list_->down(true);
+            discovery_->down(true);
             break;
         case FaultKind::list_backwards:
-            list_->go_backwards();
+            discovery_->go_backwards();
             break;
         case FaultKind::list_none:
-            list_->name_none();
+            discovery_->name_none();
             // It is right again with the next changes, which name all.
             break;
         case FaultKind::list_twice:
             each([&](std::size_t i) {
-                v1::Entry other;
-                other.set_node(places_[i].name);
-                other.set_address(places_[i].address);
-                other.set_stage(v1::Entry::SERVING);
+                v1::Endpoint other;
+                other.set_worker(slots_[i].name);
+                other.set_address(slots_[i].address);
+                other.set_phase(v1::Endpoint::SERVING);
                 other.set_free_cores(1e6);
-                list_->name_twice(places_[i].name, other);
+                discovery_->name_twice(slots_[i].name, other);
             });
             break;
         case FaultKind::placer_kill:
-            seen_.add({now, EventKind::placer_killed, "placer-" + std::to_string(f.which), "", "", "", -1, 0,
-                       0, 0, ""});
-            ground_.kill_placer(f.which);
+            events_.add({now, EventKind::placer_killed, "placer-" + std::to_string(f.target), "", "", "", -1,
+                         0, 0, 0, ""});
+            environment_.kill_placer(f.target);
             break;
         case FaultKind::placer_stall:
-            seen_.add({now, EventKind::placer_stalled, "placer-" + std::to_string(f.which), "", "", "", -1, 0,
-                       0, 0, ""});
-            ground_.stall_placer(f.which, true);
+            events_.add({now, EventKind::placer_stalled, "placer-" + std::to_string(f.target), "", "", "", -1,
+                         0, 0, 0, ""});
+            environment_.stall_placer(f.target, true);
             break;
         case FaultKind::owner_leave:
-            for (std::size_t i = 0; i < plan_.placers; ++i) owners_[f.which]->leave(i);
+            for (std::size_t i = 0; i < scenario_.placers; ++i) clients_[f.target]->leave(i);
             break;
         case FaultKind::owner_half:
-            owners_[f.which]->half_message(0);
+            clients_[f.target]->half_message(0);
             break;
         case FaultKind::owner_deaf:
-            owners_[f.which]->read(0, false);
+            clients_[f.target]->read(0, false);
             break;
         case FaultKind::burst:
             burst_ = f.size;
@@ -598,35 +610,35 @@
                 if (f.group < 0 || static_cast<int>(g) == f.group) fleet_->swell[g] = f.size;
             break;
         case FaultKind::withdraw:
-            owners_[f.which]->withdraw_some(static_cast<std::size_t>(f.size));
+            clients_[f.target]->withdraw_some(static_cast<std::size_t>(f.size));
             break;
     }
 }
 
-void ScenarioRun::lift(const Fault& f) {
-    const Nanos now = ground_.loop().now();
+void ScenarioRun::heal(const Fault& f) {
+    const Nanos now = environment_.loop().now();
     const auto without = [&](auto change) {
         for (const std::size_t i : f.nodes)
-            if (nodes_[i]) {
-                ActiveFaults x = nodes_[i]->faults();
+            if (workers_[i]) {
+                ActiveFaults x = workers_[i]->faults();
                 change(x);
-                nodes_[i]->set(x);
-                trouble(i, false);
+                workers_[i]->set(x);
+                mark_fault(i, false);
             }
     };
-    switch (f.what) {
+    switch (f.kind) {
         case FaultKind::drain:  // it dies, and a cold successor comes up elsewhere
             for (const std::size_t i : f.nodes) {
-                if (!nodes_[i]) continue;
-                nodes_[i]->send_all_away();
-                const std::string old = places_[i].name;
-                list_->remove(old);
-                seen_.add({now, EventKind::node_trouble, "", old, "", "", -1, 0, 0, 0, "dead"});
-                ground_.node_killed(old);
-                nodes_[i].reset();
-                const std::string name = "node-" + std::to_string(next_node_++);
-                raise(i, name, ground_.node_address(name), now);
-                put(i);
+                if (!workers_[i]) continue;
+                workers_[i]->send_all_away();
+                const std::string old = slots_[i].name;
+                discovery_->remove(old);
+                events_.add({now, EventKind::node_trouble, "", old, "", "", -1, 0, 0, 0, "dead"});
+                environment_.on_worker_killed(old);
+                workers_[i].reset();
+                const std::string name = "node-" + std::to_string(next_worker_++);
+                start_worker(i, name, environment_.worker_address(name), now);
+                publish(i);
             }
             break;
         case FaultKind::silent:
@@ -652,13 +664,13 @@
             break;
         case FaultKind::cut:
             for (const std::size_t i : f.nodes) {
-                if (!nodes_[i]) continue;
-                if (!ground_.cut(nodes_[i]->name(), false, false)) {
-                    ActiveFaults x = nodes_[i]->faults();
+                if (!workers_[i]) continue;
+                if (!environment_.cut(workers_[i]->name(), false, false)) {
+                    ActiveFaults x = workers_[i]->faults();
                     x.deaf = x.mute = false;
-                    nodes_[i]->set(x);
+                    workers_[i]->set(x);
                 }
-                trouble(i, false);
+                mark_fault(i, false);
             }
             break;
         case FaultKind::pause:
@@ -671,23 +683,23 @@
             without([](ActiveFaults& x) { x.other_cores = 0; });
             break;
         case FaultKind::list_still:
-            list_->stand_still(false);
+            discovery_->stand_still(false);
             break;
         case FaultKind::list_down:
-            list_->down(false);
+            discovery_->down(false);
             break;
         case FaultKind::placer_kill:
-            ground_.start_placer(
-                f.which,
-                placer_configuration(plan_, f.which, ground_.placer_address(f.which), list_->address()));
+            environment_.start_placer(
+                f.target, placer_configuration(scenario_, f.target, environment_.placer_address(f.target),
+                                               discovery_->address()));
             break;
         case FaultKind::placer_stall:
-            ground_.stall_placer(f.which, false);
-            seen_.add({now, EventKind::placer_well, "placer-" + std::to_string(f.which), "", "", "", -1, 0, 0,
-                       0, ""});
+            environment_.stall_placer(f.target, false);
+            events_.add({now, EventKind::placer_well, "placer-" + std::to_string(f.target), "", "", "", -1, 0,
+                         0, 0, ""});
             break;
         case FaultKind::owner_deaf:
-            owners_[f.which]->read(0, true);
+            clients_[f.target]->read(0, true);
             break;
         case FaultKind::burst:
             burst_ = 1;
@@ -702,69 +714,69 @@
 }
 
 void ScenarioRun::tell_progress() {
-    const Nanos now = ground_.loop().now();
+    const Nanos now = environment_.loop().now();
     std::size_t waiting = 0, running = 0;
     std::uint64_t placed = 0, deferred = 0;
-    for (const auto& o : owners_) {
+    for (const auto& o : clients_) {
         waiting += o->waiting();
         for (const QueueGroupCounts& c : o->counts()) {
-            placed += c.placed;
-            deferred += c.deferred;
+            placed += c.accepted;
+            deferred += c.rejected;
         }
     }
-    for (const auto& n : nodes_) running += n ? n->containers() : 0;
+    for (const auto& n : workers_) running += n ? n->containers() : 0;
     std::ostringstream out;
-    out << "at " << (now - began_) / kSecond << " s: waiting " << waiting << ", on nodes " << running
+    out << "at " << (now - started_at_) / kSecond << " s: waiting " << waiting << ", on nodes " << running
         << ", placed " << placed << ", deferred " << deferred;
     progress_(out.str());
-    if (!over_) later(now + 5 * kSecond, [this] { tell_progress(); });
+    if (!finished_) schedule(now + 5 * kSecond, [this] { tell_progress(); });
 }
 
 void ScenarioRun::sample() {
-    const Nanos now = ground_.loop().now();
+    const Nanos now = environment_.loop().now();
     ServiceSample s;
-    s.at = now - began_;
-    s.wanted.resize(plan_.groups.size());
+    s.at = now - started_at_;
+    s.wanted.resize(scenario_.groups.size());
     s.running = s.served = s.wanted;
-    for (const auto& o : owners_) o->wants(s.wanted);
-    for (const auto& n : nodes_)
+    for (const auto& o : clients_) o->wants(s.wanted);
+    for (const auto& n : workers_)
         if (n) n->serves(s.running, s.served);
     for (std::size_t g = 0; g < s.wanted.size(); ++g) s.wanted[g] += s.running[g];
     samples_.push_back(std::move(s));
-    if (!over_ && now < began_ + plan_.length) later(now + kSecond, [this] { sample(); });
+    if (!finished_ && now < started_at_ + scenario_.length) schedule(now + kSecond, [this] { sample(); });
 }
 
 void ScenarioRun::finish() {
-    const Nanos now = ground_.loop().now();
+    const Nanos now = environment_.loop().now();
     Nanos longest = 0;
-    for (const LoadProfile& l : plan_.loads) longest = std::max(longest, l.queue_timeout);
+    for (const LoadProfile& l : scenario_.loads) longest = std::max(longest, l.queue_timeout);
     std::size_t waiting = 0;
-    for (const auto& o : owners_) waiting += o->waiting();
-    if (waiting && now < began_ + plan_.length + 2 * longest + 5 * kSecond)
-        return later(now + 100 * kMillisecond, [this] { finish(); });
-    over_ = true;
+    for (const auto& o : clients_) waiting += o->waiting();
+    if (waiting && now < started_at_ + scenario_.length + 2 * longest + 5 * kSecond)
+        return schedule(now + 100 * kMillisecond, [this] { finish(); });
+    finished_ = true;
     RunResult out;
     RuleSettings terms;
-    terms.groups = plan_.groups;
-    terms.places = all_places_;
-    terms.drain_grace = plan_.drain_grace;
-    terms.slack = plan_.slack;
-    out.verdict = check_invariants(seen_, terms, now);
-    out.counts.resize(plan_.groups.size());
-    for (const auto& o : owners_) {
+    terms.groups = scenario_.groups;
+    terms.locations = locations_;
+    terms.drain_grace = scenario_.drain_grace;
+    terms.slack = scenario_.slack;
+    out.verdict = check_invariants(events_, terms, now);
+    out.counts.resize(scenario_.groups.size());
+    for (const auto& o : clients_) {
         for (std::size_t g = 0; g < out.counts.size(); ++g) {
             const QueueGroupCounts& c = o->counts()[g];
             QueueGroupCounts& to = out.counts[g];
-            to.asked += c.asked;
-            to.placed += c.placed;
-            to.deferred += c.deferred;
-            to.killed += c.killed;
+            to.requested += c.requested;
+            to.accepted += c.accepted;
+            to.rejected += c.rejected;
+            to.failed += c.failed;
             to.in_time += c.in_time;
-            to.again += c.again;
-            to.never += c.never;
+            to.retried += c.retried;
+            to.abandoned += c.abandoned;
         }
     }
-    out.still_waiting = waiting;
+    out.pending = waiting;
     done_(out);
 }
 
@@ -779,8 +791,9 @@
     t << '\n';
     for (std::size_t g = 0; g < out.counts.size(); ++g) {
         const QueueGroupCounts& c = out.counts[g];
-        cell(plan_.groups[g].name, 20);
-        for (const std::uint64_t n : {c.asked, c.placed, c.in_time, c.deferred, c.killed, c.again, c.never})
+        cell(scenario_.groups[g].name, 20);
+        for (const std::uint64_t n :
+             {c.requested, c.accepted, c.in_time, c.rejected, c.failed, c.retried, c.abandoned})
             cell(std::to_string(n), 12);
         t << '\n';
     }
--- a/emulator/scenario_run.h
+++ b/emulator/scenario_run.h
@@ -48,12 +48,12 @@
 };
 
 struct Fault {
-    Nanos at = 0, lasts = 0;
-    FaultKind what{};
+    Nanos at = 0, duration = 0;
+    FaultKind kind{};
     std::vector<std::size_t> nodes;
-    std::size_t which = 0;  // placer or owner
+    std::size_t target = 0;  // placer or owner
     double size = 1;
-    bool tell = true;
+    bool announce = true;
     int group = -1;              // -1: all
     bool in = true, out = true;  // of a cut
 };
@@ -76,7 +76,7 @@
 std::string_view to_string(Metric);
 
 struct Expectation {
-    Metric of{};
+    Metric metric{};
     int group = -1;  // -1: all
     Nanos from = 0, to = 0;
     bool at_least = false;
@@ -85,33 +85,33 @@
 
 struct LoadProfile {
     int group = 0;
-    double a_second = 1;
-    int services = 4, batch = 1;
+    double per_second = 1;
+    int services = 4, batch_size = 1;
     std::vector<double> cores, memory;
-    Nanos queue_timeout = 5 * kSecond, life_least = 5 * kSecond, life_most = 15 * kSecond;
+    Nanos queue_timeout = 5 * kSecond, min_runtime = 5 * kSecond, max_runtime = 15 * kSecond;
 };
 
 struct Scenario {
     std::string name;
     Nanos length = 30 * kSecond;
     std::uint64_t seed = 1;
-    std::size_t placers = 1, owners = 1, nodes = 1;
+    std::size_t placers = 1, clients = 1, workers = 1;
     std::vector<std::string> zones;
-    int cells_in_zone = 1;
-    bool list_pushes = true;
-    Nanos list_late = 500 * kMillisecond;
-    EmulatedWorkerSettings node;
-    RetrySettings launches;
+    int cells_per_zone = 1;
+    bool discovery_pushes = true;
+    Nanos discovery_delay = 500 * kMillisecond;
+    EmulatedWorkerSettings worker;
+    RetrySettings retry;
     std::vector<WorkerKind> kinds;
     std::vector<NamedQueueGroup> groups;
     std::vector<LoadProfile> loads;
     std::vector<Fault> faults;
-    std::vector<Expectation> expects;
-    double lean = 0;  // share of all asks that goes to the first placer
+    std::vector<Expectation> expectations;
+    double first_placer_share = 0;  // share of all asks that goes to the first placer
     struct StaleDiscovery {
         Nanos age = 0, lasts = 0;
         std::size_t ghosts = 0, missing = 0;  // names that are no more; nodes that it does not know
-    } old_list;
+    } stale_discovery;
     // The simulated network's delays, one way; on sockets they are the machine's own.
     struct NetworkSettings {
         Nanos least = 200 * kMicrosecond, spread = 300 * kMicrosecond, late = 0;
@@ -135,15 +135,15 @@
 public:
     virtual ~TestEnvironment() = default;
     virtual net::EventLoop& loop() = 0;  // of list service, owners, and the script
-    virtual net::EventLoop& node_loop(const std::string& node, int zone) = 0;
-    virtual std::string node_address(const std::string& node) = 0;  // to listen on
-    virtual std::string list_address() = 0;
-    virtual std::string nowhere(std::size_t) = 0;  // an address at which nobody listens
+    virtual net::EventLoop& worker_loop(const std::string& node, int zone) = 0;
+    virtual std::string worker_address(const std::string& node) = 0;  // to listen on
+    virtual std::string discovery_address() = 0;
+    virtual std::string dead_address(std::size_t) = 0;  // an address at which nobody listens
     virtual std::string placer_address(std::size_t) = 0;
     virtual void start_placer(std::size_t, const std::string& file) = 0;
     virtual void kill_placer(std::size_t) = 0;
     virtual void stall_placer(std::size_t, bool) = 0;
-    virtual void node_killed(const std::string&) {}
+    virtual void on_worker_killed(const std::string&) {}
     // False where this ground has no network to cut: the node then plays deaf and mute.
     virtual bool cut(const std::string& node, bool in, bool out) {
         (void)node, (void)in, (void)out;
@@ -160,7 +160,7 @@
 struct RunResult {
     Verdict verdict;
     std::vector<QueueGroupCounts> counts;
-    std::size_t still_waiting = 0;
+    std::size_t pending = 0;
 };
 
 class ScenarioRun {
@@ -169,56 +169,57 @@
     ~ScenarioRun();
     // Empty, or what could not be started. `done` is called when the day is over.
     std::string start(std::function<void(const RunResult&)> done);
-    const EventLog& seen() const { return seen_; }
-    Nanos began() const { return began_; }
-    const Scenario& plan() const { return plan_; }
+    const EventLog& events() const { return events_; }
+    Nanos started_at() const { return started_at_; }
+    const Scenario& scenario() const { return scenario_; }
     const std::vector<ServiceSample>& samples() const { return samples_; }
-    const std::vector<WorkerLocation>& places() const { return all_places_; }
+    const std::vector<WorkerLocation>& locations() const { return locations_; }
     EmulatedFleet& fleet() { return *fleet_; }
-    EmulatedWorker* node(std::size_t i) { return nodes_[i].get(); }
-    EmulatedClient& owner(std::size_t i) { return *owners_[i]; }
-    DiscoveryService& list() { return *list_; }
+    EmulatedWorker* worker(std::size_t i) { return workers_[i].get(); }
+    EmulatedClient& client(std::size_t i) { return *clients_[i]; }
+    DiscoveryService& discovery() { return *discovery_; }
     std::string table(const RunResult&) const;
 
 private:
-    void await(Nanos give_up);
+    void await_connections(Nanos give_up);
     void begin();
-    void arrive(std::size_t load);
-    void lay(const Fault&);
-    void lift(const Fault&);
-    void put(std::size_t node);
-    void refresh();
+    void on_arrival(std::size_t load);
+    void inject(const Fault&);
+    void heal(const Fault&);
+    void publish(std::size_t node);
+    void publish_all();
     void tell_progress();
     void sample();
     void finish();
-    std::string raise(std::size_t node, const std::string& name, const std::string& address, Nanos started);
-    void later(Nanos at, std::function<void()>);
-    void trouble(std::size_t node, bool on);
+    std::string start_worker(std::size_t node, const std::string& name, const std::string& address,
+                             Nanos started);
+    void schedule(Nanos at, std::function<void()>);
+    void mark_fault(std::size_t node, bool on);
 
-    Scenario plan_;
-    TestEnvironment& ground_;
+    Scenario scenario_;
+    TestEnvironment& environment_;
     std::function<void(const std::string&)> progress_;
     std::function<void(const RunResult&)> done_;
-    EventLog seen_;
+    EventLog events_;
     std::unique_ptr<EmulatedFleet> fleet_;
-    std::unique_ptr<DiscoveryService> list_;
+    std::unique_ptr<DiscoveryService> discovery_;
     struct WorkerSlot {
         std::string name, address;
         int zone, cell, kind;
         Nanos started;
         int troubles = 0;
     };
-    std::vector<WorkerSlot> places_;
-    std::vector<WorkerLocation> all_places_;
-    std::vector<std::unique_ptr<EmulatedWorker>> nodes_, dead_;
-    std::vector<std::unique_ptr<EmulatedClient>> owners_;
-    std::vector<std::unique_ptr<ScheduledCall>> laters_;
-    std::ranlux24_base chance_;
+    std::vector<WorkerSlot> slots_;
+    std::vector<WorkerLocation> locations_;
+    std::vector<std::unique_ptr<EmulatedWorker>> workers_, dead_workers_;
+    std::vector<std::unique_ptr<EmulatedClient>> clients_;
+    std::vector<std::unique_ptr<ScheduledCall>> scheduled_;
+    std::ranlux24_base random_;
     std::vector<ServiceSample> samples_;
-    Nanos began_ = 0;
+    Nanos started_at_ = 0;
     double burst_ = 1;
-    std::uint64_t next_container_ = 1, next_incarnation_ = 1, next_node_ = 0;
-    bool over_ = false;
+    std::uint64_t next_task_ = 1, next_incarnation_ = 1, next_worker_ = 0;
+    bool finished_ = false;
 };
 
 }  // namespace whinpost::emulator
--- a/fuzz/client_endpoint.cpp
+++ b/fuzz/client_endpoint.cpp
@@ -12,8 +12,8 @@
     t.run(20 * kMillisecond);
     OwnerPeer& good = t.owner("good");
     t.ask(good, t.offer(1));
-    if (good.count(&v1::ToOwner::has_taken) != 1) __builtin_trap();
-    for (const v1::Launch& l : n.launches()) n.yes(l.launch());
+    if (good.count(&v1::ToClient::has_received) != 1) __builtin_trap();
+    for (const v1::StartAttempt& l : n.launches()) n.yes(l.attempt());
     bad.stream.reset();
     t.run(10 * kSecond);
     if (t.placer->intake.waiting() != 0) __builtin_trap();
--- a/fuzz/configuration_files.cpp
+++ b/fuzz/configuration_files.cpp
@@ -43,7 +43,7 @@
     if (found.empty() && (kinds.empty() || groups.empty())) __builtin_trap();
     std::vector<std::string> problems;
     const emulator::Scenario plan = emulator::parse_scenario(text, "f", problems);
-    if (problems.empty() && (plan.loads.empty() || plan.nodes == 0)) __builtin_trap();
+    if (problems.empty() && (plan.loads.empty() || plan.workers == 0)) __builtin_trap();
     // What stands as an old file or as a shape gives a file that passes, or problems.
     for (const auto& c : {migrate::migrate_configuration({"f", kOld}, {"f", text}, "n"),
                           migrate::migrate_configuration({"f", text}, {"f", text}, "n")})
--- a/fuzz/discovery_endpoint.cpp
+++ b/fuzz/discovery_endpoint.cpp
@@ -12,6 +12,6 @@
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1));
     t.run(6 * kSecond);
-    if (o.count(&v1::ToOwner::has_taken) != 1 || t.placer->intake.waiting() != 0) __builtin_trap();
+    if (o.count(&v1::ToClient::has_received) != 1 || t.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/fuzz/worker_endpoint.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -12,8 +12,8 @@
     if (n.conns.empty() || !n.now().stream) return 0;
     send_bytes(t, n.now(), data, size);
     t.run(3 * kSecond);
-    const std::size_t finals = o.count(&v1::ToOwner::has_placed) + o.count(&v1::ToOwner::has_deferred) +
-                               o.count(&v1::ToOwner::has_killed);
+    const std::size_t finals = o.count(&v1::ToClient::has_placed) + o.count(&v1::ToClient::has_rejected) +
+                               o.count(&v1::ToClient::has_failed);
     if (finals != 1) __builtin_trap();
     if (t.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
--- a/include/whinpost/hash_ring.h
+++ b/include/whinpost/hash_ring.h
@@ -24,32 +24,33 @@
     template <class PointsOf>
     void insert(const std::vector<Member*>& members, PointsOf points_of) {
         remove_old_points_of(members);
-        const auto old = static_cast<std::ptrdiff_t>(fresh_.size());
+        const auto old = static_cast<std::ptrdiff_t>(recent_points_.size());
         for (Member* m : members) {
-            points_of(*m, [this, m](std::uint64_t at) { fresh_.push_back({at, m}); });
+            points_of(*m, [this, m](std::uint64_t at) { recent_points_.push_back({at, m}); });
             m->on_ring = true;
         }
         members_ += members.size();
-        std::sort(fresh_.begin() + old, fresh_.end(), before);
-        std::inplace_merge(fresh_.begin(), fresh_.begin() + old, fresh_.end(), before);
-        if (fresh_.size() > kFreshAtLeast + points_.size() / kFreshShare) merge();
+        std::sort(recent_points_.begin() + old, recent_points_.end(), before);
+        std::inplace_merge(recent_points_.begin(), recent_points_.begin() + old, recent_points_.end(),
+                           before);
+        if (recent_points_.size() > kFreshAtLeast + points_.size() / kFreshShare) merge();
     }
     void erase(Member* member) {
         if (!member->on_ring) return;
         member->on_ring = false;
         --members_;
-        absent_.push_back(member);
-        if (absent_.size() > kAbsentAtLeast + members_ / kAbsentShare) sweep();
+        removed_.push_back(member);
+        if (removed_.size() > kAbsentAtLeast + members_ / kAbsentShare) sweep();
     }
     bool empty() const { return members_ == 0; }
     std::size_t members() const { return members_; }
     // Points kept, also of members that were taken out and not swept up yet.
-    std::size_t points() const { return points_.size() + fresh_.size(); }
+    std::size_t points() const { return points_.size() + recent_points_.size(); }
 
     // The first member at or after `at`, round the circle. Not to be called while it is empty.
     Member* at(std::uint64_t at) const {
         const Point* a = next(points_, at);
-        const Point* b = next(fresh_, at);
+        const Point* b = next(recent_points_, at);
         if (!a || !b) return (a ? a : b)->second;
         // Distances along the circle, which wrap as unsigned numbers do.
         return (b->first - at < a->first - at ? b : a)->second;
@@ -72,24 +73,24 @@
     // they go.
     void remove_old_points_of(const std::vector<Member*>& members) {
         const auto absent = [this](Member* m) {
-            return std::find(absent_.begin(), absent_.end(), m) != absent_.end();
+            return std::find(removed_.begin(), removed_.end(), m) != removed_.end();
         };
-        if (!absent_.empty() && std::any_of(members.begin(), members.end(), absent)) sweep();
+        if (!removed_.empty() && std::any_of(members.begin(), members.end(), absent)) sweep();
     }
     void sweep() {
         const auto gone = [](const Point& p) { return !p.second->on_ring; };
         std::erase_if(points_, gone);
-        std::erase_if(fresh_, gone);
-        absent_.clear();
+        std::erase_if(recent_points_, gone);
+        removed_.clear();
     }
     void merge() {
         const auto middle = static_cast<std::ptrdiff_t>(points_.size());
-        points_.insert(points_.end(), fresh_.begin(), fresh_.end());
+        points_.insert(points_.end(), recent_points_.begin(), recent_points_.end());
         std::inplace_merge(points_.begin(), points_.begin() + middle, points_.end(), before);
-        fresh_.clear();
+        recent_points_.clear();
     }
-    std::vector<Point> points_, fresh_;  // both in order
-    std::vector<Member*> absent_;        // taken out, with points still here
+    std::vector<Point> points_, recent_points_;  // both in order
+    std::vector<Member*> removed_;               // taken out, with points still here
     std::size_t members_ = 0;
 };
 
--- a/include/whinpost/sliding_counter.h
+++ b/include/whinpost/sliding_counter.h
@@ -11,41 +11,41 @@
     explicit SlidingCounter(std::int64_t bucket_width) : width_(bucket_width) {}
 
     void add(std::int64_t now, double amount) {
-        turn(now);
-        any_ = true;
-        at_[slot(epoch_)] += amount;
+        advance(now);
+        not_empty_ = true;
+        buckets_[slot(epoch_)] += amount;
     }
 
     // Everything counted in the buckets that still stand at `now`, or in the newest `buckets` of them.
     double sum(std::int64_t now, int buckets = Buckets) {
-        if (!any_) return 0;
-        turn(now);
+        if (!not_empty_) return 0;
+        advance(now);
         double total = 0;
-        for (int back = 0; back < buckets && back < Buckets; ++back) total += at_[slot(epoch_ - back)];
+        for (int back = 0; back < buckets && back < Buckets; ++back) total += buckets_[slot(epoch_ - back)];
         return total;
     }
 
     void clear() {
-        at_.fill(0);
-        any_ = false;
+        buckets_.fill(0);
+        not_empty_ = false;
     }
 
 private:
     static std::size_t slot(std::int64_t epoch) {
         return static_cast<std::size_t>(((epoch % Buckets) + Buckets) % Buckets);
     }
-    void turn(std::int64_t now) {
+    void advance(std::int64_t now) {
         const std::int64_t epoch = now / width_;
         if (epoch - epoch_ >= Buckets) clear();
         else
-            while (epoch_ < epoch) at_[slot(++epoch_)] = 0;
+            while (epoch_ < epoch) buckets_[slot(++epoch_)] = 0;
         if (epoch > epoch_) epoch_ = epoch;
     }
 
     std::int64_t width_;
     std::int64_t epoch_ = 0;
-    bool any_ = false;  // something was counted since all buckets were empty
-    std::array<double, Buckets> at_{};
+    bool not_empty_ = false;  // something was counted since all buckets were empty
+    std::array<double, Buckets> buckets_{};
 };
 
 }  // namespace whinpost
--- a/simulation/baseline_planner.cpp
+++ b/simulation/baseline_planner.cpp
@@ -13,34 +13,34 @@
     : bindings_(b), policy_(p), chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24))),
       groups_(std::move(groups)), launches_(launches), cold_for_(cold_for) {}
 
-void BaselinePlanner::node(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) {
+void BaselinePlanner::on_endpoint(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) {
     if (nodes_.size() <= n) {
         Known unknown;
-        unknown.listed.stage = EndpointPhase::gone;
+        unknown.listed.phase = EndpointPhase::gone;
         nodes_.resize(n + 1, unknown);
     }
     nodes_[n].listed = l;
 }
 
-void BaselinePlanner::turns(Nanos, planner::WorkerNumber n, int held) {
+void BaselinePlanner::set_admission_tokens(Nanos, planner::WorkerNumber n, int held) {
     if (n < nodes_.size()) nodes_[n].turns = held;
 }
 
-void BaselinePlanner::begin(Nanos) { bindings_.follow_list(); }
+void BaselinePlanner::start(Nanos) { bindings_.watch_endpoints(); }
 
-void BaselinePlanner::take(Nanos now, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a) {
+void BaselinePlanner::submit(Nanos now, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a) {
     waiting_[n] = {a, now + a.time_left, now, 0, false, false};
 }
 
-void BaselinePlanner::take_over(Nanos, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a,
-                                planner::WorkerNumber on) {
+void BaselinePlanner::adopt(Nanos, planner::TaskNumber n, std::uint64_t, const ResourceRequest& a,
+                            planner::WorkerNumber on) {
     at_[n] = {on, a};
     nodes_.at(on).own_cores += a.cores;
     nodes_[on].own_memory += a.memory;
 }
 
-void BaselinePlanner::accepted(Nanos, planner::TaskNumber n, int) { waiting_.erase(n); }
-void BaselinePlanner::withdrawn(Nanos, planner::TaskNumber n) { waiting_.erase(n); }
+void BaselinePlanner::on_accepted(Nanos, planner::TaskNumber n, int) { waiting_.erase(n); }
+void BaselinePlanner::cancel(Nanos, planner::TaskNumber n) { waiting_.erase(n); }
 
 void BaselinePlanner::leave(planner::TaskNumber n) {
     const auto it = at_.find(n);
@@ -50,15 +50,16 @@
     at_.erase(it);
 }
 
-void BaselinePlanner::ended(Nanos now, planner::TaskNumber n, int, AttemptOutcome how, OutcomeReason,
-                            bool closed, const LoadReport&) {
+void BaselinePlanner::on_attempt_ended(Nanos now, planner::TaskNumber n, int, AttemptOutcome how,
+                                       OutcomeReason, bool closed, const LoadReport&) {
     leave(n);
     const auto it = waiting_.find(n);
     if (it == waiting_.end()) return;
     Waits& w = it->second;
     w.out = false;
-    w.may_have_run = w.may_have_run || !(how == AttemptOutcome::refused ||
-                                         how == AttemptOutcome::unconnected || how == AttemptOutcome::unsent);
+    w.may_have_run =
+        w.may_have_run || !(how == AttemptOutcome::rejected || how == AttemptOutcome::connect_failed ||
+                            how == AttemptOutcome::not_sent);
     w.not_before = now;
     if (closed) waiting_.erase(it);
 }
@@ -66,11 +67,13 @@
 BaselinePlanner::Known* BaselinePlanner::pick(Nanos now, const ResourceRequest& a,
                                               planner::WorkerNumber& chosen) {
     std::vector<planner::WorkerNumber> can;
-    const auto cold = [&](const EndpointState& l) { return l.started > 0 && now - l.started < cold_for_; };
-    const int kind = groups_[static_cast<std::size_t>(a.group)].kind;
+    const auto cold = [&](const EndpointState& l) {
+        return l.started_at > 0 && now - l.started_at < cold_for_;
+    };
+    const int kind = groups_[static_cast<std::size_t>(a.queue_group)].worker_kind;
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
         const EndpointState& l = nodes_[i].listed;
-        if (l.stage == EndpointPhase::serving && (nodes_[i].turns != 0 || !cold(l)) &&
+        if (l.phase == EndpointPhase::serving && (nodes_[i].turns != 0 || !cold(l)) &&
             (kind < 0 || kind == l.kind))
             can.push_back(static_cast<planner::WorkerNumber>(i));
     }
@@ -89,15 +92,15 @@
     return &nodes_[chosen];
 }
 
-void BaselinePlanner::round(Nanos now) {
+void BaselinePlanner::run_round(Nanos now) {
     Nanos next = 0;
     std::vector<planner::TaskNumber> given_up;
     for (auto& [n, w] : waiting_) {
         if (w.out) continue;
         if (now >= w.not_before) {
-            const QueueGroup& g = groups_[static_cast<std::size_t>(w.asked.group)];
+            const QueueGroup& g = groups_[static_cast<std::size_t>(w.asked.queue_group)];
             const bool again = !w.may_have_run || g.effect == Effect::idempotent;
-            if (w.launches >= launches_.most || !again) {
+            if (w.launches >= launches_.max_attempts || !again) {
                 given_up.push_back(n);
                 continue;
             }
@@ -108,7 +111,7 @@
                 k->own_cores += w.asked.cores;
                 k->own_memory += w.asked.memory;
                 at_[n] = {to, w.asked};
-                bindings_.bind(n, to, w.until - now);
+                bindings_.place(n, to, w.until - now);
                 continue;
             }
             w.not_before = now + kAgain;
@@ -117,15 +120,14 @@
     }
     for (const auto n : given_up) {
         const Waits& w = waiting_.at(n);
-        const QueueGroup& g = groups_[static_cast<std::size_t>(w.asked.group)];
-        const bool harmless =
-            !w.may_have_run || g.effect == Effect::idempotent ||
-            (g.effect == Effect::fingerprinted && g.repeats_dropped_by == FailureDomain::all);
-        if (harmless) bindings_.defer(n, 0);
-        else bindings_.kill(n);
+        const QueueGroup& g = groups_[static_cast<std::size_t>(w.asked.queue_group)];
+        const bool harmless = !w.may_have_run || g.effect == Effect::idempotent ||
+                              (g.effect == Effect::keyed && g.deduplicated_by == FailureDomain::all);
+        if (harmless) bindings_.reject(n, 0);
+        else bindings_.fail(n);
         waiting_.erase(n);
     }
-    if (next) bindings_.wake(next);
+    if (next) bindings_.wake_at(next);
 }
 
 }  // namespace whinpost::simulation
--- a/simulation/baseline_planner.h
+++ b/simulation/baseline_planner.h
@@ -18,25 +18,25 @@
 public:
     BaselinePlanner(planner::PlannerHandler&, BaselinePolicy, std::uint64_t seed, std::vector<QueueGroup>,
                     RetrySettings, Nanos cold_for);
-    void node(Nanos, planner::WorkerNumber, std::uint64_t, const EndpointState&) override;
-    void list_done(Nanos, bool) override {}
-    void list_failed(Nanos) override {}
-    void begin(Nanos) override;
-    void take(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&) override;
-    void take_over(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&,
-                   planner::WorkerNumber) override;
-    void accepted(Nanos, planner::TaskNumber, int) override;
-    void runs(Nanos, planner::TaskNumber, int) override {}
-    void uses_cores(Nanos, planner::TaskNumber, int, double) override {}
-    void uses_memory(Nanos, planner::TaskNumber, int, double) override {}
-    void served_share(Nanos, planner::TaskNumber, int, double) override {}
-    void machine_memory(Nanos, planner::TaskNumber, int, double) override {}
-    void ended(Nanos, planner::TaskNumber, int, AttemptOutcome, OutcomeReason, bool,
-               const LoadReport&) override;
-    void withdrawn(Nanos, planner::TaskNumber) override;
-    void heard(Nanos, planner::WorkerNumber, const LoadReport&) override {}
-    void turns(Nanos, planner::WorkerNumber, int) override;
-    void round(Nanos) override;
+    void on_endpoint(Nanos, planner::WorkerNumber, std::uint64_t, const EndpointState&) override;
+    void on_watch_event_done(Nanos, bool) override {}
+    void on_watch_failed(Nanos) override {}
+    void start(Nanos) override;
+    void submit(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&) override;
+    void adopt(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&,
+               planner::WorkerNumber) override;
+    void on_accepted(Nanos, planner::TaskNumber, int) override;
+    void on_running(Nanos, planner::TaskNumber, int) override {}
+    void on_cores_used(Nanos, planner::TaskNumber, int, double) override {}
+    void on_memory_used(Nanos, planner::TaskNumber, int, double) override {}
+    void on_service_share(Nanos, planner::TaskNumber, int, double) override {}
+    void on_worker_memory(Nanos, planner::TaskNumber, int, double) override {}
+    void on_attempt_ended(Nanos, planner::TaskNumber, int, AttemptOutcome, OutcomeReason, bool,
+                          const LoadReport&) override;
+    void cancel(Nanos, planner::TaskNumber) override;
+    void on_load_report(Nanos, planner::WorkerNumber, const LoadReport&) override {}
+    void set_admission_tokens(Nanos, planner::WorkerNumber, int) override;
+    void run_round(Nanos) override;
 
 private:
     struct Waits {
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -33,15 +33,15 @@
 
 void show_breaches(const emulator::ScenarioRun& day, const emulator::RunResult& out, std::ostream& to) {
     std::size_t shown = 0;
-    for (const emulator::Violation& b : out.verdict.breaches) {
+    for (const emulator::Violation& b : out.verdict.violations) {
         if (++shown > kBreachesShown) break;
-        to << '\n' << emulator::describe(day.seen(), b, day.began());
+        to << '\n' << emulator::describe(day.events(), b, day.started_at());
     }
 }
 
 void explain(const emulator::ScenarioRun& day, const std::string& what, std::ostream& to) {
-    std::vector<std::string> lines = emulator::history_of(day.seen(), what, day.began());
-    if (lines.empty()) lines = worker_history_of(day.seen(), what, day.began());
+    std::vector<std::string> lines = emulator::history_of(day.events(), what, day.started_at());
+    if (lines.empty()) lines = worker_history_of(day.events(), what, day.started_at());
     to << "\nwhat was seen of " << what << (lines.empty() ? ": nothing of that name" : "") << '\n';
     for (const std::string& l : lines) to << "  " << l << '\n';
 }
@@ -61,7 +61,7 @@
     to << '\n' << found.table();
     if (digest) to << "digest " << found.digest() << '\n';
     show_breaches(day, out, to);
-    if (out.still_waiting) to << "still waiting at the end: " << out.still_waiting << '\n';
+    if (out.pending) to << "still waiting at the end: " << out.pending << '\n';
     if (clean != placers)
         to << "placers that ended cleanly when asked: " << clean << " of " << placers << '\n';
     if (!wish.out.empty()) {
@@ -70,7 +70,7 @@
         to << "report.json, report.png and their data are in " << wish.out << '\n';
     }
     if (!wish.explain.empty()) explain(day, wish.explain, to);
-    return out.verdict.kept() && found.met() && clean == placers && !out.still_waiting ? 0 : 1;
+    return out.verdict.kept() && found.expectations_met() && clean == placers && !out.pending ? 0 : 1;
 }
 
 // The text cut before each line that begins a table; the first part is what stands before any.
@@ -132,10 +132,10 @@
     if (const std::optional<BaselinePolicy> policy = policy_of(planner))
         ground.made = [&, policy](std::size_t i, apps::EmbeddedPlacer& placer) {
             std::vector<QueueGroup> groups;
-            for (const emulator::NamedQueueGroup& g : plan.groups) groups.push_back(g.terms);
-            baselines[i] = std::make_unique<BaselinePlanner>(placer.edge, *policy, plan.seed * 1009 + i,
-                                                             groups, plan.launches,
-                                                             plan.node.warm_after + plan.node.fall_window);
+            for (const emulator::NamedQueueGroup& g : plan.groups) groups.push_back(g.queue_group);
+            baselines[i] = std::make_unique<BaselinePlanner>(
+                placer.edge, *policy, plan.seed * 1009 + i, groups, plan.retry,
+                plan.worker.warm_after + plan.worker.fall_window);
             placer.edge.plan_with(*baselines[i]);
         };
     emulator::ScenarioRun day(plan, ground, progress);
@@ -150,7 +150,7 @@
     if (!problem.empty()) problems.push_back(problem);
     emulator::Scenario plan;
     if (problems.empty())
-        plan = emulator::parse_scenario(text, wish.scenario, problems, wish.placers, wish.nodes);
+        plan = emulator::parse_scenario(text, wish.scenario, problems, wish.placers, wish.workers);
     if (wish.planner != "whinpost" && !policy_of(wish.planner))
         problems.push_back("--planner: must be whinpost, random, least_asked or two_choices");
     if (wish.sockets && wish.planner != "whinpost")
@@ -160,8 +160,8 @@
     if (wish.seed) plan.seed = wish.seed;
     std::string dir = wish.out;
     if (!dir.empty()) std::filesystem::create_directories(dir);
-    to << plan.name << " (seed " << plan.seed << "): " << plan.placers << " placers, " << plan.nodes
-       << " nodes in " << plan.zones.size() << " zones, " << plan.owners << " owners, "
+    to << plan.name << " (seed " << plan.seed << "): " << plan.placers << " placers, " << plan.workers
+       << " nodes in " << plan.zones.size() << " zones, " << plan.clients << " owners, "
        << plan.length / kSecond << " s, " << (wish.sockets ? "on loopback sockets" : "in virtual time")
        << (wish.planner == "whinpost" ? "" : ", placed by " + wish.planner) << std::endl;
     const auto progress = [&](const std::string& line) {
--- a/simulation/rehearsal.h
+++ b/simulation/rehearsal.h
@@ -14,7 +14,7 @@
 struct RehearsalOptions {
     std::string scenario;    // the name of one that comes with the program, or a file
     std::uint64_t seed = 0;  // 0: the scenario's own, as the following
-    std::size_t placers = 0, nodes = 0;
+    std::size_t placers = 0, workers = 0;
     bool sockets = false;
     std::string planner = "whinpost";  // or a baseline's name, in virtual time only
     std::string out;                   // a directory for report and logs; empty: nothing is written
--- a/simulation/run_report.cpp
+++ b/simulation/run_report.cpp
@@ -40,9 +40,9 @@
 
 RunReport::RunReport(const emulator::ScenarioRun& play, const emulator::RunResult& out,
                      std::optional<std::uint64_t> digest)
-    : play_(play), plan_(play.plan()), outcome_(out), digest_(digest) {
+    : play_(play), plan_(play.scenario()), outcome_(out), digest_(digest) {
     read();
-    for (const Expectation& e : plan_.expects) checked_.push_back(check(e));
+    for (const Expectation& e : plan_.expectations) checked_.push_back(check(e));
 }
 
 std::string RunReport::digest() const {
@@ -52,7 +52,7 @@
     return text;
 }
 
-bool RunReport::met() const {
+bool RunReport::expectations_met() const {
     return std::all_of(checked_.begin(), checked_.end(), [](const CheckedExpectation& c) { return c.met; });
 }
 
@@ -66,71 +66,71 @@
         if (fresh) nodes_.push_back({node, 0, 0, 0, 0, 0, false});
         return it->second;
     };
-    for (const emulator::WorkerLocation& p : play_.places()) row(p.node);
-    for (const RecordedEvent& l : play_.seen().lines()) {
-        const Nanos t = l.at - play_.began();
-        switch (l.what) {
+    for (const emulator::WorkerLocation& p : play_.locations()) row(p.worker);
+    for (const RecordedEvent& l : play_.events().events()) {
+        const Nanos t = l.at - play_.started_at();
+        switch (l.kind) {
             case EventKind::offered: {
-                TaskHistory& c = courses_[l.container];
+                TaskHistory& c = courses_[l.task];
                 if (!c.until) {
                     c.group = l.group;
                     c.asked = t;
-                    c.until = l.until - play_.began();
+                    c.until = l.until - play_.started_at();
                 }
                 break;
             }
             case EventKind::placed:
-                if (TaskHistory& c = courses_[l.container]; !c.placed && t <= c.until)
+                if (TaskHistory& c = courses_[l.task]; !c.placed && t <= c.until)
                     c.placed = std::max<Nanos>(t, 1);
                 break;
             case EventKind::launch: {
-                const std::size_t n = row(l.node);
-                ++nodes_[n].launches;
-                launches[{l.placer, l.launch}] = sent_.size();
+                const std::size_t n = row(l.worker);
+                ++nodes_[n].attempts;
+                launches[{l.placer, l.attempt}] = sent_.size();
                 sent_.push_back({t, n, false});
-                ++courses_[l.container].launches;
-                if (const auto it = heard.find({l.placer, l.node}); it != heard.end())
-                    drains_[it->second].last = t;
+                ++courses_[l.task].launches;
+                if (const auto it = heard.find({l.placer, l.worker}); it != heard.end())
+                    drains_[it->second].last_attempt_at = t;
                 break;
             }
             case EventKind::refused:
-                ++nodes_[row(l.node)].refused;
-                if (const auto it = launches.find({l.placer, l.launch}); it != launches.end())
+                ++nodes_[row(l.worker)].rejected;
+                if (const auto it = launches.find({l.placer, l.attempt}); it != launches.end())
                     sent_[it->second].refused = true;
                 break;
             case EventKind::accepted:
-                ++nodes_[row(l.node)].accepted;
+                ++nodes_[row(l.worker)].accepted;
                 break;
             case EventKind::ended:
-                nodes_[row(l.node)].errors += l.text == "error";
+                nodes_[row(l.worker)].errors += l.text == "error";
                 break;
             case EventKind::started:
-                ++nodes_[row(l.node)].started;
-                runs[l.container].insert(l.node);
+                ++nodes_[row(l.worker)].started;
+                runs[l.task].insert(l.worker);
                 break;
             case EventKind::finished:
-                runs[l.container].erase(l.node);
+                runs[l.task].erase(l.worker);
                 break;
             case EventKind::node_trouble:
                 if (l.text == "dead")
-                    for (auto& [container, nodes] : runs) nodes.erase(l.node);
+                    for (auto& [container, nodes] : runs) nodes.erase(l.worker);
                 break;
             case EventKind::over:
-                if (l.text == "LOST" && !runs[l.container].empty()) wrongly_lost_.push_back(t);
+                if (l.text == "LOST" && !runs[l.task].empty()) wrongly_lost_.push_back(t);
                 break;
             case EventKind::fell:
-                nodes_[row(l.node)].fell = true;
+                nodes_[row(l.worker)].fell = true;
                 break;
             case EventKind::drain_said:
             case EventKind::list_draining:
             case EventKind::list_gone:
-                if (!heard.contains({l.placer, l.node})) {
-                    heard[{l.placer, l.node}] = drains_.size();
-                    drains_.push_back({l.node, l.placer, t, 0});
+                if (!heard.contains({l.placer, l.worker})) {
+                    heard[{l.placer, l.worker}] = drains_.size();
+                    drains_.push_back({l.worker, l.placer, t, 0});
                 }
                 break;
             case EventKind::list_serving:
-                heard.erase({l.placer, l.node});
+                heard.erase({l.placer, l.worker});
                 break;
             default:
                 break;
@@ -158,22 +158,23 @@
     const auto mine = [&e](int group) { return e.group < 0 || e.group == group; };
     const auto within = [&e](Nanos t) { return t >= e.from && t < e.to; };
     const auto share = [&of, &value] { return of > 0 ? value / of : 0; };
-    switch (e.of) {
+    switch (e.metric) {
         case Metric::placed:
         case Metric::in_time:
         case Metric::never:
             for (const auto& [name, c] : courses_) {
                 if (!c.until || !mine(c.group) || !within(c.asked)) continue;
-                const Nanos target = plan_.groups[static_cast<std::size_t>(c.group)].terms.start_target;
-                if (e.of == Metric::in_time) {
+                const Nanos target =
+                    plan_.groups[static_cast<std::size_t>(c.group)].queue_group.start_objective;
+                if (e.metric == Metric::in_time) {
                     of += c.placed > 0;
                     value += c.placed > 0 && c.placed - c.asked <= target;
                 } else {
                     of += 1;
-                    value += (c.placed > 0) == (e.of == Metric::placed);
+                    value += (c.placed > 0) == (e.metric == Metric::placed);
                 }
             }
-            out.value = e.of == Metric::never ? value : share();
+            out.value = e.metric == Metric::never ? value : share();
             out.known = of > 0;
             break;
         case Metric::launches:
@@ -236,7 +237,8 @@
         case Metric::drain_lag:
             out.known = !drains_.empty();
             for (const DrainRow& d : drains_)
-                if (d.last && within(d.heard)) out.value = std::max(out.value, seconds(d.last - d.heard));
+                if (d.last_attempt_at && within(d.known_at))
+                    out.value = std::max(out.value, seconds(d.last_attempt_at - d.known_at));
             break;
         case Metric::fallen:
             for (const WorkerRow& n : nodes_) out.value += n.fell;
@@ -266,22 +268,23 @@
     }
     std::vector<WorkerRow> busiest = nodes_;
     std::stable_sort(busiest.begin(), busiest.end(),
-                     [](const WorkerRow& a, const WorkerRow& b) { return a.launches > b.launches; });
+                     [](const WorkerRow& a, const WorkerRow& b) { return a.attempts > b.attempts; });
     t << "\nnodes that were sent the most (of " << nodes_.size() << ")\n"
       << padded("node", 14) << padded("launches", 10) << padded("accepted", 10) << padded("refused", 10)
       << padded("errors", 8) << "started\n";
     for (std::size_t i = 0; i < busiest.size() && i < 8; ++i) {
         const WorkerRow& n = busiest[i];
-        t << padded(n.name, 14) << padded(std::to_string(n.launches), 10)
-          << padded(std::to_string(n.accepted), 10) << padded(std::to_string(n.refused), 10)
+        t << padded(n.name, 14) << padded(std::to_string(n.attempts), 10)
+          << padded(std::to_string(n.accepted), 10) << padded(std::to_string(n.rejected), 10)
           << padded(std::to_string(n.errors), 8) << n.started << (n.fell ? "  fell over" : "") << '\n';
     }
     if (!drains_.empty()) {
         std::map<std::string, std::pair<Nanos, Nanos>> by;  // first heard, longest lag
         for (const DrainRow& d : drains_) {
-            auto [it, fresh] = by.emplace(d.node, std::make_pair(d.heard, Nanos{-1}));
-            it->second.first = std::min(it->second.first, d.heard);
-            if (d.last) it->second.second = std::max(it->second.second, d.last - d.heard);
+            auto [it, fresh] = by.emplace(d.worker, std::make_pair(d.known_at, Nanos{-1}));
+            it->second.first = std::min(it->second.first, d.known_at);
+            if (d.last_attempt_at)
+                it->second.second = std::max(it->second.second, d.last_attempt_at - d.known_at);
         }
         t << "\ndrains\n" << padded("node", 14) << padded("first heard", 14) << "last launch after that\n";
         std::size_t shown_rows = 0;
@@ -295,15 +298,15 @@
     if (!checked_.empty()) t << "\nexpected\n";
     for (const CheckedExpectation& c : checked_) {
         const Expectation& e = c.expect;
-        t << (c.met ? "  met      " : "  NOT MET  ") << to_string(e.of);
+        t << (c.met ? "  met      " : "  NOT MET  ") << to_string(e.metric);
         if (e.group >= 0) t << " of " << plan_.groups[static_cast<std::size_t>(e.group)].name;
         if (e.from || e.to != plan_.length)
             t << " from " << shown(seconds(e.from), 1) << " to " << shown(seconds(e.to), 1) << " s";
-        if (e.of == Metric::back) t << " to " << shown(e.share);
+        if (e.metric == Metric::back) t << " to " << shown(e.share);
         t << (e.at_least ? " at least " : " at most ") << shown(e.bound) << ": "
           << (c.known ? shown(c.value) : "this run has nothing to measure it by") << '\n';
     }
-    t << '\n' << outcome_.verdict.line() << '\n';
+    t << '\n' << outcome_.verdict.summary() << '\n';
     return t.str();
 }
 
@@ -313,7 +316,7 @@
     j["scenario"] = plan_.name;
     j["seed"] = plan_.seed;
     j["placers"] = plan_.placers;
-    j["nodes"] = plan_.nodes;
+    j["nodes"] = plan_.workers;
     j["length_s"] = seconds(plan_.length);
     if (digest_) j["digest"] = digest();
     ordered_json& rules = j["rules"];
@@ -323,18 +326,18 @@
     rules["drains"] = outcome_.verdict.count(Violation::drain);
     rules["pushed_over"] = outcome_.verdict.count(Violation::pushed_over);
     rules["spread"] = outcome_.verdict.count(Violation::spread);
-    for (const Violation& b : outcome_.verdict.breaches)
-        rules["breaches"].push_back({{"what", b.what}, {"line", to_string(b.line, play_.began())}});
+    for (const Violation& b : outcome_.verdict.violations)
+        rules["breaches"].push_back({{"what", b.what}, {"line", to_string(b.event, play_.started_at())}});
     for (std::size_t g = 0; g < plan_.groups.size(); ++g) {
         const emulator::QueueGroupCounts& c = outcome_.counts[g];
         j["groups"].push_back({{"name", plan_.groups[g].name},
-                               {"asked", c.asked},
-                               {"placed", c.placed},
+                               {"asked", c.requested},
+                               {"placed", c.accepted},
                                {"in_time", c.in_time},
-                               {"deferred", c.deferred},
-                               {"killed", c.killed},
-                               {"asked_again", c.again},
-                               {"never", c.never},
+                               {"deferred", c.rejected},
+                               {"killed", c.failed},
+                               {"asked_again", c.retried},
+                               {"never", c.abandoned},
                                {"service", service(static_cast<int>(g), 0, plan_.length)}});
     }
     j["service"] = service(-1, 0, plan_.length);
@@ -343,19 +346,19 @@
             {{"at_s", seconds(s.at)}, {"wanted", s.wanted}, {"running", s.running}, {"served", s.served}});
     for (const WorkerRow& n : nodes_)
         j["sent"].push_back({{"node", n.name},
-                             {"launches", n.launches},
+                             {"launches", n.attempts},
                              {"accepted", n.accepted},
-                             {"refused", n.refused},
+                             {"refused", n.rejected},
                              {"errors", n.errors},
                              {"started", n.started},
                              {"fell", n.fell}});
     for (const DrainRow& d : drains_) {
-        ordered_json row{{"node", d.node}, {"placer", d.placer}, {"heard_s", seconds(d.heard)}};
-        if (d.last) row["last_launch_after_s"] = seconds(d.last - d.heard);
+        ordered_json row{{"node", d.worker}, {"placer", d.placer}, {"heard_s", seconds(d.known_at)}};
+        if (d.last_attempt_at) row["last_launch_after_s"] = seconds(d.last_attempt_at - d.known_at);
         j["drains"].push_back(row);
     }
     for (const CheckedExpectation& c : checked_) {
-        ordered_json row{{"of", to_string(c.expect.of)},
+        ordered_json row{{"of", to_string(c.expect.metric)},
                          {c.expect.at_least ? "at_least" : "at_most", c.expect.bound},
                          {"from_s", seconds(c.expect.from)},
                          {"to_s", seconds(c.expect.to)}};
@@ -399,7 +402,7 @@
     file("sent.dat", node_data.str());
     gp << "set terminal pngcairo size 1100,760 font 'sans,10'\nset output 'report.png'\n"
        << "set multiplot layout 2,1 title '" << plan_.name << ", seed " << plan_.seed << ", " << plan_.placers
-       << " placers, " << plan_.nodes << " nodes (stand-ins)'\n"
+       << " placers, " << plan_.workers << " nodes (stand-ins)'\n"
        << "set key below\nset yrange [0:1.05]\nset xrange [0:" << seconds(plan_.length)
        << "]\nset ylabel 'share of service'\nset datafile missing '?'\n";
     std::set<std::string> drawn;
@@ -423,8 +426,8 @@
 std::vector<std::string> worker_history_of(const emulator::EventLog& seen, const std::string& node,
                                            Nanos start) {
     std::vector<std::string> out;
-    for (const RecordedEvent& l : seen.lines())
-        if (l.node == node && l.what != EventKind::list_serving) out.push_back(to_string(l, start));
+    for (const RecordedEvent& l : seen.events())
+        if (l.worker == node && l.kind != EventKind::list_serving) out.push_back(to_string(l, start));
     return out;
 }
 
--- a/simulation/run_report.h
+++ b/simulation/run_report.h
@@ -21,15 +21,15 @@
 
 struct WorkerRow {
     std::string name;
-    std::uint64_t launches = 0, accepted = 0, refused = 0, errors = 0, started = 0;
+    std::uint64_t attempts = 0, accepted = 0, rejected = 0, errors = 0, started = 0;
     bool fell = false;
 };
 
 // One placer's knowledge of one node's drain.
 struct DrainRow {
-    std::string node, placer;
-    Nanos heard = 0;
-    Nanos last = 0;  // the last launch of that placer that arrived there afterwards; 0: none
+    std::string worker, placer;
+    Nanos known_at = 0;
+    Nanos last_attempt_at = 0;  // the last launch of that placer that arrived there afterwards; 0: none
 };
 
 struct CheckedExpectation {
@@ -45,10 +45,10 @@
     RunReport(const emulator::ScenarioRun&, const emulator::RunResult&,
               std::optional<std::uint64_t> digest = {});
 
-    const std::vector<WorkerRow>& nodes() const { return nodes_; }
+    const std::vector<WorkerRow>& workers() const { return nodes_; }
     const std::vector<DrainRow>& drains() const { return drains_; }
-    const std::vector<CheckedExpectation>& checked() const { return checked_; }
-    bool met() const;
+    const std::vector<CheckedExpectation>& expectations() const { return checked_; }
+    bool expectations_met() const;
     // The digest as sixteen hex digits; empty where there is none.
     std::string digest() const;
     // Share of the service that was wanted in [from, to), of a group or of all (-1); below 0: none was
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -11,7 +11,7 @@
 
 SimulatedEnvironment::~SimulatedEnvironment() = default;
 
-net::EventLoop& SimulatedEnvironment::node_loop(const std::string& node, int zone) {
+net::EventLoop& SimulatedEnvironment::worker_loop(const std::string& node, int zone) {
     SimulatedProcess*& p = nodes_[node];
     if (!p || !p->alive()) p = &world_.process(node, zone);
     return *p;
@@ -28,7 +28,7 @@
     processes_[i] = &world_.process(at.substr(0, at.find(':')), static_cast<int>(i % zones_.size()));
     // The list's address is a host's name here.
     std::string text = file;
-    const std::string list = "address = \"" + list_address() + "\"";
+    const std::string list = "address = \"" + discovery_address() + "\"";
     text.replace(text.find(list), list.size(), "address = \"10.255.0.1:1\"");
     if (text.find("[log]") == std::string::npos) text += "\n[log]\nlevel = \"off\"\n";
     config::Document document = config::Document::parse(text, "placer-" + std::to_string(i));
@@ -37,7 +37,7 @@
     placers_[i] = apps::EmbeddedPlacer::make(*processes_[i], document, i * 1000 + incarnations_,
                                              incarnations_, problems, ledger);
     if (!placers_[i]) throw std::runtime_error(problems.at(0));
-    placers_[i]->list = list_address();
+    placers_[i]->list = discovery_address();
     if (made) made(i, *placers_[i]);
     const std::string wrong = placers_[i]->start();
     if (!wrong.empty()) throw std::runtime_error(wrong);
@@ -53,7 +53,7 @@
     else world_.resume(*processes_[i]);
 }
 
-void SimulatedEnvironment::node_killed(const std::string& node) {
+void SimulatedEnvironment::on_worker_killed(const std::string& node) {
     if (const auto it = nodes_.find(node); it != nodes_.end()) world_.kill(*it->second);
 }
 
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -16,15 +16,15 @@
     SimulatedEnvironment(SimulatedNetwork&, std::size_t placers, std::vector<std::string> zones);
     ~SimulatedEnvironment() override;
     net::EventLoop& loop() override { return *script_; }
-    net::EventLoop& node_loop(const std::string& node, int zone) override;
-    std::string node_address(const std::string& node) override { return node + ":1"; }
-    std::string list_address() override { return "script:1"; }
+    net::EventLoop& worker_loop(const std::string& node, int zone) override;
+    std::string worker_address(const std::string& node) override { return node + ":1"; }
+    std::string discovery_address() override { return "script:1"; }
     std::string placer_address(std::size_t i) override;
     void start_placer(std::size_t, const std::string& file) override;
     void kill_placer(std::size_t) override;
     void stall_placer(std::size_t, bool) override;
-    void node_killed(const std::string&) override;
-    std::string nowhere(std::size_t i) override { return "nowhere-" + std::to_string(i) + ":1"; }
+    void on_worker_killed(const std::string&) override;
+    std::string dead_address(std::size_t i) override { return "nowhere-" + std::to_string(i) + ":1"; }
     bool cut(const std::string& node, bool in, bool out) override {
         world_.cut_host(node, in, out);
         return true;
--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -39,16 +39,16 @@
         hand_over();
     }
     std::size_t unsent() const override { return out_.size(); }
-    std::uint64_t handed() const override { return written_ - out_.size(); }
-    void read(bool on) override {
+    std::uint64_t handed_over() const override { return written_ - out_.size(); }
+    void set_reading(bool on) override {
         reading_ = on;
         if (on) wake();
     }
-    bool unread() const override { return !incoming_.empty() && process_.world_.now_ >= arrives_; }
+    bool has_unread() const override { return !incoming_.empty() && process_.world_.now_ >= arrives_; }
     bool peer_closed() const override {
         return broken_ || (ending_.has_value() && process_.world_.now_ >= ends_at_);
     }
-    void finish() override {
+    void shutdown_write() override {
         if (std::exchange(finishing_, true)) return;
         half_close();
     }
@@ -93,7 +93,7 @@
         ending_.reset();
         broken_ = true;
         if (how != net::CloseReason::by_peer || !peer_end() || !peer_end()->half_closed_) other_.reset();
-        if (user_) user_->closed(how);
+        if (user_) user_->on_closed(how);
     }
 
     void hand_over() {
@@ -122,7 +122,7 @@
             w.post(w.now(), &process_, [me] {
                 if (!*me) return;
                 (*me)->telling_ = false;
-                if ((*me)->out_.empty() && (*me)->user_ && !(*me)->broken_) (*me)->user_->drained();
+                if ((*me)->out_.empty() && (*me)->user_ && !(*me)->broken_) (*me)->user_->on_drained();
             });
         }
     }
@@ -146,7 +146,7 @@
             incoming_bytes_ -= lot.size();
             for (const char c : lot) w.digest_ = (w.digest_ ^ static_cast<unsigned char>(c)) * 1099511628211u;
             in_ += lot;
-            const std::size_t done = user_->received(in_);
+            const std::size_t done = user_->on_received(in_);
             if (!*me) return;
             in_.erase(0, done);
             if (!reading_ || broken_) break;
@@ -186,7 +186,7 @@
         if (const auto it = all.find(address_); it != all.end() && it->second == this) all.erase(it);
     }
     std::string address() const override { return address_; }
-    void accept_waiting() override {}  // each is handed on as it arrives
+    void accept_pending() override {}  // each is handed on as it arrives
 
 private:
     friend class SimulatedProcess;
@@ -248,11 +248,11 @@
     const SimulatedStream::Self me = s->self_;
     const auto fail = [this, me](Nanos when, net::CloseReason why) {
         world_.post(when, this, [me, why] {
-            if (*me && (*me)->user_) (*me)->user_->closed(why);
+            if (*me && (*me)->user_) (*me)->user_->on_closed(why);
         });
     };
     if (files_ < 0) {
-        fail(world_.now_, net::CloseReason::out_of_files);
+        fail(world_.now_, net::CloseReason::out_of_descriptors);
         return s;
     }
     const auto there = world_.listeners_.find(address);
@@ -273,7 +273,7 @@
         if (!*me) return;
         if (it == world_.listeners_.end() || !it->second->process_.alive_) {
             world_.post(arrives + world_.delays_.least, this, [me] {
-                if (*me && (*me)->user_) (*me)->user_->closed(net::CloseReason::refused);
+                if (*me && (*me)->user_) (*me)->user_->on_closed(net::CloseReason::refused);
             });
             return;
         }
@@ -288,7 +288,7 @@
         world_.post((*me)->arrives_, this, [me] {
             if (!*me || !(*me)->user_ || !(*me)->dialling_) return;
             (*me)->dialling_ = false;
-            (*me)->user_->connected();
+            (*me)->user_->on_connected();
             if (*me) (*me)->hand_over();
         });
         auto holder = std::make_shared<std::unique_ptr<SimulatedStream>>(std::move(far));
@@ -303,13 +303,13 @@
     return s;
 }
 
-void SimulatedProcess::use(net::Stream& stream, net::StreamHandler& user) {
+void SimulatedProcess::attach(net::Stream& stream, net::StreamHandler& user) {
     auto& s = static_cast<SimulatedStream&>(stream);
     s.user_ = &user;
     s.wake();
 }
 
-std::unique_ptr<net::Timer> SimulatedProcess::timer(std::function<void()> then) {
+std::unique_ptr<net::Timer> SimulatedProcess::make_timer(std::function<void()> then) {
     return std::make_unique<SimulatedTimer>(*this, std::move(then));
 }
 
@@ -334,7 +334,9 @@
     queue_.push({std::max(when, now_), events_++, p, std::move(then)});
 }
 
-void SimulatedNetwork::at(Nanos when, std::function<void()> then) { post(when, nullptr, std::move(then)); }
+void SimulatedNetwork::schedule(Nanos when, std::function<void()> then) {
+    post(when, nullptr, std::move(then));
+}
 
 bool SimulatedNetwork::blocked(const SimulatedProcess& from, const SimulatedProcess& to) const {
     if (&from == &to) return false;
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -40,8 +40,8 @@
                                           std::function<void(std::unique_ptr<net::Stream>)>,
                                           std::string& error) override;
     std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamHandler&) override;
-    void use(net::Stream&, net::StreamHandler&) override;
-    std::unique_ptr<net::Timer> timer(std::function<void()>) override;
+    void attach(net::Stream&, net::StreamHandler&) override;
+    std::unique_ptr<net::Timer> make_timer(std::function<void()>) override;
     void stop() override { stopped_ = true; }
 
     bool stopped() const { return stopped_; }
@@ -83,7 +83,7 @@
     void slow(const std::string& host, Nanos more);  // delay, each way
 
     Nanos now() const { return now_; }
-    void at(Nanos when, std::function<void()>);  // of the world: no stall holds it up
+    void schedule(Nanos when, std::function<void()>);  // of the world: no stall holds it up
     void run_until(Nanos);
     std::uint64_t steps() const { return steps_; }
     // Of all bytes that were received, in their order: alike for runs that are alike.
--- a/simulation/socket_environment.h
+++ b/simulation/socket_environment.h
@@ -17,10 +17,10 @@
     SocketEnvironment(net::LibeventLoop&, std::string program, std::string dir, std::size_t placers);
     ~SocketEnvironment() override;
     net::EventLoop& loop() override { return loop_; }
-    net::EventLoop& node_loop(const std::string&, int) override { return loop_; }
-    std::string node_address(const std::string&) override { return "127.0.0.1:0"; }
-    std::string list_address() override { return "127.0.0.1:0"; }
-    std::string nowhere(std::size_t) override { return "127.0.0.1:1"; }
+    net::EventLoop& worker_loop(const std::string&, int) override { return loop_; }
+    std::string worker_address(const std::string&) override { return "127.0.0.1:0"; }
+    std::string discovery_address() override { return "127.0.0.1:0"; }
+    std::string dead_address(std::size_t) override { return "127.0.0.1:1"; }
     std::string placer_address(std::size_t i) override { return addresses_[i]; }
     void start_placer(std::size_t, const std::string& file) override;
     void kill_placer(std::size_t) override;
--- a/simulator_adapter/simulator_adapter.cpp
+++ b/simulator_adapter/simulator_adapter.cpp
@@ -103,28 +103,28 @@
 AttemptOutcome ending_of(std::int64_t code) {
     switch (code) {
         case 0:
-            return AttemptOutcome::served;
+            return AttemptOutcome::completed;
         case 5:
-            return AttemptOutcome::error;
+            return AttemptOutcome::failed;
         case 11:
-            return AttemptOutcome::refused;
+            return AttemptOutcome::rejected;
         case 110:
             return AttemptOutcome::timed_out;
         case 111:
-            return AttemptOutcome::unconnected;
+            return AttemptOutcome::connect_failed;
         case 104:
             return AttemptOutcome::reset;
         case 125:
             return AttemptOutcome::cancelled;
         case 114:
-            return AttemptOutcome::unsent;
+            return AttemptOutcome::not_sent;
         default:
             return AttemptOutcome::unknown;
     }
 }
 
 OutcomeReason reason_of(std::int64_t info) {
-    return info >= 1 && info <= 7 ? static_cast<OutcomeReason>(info) : OutcomeReason::untold;
+    return info >= 1 && info <= 7 ? static_cast<OutcomeReason>(info) : OutcomeReason::unspecified;
 }
 
 struct Entry {
@@ -140,15 +140,15 @@
     // Writes a placer's decisions as they are made.
     struct Writer : DecisionHandler {
         explicit Writer(Instance& i) : instance(i) {}
-        void bind(Task& c, Worker& m, Nanos time_out) override;
-        void defer(Task& c, Nanos stay_away) override;
-        void kill(Task& c) override;
-        void move(Task& c) override;
-        void stop_waiting(Task& c, int launch) override;
-        void probe(Worker& m) override;
-        void follow_list() override { State::write(instance, "FOLLOW 1"); }
-        void fetch_list() override { State::write(instance, "SNAPSHOT"); }
-        void wake(Nanos at) override {
+        void place(Task& c, Worker& m, Nanos time_out) override;
+        void reject(Task& c, Nanos stay_away) override;
+        void fail(Task& c) override;
+        void migrate(Task& c) override;
+        void cancel_attempt(Task& c, int launch) override;
+        void check_health(Worker& m) override;
+        void watch_endpoints() override { State::write(instance, "FOLLOW 1"); }
+        void fetch_endpoints() override { State::write(instance, "SNAPSHOT"); }
+        void wake_at(Nanos at) override {
             State::write(instance,
                          "WAKE_AT " + std::to_string((at + kMicrosecond - 1) / kMicrosecond) + " 1");
         }
@@ -202,7 +202,7 @@
     void drop_if_finished(Task& c) {
         if (!c.finished()) return;
         const std::uint64_t id = c.tag;
-        at->placer->release(c);
+        at->placer->remove(c);
         at->containers.erase(id);
         at->dropped.emplace_back(now, id);
         at->dropped_ids.insert(id);
@@ -215,7 +215,7 @@
     }
     Service& service(std::string_view name) {
         Service*& s = at->services[std::string(name)];
-        if (!s) s = &at->placer->meet_service(stable_hash(name));
+        if (!s) s = &at->placer->add_service(stable_hash(name));
         return *s;
     }
 
@@ -271,12 +271,12 @@
         e.listed.cell = static_cast<int>(f.whole_or("cluster", 0));
         e.listed.free_cores = f.real_or("cpu_left", 0);
         const std::string_view stage = f.required("stage_state");
-        if (stage == "SERVING") e.listed.stage = EndpointPhase::serving;
-        else if (stage == "DRAINING") e.listed.stage = EndpointPhase::draining;
-        else if (stage == "DELETED") e.listed.stage = EndpointPhase::gone;
+        if (stage == "SERVING") e.listed.phase = EndpointPhase::serving;
+        else if (stage == "DRAINING") e.listed.phase = EndpointPhase::draining;
+        else if (stage == "DELETED") e.listed.phase = EndpointPhase::gone;
         else bad("M", "stage_state", "names no known stage");
         f.real_or("rating", 1);
-        e.listed.started = f.micros_or_zero("ready_at_us");
+        e.listed.started_at = f.micros_or_zero("ready_at_us");
         f.end();
         sheets[sheet].push_back(std::move(e));
         --entries_due;
@@ -286,7 +286,7 @@
         Scheduler& p = placer(f.message());
         const std::string_view scope = f.required("scope");
         f.whole_or("seq_no", 0);
-        if (scope == "Error") return p.list_failed(now);
+        if (scope == "Error") return p.on_watch_failed(now);
         const bool whole = scope == "Complete" || scope == "Persisted";
         if (!whole && scope != "Partial") bad(f.message(), "scope", "names no known scope");
         const std::int64_t number = f.whole("sheet");
@@ -299,32 +299,32 @@
                 bad("M", "campus", "is out of range");
             Worker*& m = at->machines[e.host];
             if (!m) {
-                m = &p.meet_machine(stable_hash(e.host));
+                m = &p.add_worker(stable_hash(e.host));
                 at->hosts[m] = e.host;
             }
-            p.list_entry(now, *m, e.listed);
+            p.update_endpoint(now, *m, e.listed);
         }
-        p.list_done(now, whole);
-        if (!std::exchange(at->begun, true)) p.begin(now);
+        p.on_watch_event_done(now, whole);
+        if (!std::exchange(at->begun, true)) p.start(now);
     }
 
     void arrival(Fields& f) {
         Scheduler& p = placer(f.message());
         const auto id = static_cast<std::uint64_t>(f.whole("txn"));
         ResourceRequest a;
-        a.life_left = f.micros_or_zero("life_us");
+        a.expected_runtime = f.micros_or_zero("life_us");
         a.time_left = f.micros("patience_left_us");
         a.cores = f.real("cpu_ask");
         Service& s = service(f.required("service"));
         f.whole_or("tenant", 0);
-        a.group = f.index("lane", at->groups);
+        a.queue_group = f.index("lane", at->groups);
         a.memory = f.real("mem");
         f.text("task_key");
         const std::int64_t bits = f.whole_or("state_bits", 0);
         f.end();
-        if (!(bits & 1)) a.life_left = 0;
-        a.came_again = bits & 16;
-        Task& c = p.take(now, s, a, id);
+        if (!(bits & 1)) a.expected_runtime = 0;
+        a.is_retry = bits & 16;
+        Task& c = p.submit(now, s, a, id);
         if (!at->containers.emplace(id, &c).second) bad(f.message(), "txn", "was given before");
     }
 
@@ -332,20 +332,20 @@
         Scheduler& p = placer(f.message());
         const auto id = static_cast<std::uint64_t>(f.whole("txn"));
         ResourceRequest a;
-        a.group = f.index("lane", at->groups);
+        a.queue_group = f.index("lane", at->groups);
         f.whole_or("tenant", 0);
         f.text("task_key");
         a.time_left = f.micros_or_zero("patience_left_us");
-        a.life_left = f.micros_or_zero("life_us");
+        a.expected_runtime = f.micros_or_zero("life_us");
         Service& s = service(f.required("service"));
         a.cores = f.real("cpu_ask");
         a.memory = f.real("mem");
         const std::int64_t bits = f.whole_or("state_bits", 0);
-        if (!(bits & 1)) a.life_left = 0;
-        a.came_again = bits & 16;
+        if (!(bits & 1)) a.expected_runtime = 0;
+        a.is_retry = bits & 16;
         Worker& m = machine(f);
         f.end();
-        Task& c = p.take_over(now, s, a, m, id);
+        Task& c = p.adopt(now, s, a, m, id);
         if (!at->containers.emplace(id, &c).second) bad(f.message(), "txn", "was given before");
     }
 
@@ -376,7 +376,7 @@
         else if (m == "CONFIRMED") {
             Task* c = container(f);
             const auto go = f.whole("go");
-            if (c) c->accepted(now, static_cast<int>(go));
+            if (c) c->on_accepted(now, static_cast<int>(go));
         } else if (m == "SIGNAL") {
             Task* c = container(f);
             const int go = static_cast<int>(f.whole("go"));
@@ -384,11 +384,11 @@
             const std::int64_t what = f.whole("what");
             const double x = f.real_or("x", 0);
             if (!c) return;
-            if (what == 1) c->runs(now, go);
-            else if (what == 2) c->uses_cores(now, go, x);
-            else if (what == 3) c->uses_memory(now, go, x);
-            else if (what == 4) c->served_share(now, go, x);
-            else if (what == 5) c->machine_memory(now, go, x);
+            if (what == 1) c->on_running(now, go);
+            else if (what == 2) c->on_cores_used(now, go, x);
+            else if (what == 3) c->on_memory_used(now, go, x);
+            else if (what == 4) c->on_service_share(now, go, x);
+            else if (what == 5) c->on_worker_memory(now, go, x);
         } else if (m == "VERDICT") {
             Task* c = container(f);
             const AttemptOutcome how = ending_of(f.whole("ending"));
@@ -399,11 +399,11 @@
             f.required("host");
             const LoadReport r = report(f);
             if (!c) return;
-            c->ended(now, go, how, why, closed, r);
+            c->on_attempt_ended(now, go, how, why, closed, r);
             drop_if_finished(*c);
         } else if (m == "VANISHED") {
             if (Task* c = container(f)) {
-                c->withdrawn(now);
+                c->cancel(now);
                 drop_if_finished(*c);
             }
         } else if (m == "TIMER") {
@@ -415,7 +415,7 @@
             f.whole_or("elapsed_us", 0);
             const bool ok = f.whole("ending") == 0;
             const LoadReport r = report(f);
-            if (ok) p.heard(now, on, r);
+            if (ok) p.on_load_report(now, on, r);
         } else if (m == "DATAGRAM") {
             placer(m);  // peers have nothing to tell: placers share nothing
         } else if (m == "M") bad(m, "line", "came outside a POOL");
@@ -427,7 +427,7 @@
         for (Instance* i : touched) {
             i->touched = false;
             at = i;
-            i->placer->round(now);
+            i->placer->run_round(now);
             for (const std::uint64_t id : std::exchange(i->answered, {}))
                 if (const auto it = i->containers.find(id); it != i->containers.end())
                     drop_if_finished(*it->second);
@@ -458,26 +458,26 @@
     std::int64_t entries_due = 0;
 };
 
-void SimulatorAdapter::State::Writer::bind(Task& c, Worker& m, Nanos time_out) {
+void SimulatorAdapter::State::Writer::place(Task& c, Worker& m, Nanos time_out) {
     State::write(instance, "BIND " + std::to_string(c.tag) + " " + instance.hosts.at(&m) + " " +
                                std::to_string(std::max<Nanos>(1, time_out / kMicrosecond)));
 }
-void SimulatorAdapter::State::Writer::defer(Task& c, Nanos stay_away) {
+void SimulatorAdapter::State::Writer::reject(Task& c, Nanos stay_away) {
     State::write(instance,
                  "OVERLOAD_REPLY " + std::to_string(c.tag) + " " + std::to_string(stay_away / kMicrosecond));
     instance.answered.push_back(c.tag);
 }
-void SimulatorAdapter::State::Writer::kill(Task& c) {
+void SimulatorAdapter::State::Writer::fail(Task& c) {
     State::write(instance, "FAIL " + std::to_string(c.tag));
     instance.answered.push_back(c.tag);
 }
-void SimulatorAdapter::State::Writer::move(Task& c) {
+void SimulatorAdapter::State::Writer::migrate(Task& c) {
     State::write(instance, "RELOCATE " + std::to_string(c.tag));
 }
-void SimulatorAdapter::State::Writer::stop_waiting(Task& c, int launch) {
+void SimulatorAdapter::State::Writer::cancel_attempt(Task& c, int launch) {
     State::write(instance, "CANCEL " + std::to_string(c.tag) + " " + std::to_string(launch));
 }
-void SimulatorAdapter::State::Writer::probe(Worker& m) {
+void SimulatorAdapter::State::Writer::check_health(Worker& m) {
     State::write(instance, "HEALTH_CHECK " + instance.hosts.at(&m));
 }
 
