--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -104,14 +104,14 @@
 
 bool Table::has(std::string_view key) const { return node_ && as_table(node_)->contains(key); }
 
-const void* Table::get(std::string_view key, bool required) {
+const void* Table::lookup(std::string_view key, bool required) {
     const toml::node* n = node_ ? as_table(node_)->get(key) : nullptr;
     if (n) state_->known.insert(n);
-    else if (required) wrong(key, "is missing");
+    else if (required) add_problem(key, "is missing");
     return n;
 }
 
-void Table::wrong(std::string_view key, std::string_view expected) {
+void Table::add_problem(std::string_view key, std::string_view expected) {
     const toml::table* t = as_table(node_);
     const toml::node* n = t ? t->get(key) : nullptr;
     const std::uint32_t line = n ? n->source().begin.line : t ? t->source().begin.line : 0;
@@ -120,19 +120,19 @@
 }
 
 Table Table::table(std::string_view key) {
-    const auto* n = as_node(get(key, false));
+    const auto* n = as_node(lookup(key, false));
     const std::string path = path_.empty() ? std::string(key) : path_ + "." + std::string(key);
-    if (n && !n->is_table()) wrong(key, "must be a table");
+    if (n && !n->is_table()) add_problem(key, "must be a table");
     return Table(state_, n && n->is_table() ? n->as_table() : nullptr, path);
 }
 
 std::vector<Table> Table::tables(std::string_view key) {
     std::vector<Table> out;
-    const auto* n = as_node(get(key, false));
+    const auto* n = as_node(lookup(key, false));
     if (!n) return out;
     const toml::array* list = n->as_array();
     if (!list) {
-        wrong(key, "must be a list of tables ([[...]])");
+        add_problem(key, "must be a list of tables ([[...]])");
         return out;
     }
     const std::string path = path_.empty() ? std::string(key) : path_ + "." + std::string(key);
@@ -140,99 +140,100 @@
         state_->known.insert(list->get(i));
         if (const auto* t = list->get(i)->as_table())
             out.push_back(Table(state_, t, path + "[" + std::to_string(i) + "]"));
-        else wrong(key, "must hold tables only");
+        else add_problem(key, "must hold tables only");
     }
     return out;
 }
 
-std::string Table::text(std::string_view key) {
-    const auto* n = as_node(get(key, true));
+std::string Table::string(std::string_view key) {
+    const auto* n = as_node(lookup(key, true));
     if (!n) return "";
     if (const auto* s = n->as_string(); s && !s->get().empty()) return s->get();
-    wrong(key, "must be a text in quotes, and not empty");
+    add_problem(key, "must be a text in quotes, and not empty");
     return "";
 }
-std::string Table::text(std::string_view key, std::string_view absent) {
-    return has(key) ? text(key) : std::string(absent);
+std::string Table::string(std::string_view key, std::string_view absent) {
+    return has(key) ? string(key) : std::string(absent);
 }
 
 double Table::number(std::string_view key, double least, double most) {
-    const auto* n = as_node(get(key, true));
+    const auto* n = as_node(lookup(key, true));
     if (!n) return least;
     const std::optional<double> v = n->is_number() ? n->value<double>() : std::nullopt;
     if (v && std::isfinite(*v) && *v >= least && *v <= most) return *v;
-    wrong(key, "must be a number from " + shown(least) + " to " + shown(most));
+    add_problem(key, "must be a number from " + shown(least) + " to " + shown(most));
     return least;
 }
 double Table::number(std::string_view key, double least, double most, double absent) {
     return has(key) ? number(key, least, most) : absent;
 }
 
-std::int64_t Table::whole(std::string_view key, std::int64_t least, std::int64_t most) {
-    const auto* n = as_node(get(key, true));
+std::int64_t Table::integer(std::string_view key, std::int64_t least, std::int64_t most) {
+    const auto* n = as_node(lookup(key, true));
     if (!n) return least;
     const auto* i = n->as_integer();
     if (i && i->get() >= least && i->get() <= most) return i->get();
-    wrong(key, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
+    add_problem(key, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
     return least;
 }
-std::int64_t Table::whole(std::string_view key, std::int64_t least, std::int64_t most, std::int64_t absent) {
-    return has(key) ? whole(key, least, most) : absent;
+std::int64_t Table::integer(std::string_view key, std::int64_t least, std::int64_t most,
+                            std::int64_t absent) {
+    return has(key) ? integer(key, least, most) : absent;
 }
 
-bool Table::truth(std::string_view key, bool absent) {
-    const auto* n = as_node(get(key, false));
+bool Table::boolean(std::string_view key, bool absent) {
+    const auto* n = as_node(lookup(key, false));
     if (!n) return absent;
     if (const auto* b = n->as_boolean()) return b->get();
-    wrong(key, "must be true or false");
+    add_problem(key, "must be true or false");
     return absent;
 }
 
-Nanos Table::span(std::string_view key, Nanos least, Nanos most) {
+Nanos Table::duration(std::string_view key, Nanos least, Nanos most) {
     const Nanos unit = key.ends_with("_ms") ? kMillisecond : kSecond;
     const double in = static_cast<double>(unit);
     return static_cast<Nanos>(number(key, static_cast<double>(least) / in, static_cast<double>(most) / in) *
                               in);
 }
-Nanos Table::span(std::string_view key, Nanos least, Nanos most, Nanos absent) {
-    return has(key) ? span(key, least, most) : absent;
+Nanos Table::duration(std::string_view key, Nanos least, Nanos most, Nanos absent) {
+    return has(key) ? duration(key, least, most) : absent;
 }
 
-std::size_t Table::word(std::string_view key, const std::vector<std::string_view>& words) {
-    const auto* n = as_node(get(key, true));
+std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& words) {
+    const auto* n = as_node(lookup(key, true));
     if (!n) return 0;
     const auto* s = n->as_string();
     for (std::size_t i = 0; s && i < words.size(); ++i)
         if (s->get() == words[i]) return i;
     std::string expected = "must be one of";
     for (const std::string_view w : words) expected += " \"" + std::string(w) + "\"";
-    wrong(key, expected);
+    add_problem(key, expected);
     return 0;
 }
-std::size_t Table::word(std::string_view key, const std::vector<std::string_view>& words,
-                        std::size_t absent) {
-    return has(key) ? word(key, words) : absent;
+std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& words,
+                          std::size_t absent) {
+    return has(key) ? choice(key, words) : absent;
 }
 
-std::vector<std::string> Table::texts(std::string_view key) {
+std::vector<std::string> Table::strings(std::string_view key) {
     std::vector<std::string> out;
-    const auto* n = as_node(get(key, true));
+    const auto* n = as_node(lookup(key, true));
     if (!n) return out;
     const toml::array* list = n->as_array();
     for (std::size_t i = 0; list && i < list->size(); ++i) {
         const auto* s = list->get(i)->as_string();
         if (!s || s->get().empty()) {
-            wrong(key, "must hold texts in quotes only");
+            add_problem(key, "must hold texts in quotes only");
             return out;
         }
         out.push_back(s->get());
     }
-    if (!list || list->empty()) wrong(key, "must be a list of one text or more");
+    if (!list || list->empty()) add_problem(key, "must be a list of one text or more");
     return out;
 }
 
 std::string Table::address(std::string_view key) {
-    const std::string v = text(key);
+    const std::string v = string(key);
     if (v.empty()) return v;
     const std::size_t colon = v.rfind(':');
     bool ok = colon != std::string::npos && colon + 1 < v.size() && v.size() - colon <= 6;
@@ -245,7 +246,7 @@
             ok = inet_pton(AF_INET6, host.substr(1, host.size() - 2).c_str(), out) == 1;
         else ok = inet_pton(AF_INET, host.c_str(), out) == 1;
     }
-    if (!ok) wrong(key, "must be an IP address and a port, as in \"127.0.0.1:7400\"");
+    if (!ok) add_problem(key, "must be an IP address and a port, as in \"127.0.0.1:7400\"");
     return v;
 }
 
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -45,30 +45,30 @@
     Table table(std::string_view key);                // empty, if it is not there
     std::vector<Table> tables(std::string_view key);  // [[key]], none if it is not there
 
-    std::string text(std::string_view key);
-    std::string text(std::string_view key, std::string_view absent);
+    std::string string(std::string_view key);
+    std::string string(std::string_view key, std::string_view absent);
     double number(std::string_view key, double least, double most);
     double number(std::string_view key, double least, double most, double absent);
-    std::int64_t whole(std::string_view key, std::int64_t least, std::int64_t most);
-    std::int64_t whole(std::string_view key, std::int64_t least, std::int64_t most, std::int64_t absent);
-    bool truth(std::string_view key, bool absent);
+    std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most);
+    std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most, std::int64_t absent);
+    bool boolean(std::string_view key, bool absent);
     // Keys that end in _ms or _s say their unit; the value is a number of it, from `least` to `most`.
-    Nanos span(std::string_view key, Nanos least, Nanos most);
-    Nanos span(std::string_view key, Nanos least, Nanos most, Nanos absent);
+    Nanos duration(std::string_view key, Nanos least, Nanos most);
+    Nanos duration(std::string_view key, Nanos least, Nanos most, Nanos absent);
     // One of the given words; gives back its place among them.
-    std::size_t word(std::string_view key, const std::vector<std::string_view>& words);
-    std::size_t word(std::string_view key, const std::vector<std::string_view>& words, std::size_t absent);
-    std::vector<std::string> texts(std::string_view key);
+    std::size_t choice(std::string_view key, const std::vector<std::string_view>& words);
+    std::size_t choice(std::string_view key, const std::vector<std::string_view>& words, std::size_t absent);
+    std::vector<std::string> strings(std::string_view key);
     std::string address(std::string_view key);  // an IP address and a port
 
     // A problem of the caller's own finding.
-    void wrong(std::string_view key, std::string_view expected);
+    void add_problem(std::string_view key, std::string_view expected);
 
 private:
     friend class Document;
     Table(Document::State* s, const void* node, std::string path)
         : state_(s), node_(node), path_(std::move(path)) {}
-    const void* get(std::string_view key, bool required);
+    const void* lookup(std::string_view key, bool required);
     Document::State* state_;
     const void* node_;  // a toml::table, or null
     std::string path_;
--- a/src/config/placer_file.h
+++ b/src/config/placer_file.h
@@ -18,18 +18,18 @@
 };
 struct NamedQueueGroup {
     std::string name;
-    QueueGroup terms;
+    QueueGroup queue_group;
 };
 struct DiscoveryService {
     std::string address;
-    DiscoverySettings terms;
+    DiscoverySettings settings;
 };
 struct DialLimits {
-    int at_once = 16, a_second = 200;
+    int concurrent = 16, per_second = 200;
 };
 struct LogSettings {
     log::Level level = log::Level::info;
-    log::Format form = log::Format::text;
+    log::Format format = log::Format::text;
 };
 
 PlacerSettings placer_settings(Table root);
--- a/src/discovery/event_stream.cpp
+++ b/src/discovery/event_stream.cpp
@@ -33,20 +33,20 @@
     if (!from.is_object()) return false;
     const auto host = text(from, "host");
     if (!host || host->empty()) return false;
-    e.host = *host;
+    e.worker = *host;
     e.address = text(from, "dial");
     if (const auto zone = text(from, "site")) e.zone = index(zones, *zone);
     if (const auto kind = text(from, "class")) e.kind = index(kinds, *kind);
     if (const auto cell = number(from, "block"); cell && std::abs(*cell) < 1e9)
         e.cell = static_cast<int>(*cell);
     if (const auto state = text(from, "health")) {
-        if (*state == "active") e.stage = EndpointPhase::serving;
-        else if (*state == "leaving") e.stage = EndpointPhase::draining;
-        else if (*state == "left") e.stage = EndpointPhase::gone;
+        if (*state == "active") e.phase = EndpointPhase::serving;
+        else if (*state == "leaving") e.phase = EndpointPhase::draining;
+        else if (*state == "left") e.phase = EndpointPhase::gone;
         else return false;
     }
     if (const auto born = number(from, "born_ms"); born && *born >= 0 && *born < 9e12)
-        e.started = static_cast<Nanos>(*born) * kMillisecond;
+        e.started_at = static_cast<Nanos>(*born) * kMillisecond;
     if (const auto free = from.find("free"); free != from.end() && free->is_array() && free->size() == 2 &&
                                              (*free)[0].is_number() && (*free)[1].is_number()) {
         e.free_cores = (*free)[0].get<double>();
@@ -72,7 +72,7 @@
         return std::nullopt;
     }
     WatchEvent out;
-    out.number = offset->get<std::int64_t>();
+    out.sequence = offset->get<std::int64_t>();
     const auto list = from.find("topology");
     if (list == from.end() || !list->is_object()) return out;
     const auto hosts = list->find("hosts");
@@ -81,11 +81,11 @@
         return std::nullopt;
     }
     const auto whole = list->find("whole");
-    out.has_list = true;
-    out.whole = whole != list->end() && whole->is_boolean() && whole->get<bool>();
+    out.has_endpoints = true;
+    out.is_snapshot = whole != list->end() && whole->is_boolean() && whole->get<bool>();
     for (const Json& h : *hosts) {
         EndpointUpdate e;
-        if (read_entry(h, zones, kinds, e)) out.hosts.push_back(std::move(e));
+        if (read_entry(h, zones, kinds, e)) out.endpoints.push_back(std::move(e));
         else ++odd;
     }
     return out;
@@ -110,7 +110,7 @@
 
 constexpr std::size_t kMaxLineSize = 4 << 20;  // far over a whole list of some thousand hosts
 
-bool EventStreamParser::read(std::string_view bytes, const std::function<void(std::string_view)>& each) {
+bool EventStreamParser::feed(std::string_view bytes, const std::function<void(std::string_view)>& each) {
     http_parser_settings calls;
     http_parser_settings_init(&calls);
     calls.on_body = [](http_parser* p, const char* at, std::size_t length) {
--- a/src/discovery/event_stream.h
+++ b/src/discovery/event_stream.h
@@ -15,19 +15,19 @@
 
 // One host as an event names it; what it does not say stays as it was.
 struct EndpointUpdate {
-    std::string host;
+    std::string worker;
     std::optional<std::string> address;
     std::optional<int> zone, kind, cell;
-    std::optional<EndpointPhase> stage;
-    std::optional<Nanos> started;
+    std::optional<EndpointPhase> phase;
+    std::optional<Nanos> started_at;
     std::optional<double> free_cores, free_memory;
 };
 
 struct WatchEvent {
-    std::int64_t number = 0;
-    bool has_list = false;  // else it is of no known sort and only its number counts
-    bool whole = false;     // the entire list: hosts that it does not name are gone
-    std::vector<EndpointUpdate> hosts;
+    std::int64_t sequence = 0;
+    bool has_endpoints = false;  // else it is of no known sort and only its number counts
+    bool is_snapshot = false;    // the entire list: hosts that it does not name are gone
+    std::vector<EndpointUpdate> endpoints;
 };
 
 // Reads `{"offset":N,"topology":{...}}`. Nothing, and `wrong`, where it is no event. Entries without a host,
@@ -45,7 +45,7 @@
     ~EventStreamParser();
     // Calls `each` with the id and data of every whole event; a half event at the end is kept for more, and
     // dropped with the reader. False where the answer can't be read, is no success, or has come to its end.
-    bool read(std::string_view bytes, const std::function<void(std::string_view data)>& each);
+    bool feed(std::string_view bytes, const std::function<void(std::string_view data)>& each);
     std::uint64_t lines() const { return lines_; }  // whole ones, so far
 
 private:
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -93,18 +93,18 @@
 Logger::Logger() = default;
 Logger::~Logger() = default;
 
-Logger::Logger(Level least, Format form) : least_(least), form_(form) {
+Logger::Logger(Level least, Format form) : level_(least), format_(form) {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
-    to_ = std::make_shared<spdlog::logger>("whinpost", std::move(sink));
-    to_->set_level(to_spdlog(least));
-    to_->set_pattern(form == Format::json ? "{\"at\":\"%Y-%m-%dT%H:%M:%S.%f\",\"level\":\"%l\",%v}"
-                                          : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
+    logger_ = std::make_shared<spdlog::logger>("whinpost", std::move(sink));
+    logger_->set_level(to_spdlog(least));
+    logger_->set_pattern(form == Format::json ? "{\"at\":\"%Y-%m-%dT%H:%M:%S.%f\",\"level\":\"%l\",%v}"
+                                              : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
 }
 
-bool Logger::says(Level l) const { return to_ && l >= least_ && l != Level::off; }
+bool Logger::enabled(Level l) const { return logger_ && l >= level_ && l != Level::off; }
 
 void Logger::operator()(Level l, std::string_view event, std::initializer_list<Field> fields) const {
-    if (says(l)) to_->log(to_spdlog(l), "{}", line(form_, event, fields));
+    if (enabled(l)) logger_->log(to_spdlog(l), "{}", line(format_, event, fields));
 }
 
 }  // namespace whinpost::log
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -39,13 +39,13 @@
     Logger();               // says nothing
     Logger(Level, Format);  // to standard error, written by the calling thread
     ~Logger();
-    bool says(Level) const;
+    bool enabled(Level) const;
     void operator()(Level, std::string_view event, std::initializer_list<Field>) const;
 
 private:
-    std::shared_ptr<spdlog::logger> to_;
-    Level least_ = Level::off;
-    Format form_ = Format::text;
+    std::shared_ptr<spdlog::logger> logger_;
+    Level level_ = Level::off;
+    Format format_ = Format::text;
 };
 
 }  // namespace whinpost::log
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -39,8 +39,8 @@
 Nanos later_start(Nanos a, Nanos b) { return std::max(a, b); }
 
 bool same(const EndpointState& a, const EndpointState& b) {
-    return a.zone == b.zone && a.cell == b.cell && a.kind == b.kind && a.stage == b.stage &&
-           a.started == b.started && a.free_cores == b.free_cores && a.free_memory == b.free_memory;
+    return a.zone == b.zone && a.cell == b.cell && a.kind == b.kind && a.phase == b.phase &&
+           a.started_at == b.started_at && a.free_cores == b.free_cores && a.free_memory == b.free_memory;
 }
 
 std::string seconds(Nanos t) {
@@ -75,7 +75,7 @@
 WorkerEntry::WorkerEntry(Membership& f, std::string n, std::uint32_t num)
     : name(std::move(n)), number(num), fleet_(f), held_(*this), lives_(kLivesOver) {}
 
-void WorkerEntry::Held::due(Nanos now) { member.fleet_.settle(now, member); }
+void WorkerEntry::Held::on_deadline(Nanos now) { member.fleet_.settle(now, member); }
 
 Membership::Membership(MembershipHandler& port, Nanos now, Nanos drain_grace, bool report_is_free)
     : port_(port), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
@@ -102,17 +102,17 @@
 }
 
 void Membership::turn(Nanos now) {
-    wheel_.turn(now);
-    if (const Nanos next = wheel_.next()) port_.turn_at(next);
+    wheel_.run_timers(now);
+    if (const Nanos next = wheel_.next_deadline()) port_.turn_at(next);
 }
 
 // ---------------------------------------------------------------- what follows
 
 WorkerState Membership::judge(Nanos now, const WorkerEntry& m) const {
     if (!m.list.ever) return WorkerState::unknown;
-    if (m.list.entry.stage == EndpointPhase::gone)
+    if (m.list.entry.phase == EndpointPhase::gone)
         return m.connection.up ? WorkerState::leaving : WorkerState::gone;
-    if (m.list.entry.stage == EndpointPhase::draining || m.node.drains) return WorkerState::draining;
+    if (m.list.entry.phase == EndpointPhase::draining || m.node.drains) return WorkerState::draining;
     if (now < m.steady_at_) return WorkerState::unsteady;
     if (!m.connection.up && (m.connection.ever || m.connection.failed > 0)) return WorkerState::away;
     if (!m.connection.ever && m.list.age_when_told > kOld) return WorkerState::unconfirmed;
@@ -123,18 +123,18 @@
     EndpointState l = m.list.entry;
     switch (judge(now, m)) {
         case WorkerState::serving:
-            l.stage = EndpointPhase::serving;
+            l.phase = EndpointPhase::serving;
             break;
         case WorkerState::unknown:
         case WorkerState::leaving:
         case WorkerState::gone:
-            l.stage = EndpointPhase::gone;
+            l.phase = EndpointPhase::gone;
             break;
         default:
-            l.stage = EndpointPhase::draining;
+            l.phase = EndpointPhase::draining;
             break;
     }
-    l.started = later_start(l.started, m.node.started);
+    l.started_at = later_start(l.started_at, m.node.started);
     if (report_is_free_ && m.node.reported > m.list.as_of && now - m.list.as_of > kOld) {
         if (m.node.report.has_free_cores) l.free_cores = m.node.report.free_cores;
         if (m.node.report.has_free_memory) l.free_memory = m.node.report.free_memory;
@@ -189,12 +189,13 @@
         return;
     }
     m.doubted_ = false;
-    const bool newer =
-        listed.started && m.list.entry.started && listed.started > m.list.entry.started + kSameStart;
+    const bool newer = listed.started_at && m.list.entry.started_at &&
+                       listed.started_at > m.list.entry.started_at + kSameStart;
     EndpointState l = listed;
     // One start, told twice with ages that the network bent.
-    if (l.started && m.list.entry.started && std::abs(l.started - m.list.entry.started) < kSameStart)
-        l.started = m.list.entry.started;
+    if (l.started_at && m.list.entry.started_at &&
+        std::abs(l.started_at - m.list.entry.started_at) < kSameStart)
+        l.started_at = m.list.entry.started_at;
     m.list.ever = true;
     m.list.left_out = false;
     m.list.entry = l;
@@ -204,25 +205,26 @@
     if (moved) m.address = address;
     named_.push_back(&m);
     // Rule 5. It stands elsewhere now, by a list that knows a later life than the one that greeted here.
-    if (moved && m.connection.up && newer && l.started > m.node.started + kSameStart) port_.dial_anew(now, m);
+    if (moved && m.connection.up && newer && l.started_at > m.node.started + kSameStart)
+        port_.dial_anew(now, m);
 }
 
 // Rule 10.
 void Membership::named_twice(WorkerEntry& m, const EndpointState& other, std::string_view address) {
     EndpointState& l = m.list.entry;
     if (!address.empty() && address != m.address) {
-        if (!m.connection.up && other.started > l.started) m.address = address;
+        if (!m.connection.up && other.started_at > l.started_at) m.address = address;
     }
-    l.stage = std::max(l.stage, other.stage);  // serving, draining, gone: in the order of care
+    l.phase = std::max(l.phase, other.phase);  // serving, draining, gone: in the order of care
     l.free_cores = std::min(l.free_cores, other.free_cores);
     l.free_memory = std::min(l.free_memory, other.free_memory);
-    l.started = later_start(l.started, other.started);
+    l.started_at = later_start(l.started_at, other.started_at);
 }
 
 void Membership::leave_out(Nanos now, WorkerEntry& m, Nanos as_of) {
     m.doubted_ = false;
     m.list.left_out = true;
-    m.list.entry.stage = EndpointPhase::gone;
+    m.list.entry.phase = EndpointPhase::gone;
     m.list.as_of = as_of;
     settle(now, m);
 }
@@ -235,7 +237,7 @@
     std::vector<WorkerEntry*> absent;
     std::size_t stood = 0, alive = 0;
     for (const auto& m : members_) {
-        if (!m->list.ever || m->list.entry.stage == EndpointPhase::gone) continue;
+        if (!m->list.ever || m->list.entry.phase == EndpointPhase::gone) continue;
         ++stood;
         if (m->turn_ == turn_ || turn_as_of_ < m->list.as_of) continue;
         absent.push_back(m.get());
@@ -295,9 +297,9 @@
     const Nanos started = up_for > 0 ? now - up_for : 0;
     if (!m.node.started || std::abs(started - m.node.started) >= kSameStart) m.node.started = started;
     // The list told of this very start: one number for it, or the planner would take it for another life.
-    if (m.node.started && m.list.entry.started &&
-        std::abs(m.node.started - m.list.entry.started) < kSameStart)
-        m.node.started = m.list.entry.started;
+    if (m.node.started && m.list.entry.started_at &&
+        std::abs(m.node.started - m.list.entry.started_at) < kSameStart)
+        m.node.started = m.list.entry.started_at;
     m.node.drains = drains;
     m.connection.up = m.connection.ever = true;
     m.connection.failed = 0;
@@ -346,8 +348,8 @@
     const auto add = [&out](const std::string& s) { out += "; " + s; };
     if (m.list.ever) {
         const char* stage = m.list.left_out                                 ? "leaves it out"
-                            : m.list.entry.stage == EndpointPhase::gone     ? "calls it gone"
-                            : m.list.entry.stage == EndpointPhase::draining ? "says it drains"
+                            : m.list.entry.phase == EndpointPhase::gone     ? "calls it gone"
+                            : m.list.entry.phase == EndpointPhase::draining ? "says it drains"
                                                                             : "says it serves";
         add(std::string("the list ") + stage + ", as of " + seconds(now - m.list.as_of) + " ago");
     } else {
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -87,7 +87,7 @@
     friend class Membership;
     struct Held final : timer_wheel::Timer {
         explicit Held(WorkerEntry& m) : member(m) {}
-        void due(Nanos) override;
+        void on_deadline(Nanos) override;
         WorkerEntry& member;
     };
     Membership& fleet_;
@@ -161,7 +161,7 @@
     friend class WorkerEntry;
     struct Doubt final : timer_wheel::Timer {
         explicit Doubt(Membership& f) : fleet(f) {}
-        void due(Nanos now) override { fleet.doubt_over(now); }
+        void on_deadline(Nanos now) override { fleet.doubt_over(now); }
         Membership& fleet;
     };
     WorkerState judge(Nanos now, const WorkerEntry&) const;
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -43,14 +43,14 @@
     config::Document d = config::Document::parse(shape.text, shape.name);
     config::Table root = d.root();
     for (const char* key : {"placer", "list", "intake", "log"})
-        if (root.has(key)) root.wrong(key, "is carried from the old file: a shape does not hold it");
+        if (root.has(key)) root.add_problem(key, "is carried from the old file: a shape does not hold it");
     config::queue_groups(root, config::worker_kinds(root).size());
     config::worker_acceptance(root);
     config::slow_start_settings(root);
     config::retry_settings(root);
     config::prices(root);
     config::Table links = root.table("links");
-    if (links.has(kDrainGrace)) links.span(kDrainGrace, 10 * kMillisecond, 3600 * kSecond);
+    if (links.has(kDrainGrace)) links.duration(kDrainGrace, 10 * kMillisecond, 3600 * kSecond);
     return d.problems();
 }
 
@@ -64,8 +64,8 @@
             const std::string name = path + "." + std::string(key.str());
             const toml::node* now = to.get(key.str());
             if (!now)
-                out.left.push_back(at(old, node, name) + " = " + shown(node) +
-                                   ": the shape does not name it, its default holds");
+                out.left_behind.push_back(at(old, node, name) + " = " + shown(node) +
+                                          ": the shape does not name it, its default holds");
             else if (shown(*now) != shown(node))
                 out.replaced.push_back(at(old, node, name) + ": " + shown(node) + " -> " + shown(*now));
         }
@@ -77,7 +77,7 @@
         for (const toml::node& n : from) {
             const std::string name = path + "." + called(n);
             if (const toml::table* now = named(to, called(n))) table(*n.as_table(), *now, name);
-            else out.left.push_back(at(old, n, name) + ": the shape has none of this name");
+            else out.left_behind.push_back(at(old, n, name) + ": the shape has none of this name");
         }
         for (const toml::node& n : to)
             if (!named(from, called(n))) out.replaced.push_back(path + "." + called(n) + ": new");
--- a/src/migrate/migrate.h
+++ b/src/migrate/migrate.h
@@ -14,7 +14,8 @@
     std::string text;                   // the new file; empty where there are problems
     std::vector<std::string> carried;   // from the old file as they stood
     std::vector<std::string> replaced;  // by the shape's: what stood, what stands
-    std::vector<std::string> left;      // of the old file, and in no way in the new one: with line and reason
+    std::vector<std::string>
+        left_behind;                    // of the old file, and in no way in the new one: with line and reason
     std::vector<std::string> problems;  // with file, line and key
 };
 
--- a/src/net/libevent_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -29,7 +29,7 @@
             return "broken off";
         case CloseReason::refused:
             return "not connected";
-        case CloseReason::out_of_files:
+        case CloseReason::out_of_descriptors:
             return "no file descriptor left";
     }
     return "unknown";
@@ -124,13 +124,13 @@
             no_delay();
             return;
         }
-        failed_ = errno == EMFILE || errno == ENFILE ? CloseReason::out_of_files : CloseReason::refused;
+        failed_ = errno == EMFILE || errno == ENFILE ? CloseReason::out_of_descriptors : CloseReason::refused;
         late_ = event_new(
             base, -1, EV_TIMEOUT,
             [](evutil_socket_t, short, void* self) {
                 auto* s = static_cast<LibeventStream*>(self);
                 s->loop_.enter();
-                s->user_->closed(s->failed_);
+                s->user_->on_closed(s->failed_);
             },
             this);
         const timeval soon{};
@@ -158,17 +158,17 @@
             return;
         }
         if (finishing_) half_close();
-        if (user_) user_->drained();  // may destroy this
+        if (user_) user_->on_drained();  // may destroy this
     }
     std::size_t unsent() const override {
         return lot_.size() + evbuffer_get_length(bufferevent_get_output(bev_));
     }
-    std::uint64_t handed() const override { return written_ - unsent(); }
-    void read(bool on) override {
+    std::uint64_t handed_over() const override { return written_ - unsent(); }
+    void set_reading(bool on) override {
         if (on) bufferevent_enable(bev_, EV_READ);
         else bufferevent_disable(bev_, EV_READ);
     }
-    bool unread() const override {
+    bool has_unread() const override {
         const evutil_socket_t fd = bufferevent_getfd(bev_);
         int bytes = 0;
         return fd >= 0 && ioctl(fd, FIONREAD, &bytes) == 0 && bytes > 0;
@@ -177,7 +177,7 @@
         pollfd of{bufferevent_getfd(bev_), POLLRDHUP, 0};
         return of.fd >= 0 && poll(&of, 1, 0) == 1 && (of.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
     }
-    void finish() override {
+    void shutdown_write() override {
         if (std::exchange(finishing_, true)) return;
         if (!dialling_ && unsent() == 0) half_close();
     }
@@ -221,7 +221,7 @@
         s->gone_ = &gone;
         const std::size_t length = evbuffer_get_length(in);
         const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(in, -1));
-        const std::size_t done = s->user_->received({bytes, length});
+        const std::size_t done = s->user_->on_received({bytes, length});
         if (gone) return;
         s->gone_ = nullptr;
         evbuffer_drain(in, done);
@@ -231,7 +231,7 @@
         s->loop_.enter();
         if (s->dialling_) return;
         if (s->finishing_) s->half_close();
-        s->user_->drained();
+        s->user_->on_drained();
     }
     static void on_event(bufferevent*, short what, void* self) {
         auto* s = static_cast<LibeventStream*>(self);
@@ -239,10 +239,10 @@
         if (what & BEV_EVENT_CONNECTED) {
             s->dialling_ = false;
             s->no_delay();
-            s->user_->connected();
-        } else if (s->dialling_) s->user_->closed(CloseReason::refused);
-        else if (what & BEV_EVENT_EOF) s->user_->closed(CloseReason::by_peer);
-        else if (what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) s->user_->closed(CloseReason::reset);
+            s->user_->on_connected();
+        } else if (s->dialling_) s->user_->on_closed(CloseReason::refused);
+        else if (what & BEV_EVENT_EOF) s->user_->on_closed(CloseReason::by_peer);
+        else if (what & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) s->user_->on_closed(CloseReason::reset);
     }
 
     LibeventLoop& loop_;
@@ -300,7 +300,7 @@
         getsockname(evconnlistener_get_fd(listener_), reinterpret_cast<sockaddr*>(&a), &length);
         return text(reinterpret_cast<sockaddr*>(&a));
     }
-    void accept_waiting() override {
+    void accept_pending() override {
         for (;;) {
             const evutil_socket_t fd =
                 accept4(evconnlistener_get_fd(listener_), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
@@ -402,9 +402,9 @@
     return s;
 }
 
-void LibeventLoop::use(Stream& s, StreamHandler& user) { static_cast<LibeventStream&>(s).use(user); }
+void LibeventLoop::attach(Stream& s, StreamHandler& user) { static_cast<LibeventStream&>(s).use(user); }
 
-std::unique_ptr<Timer> LibeventLoop::timer(std::function<void()> then) {
+std::unique_ptr<Timer> LibeventLoop::make_timer(std::function<void()> then) {
     return std::make_unique<LibeventTimer>(*this, std::move(then));
 }
 
@@ -441,7 +441,7 @@
     flushing_.clear();
 }
 
-void LibeventLoop::pass(bool wait) {
+void LibeventLoop::run_once(bool wait) {
     previous_poll_at_ = polled_at_ ? polled_at_ : now();
     poll_began_at_ = polled_at_ = now();
     entered_ = false;
@@ -449,7 +449,7 @@
 }
 
 void LibeventLoop::run() {
-    for (stopping_ = false; !stopping_;) pass(true);
+    for (stopping_ = false; !stopping_;) run_once(true);
 }
 
 void LibeventLoop::stop() {
--- a/src/net/libevent_loop.h
+++ b/src/net/libevent_loop.h
@@ -20,12 +20,13 @@
     std::unique_ptr<Listener> listen(const std::string& address, std::function<void(std::unique_ptr<Stream>)>,
                                      std::string& error) override;
     std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) override;
-    void use(Stream&, StreamHandler&) override;
-    std::unique_ptr<Timer> timer(std::function<void()>) override;
+    void attach(Stream&, StreamHandler&) override;
+    std::unique_ptr<Timer> make_timer(std::function<void()>) override;
     void stop() override;
 
-    void run();            // until stop()
-    void pass(bool wait);  // one poll and the callbacks of what it found; `wait`: until there is something
+    void run();  // until stop()
+    void run_once(
+        bool wait);  // one poll and the callbacks of what it found; `wait`: until there is something
     // Calls `then` in the loop for each arrival of the signal.
     void on_signal(int signal, std::function<void()> then);
     event_base* base() { return base_; }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -16,10 +16,10 @@
 namespace whinpost::net {
 
 enum class CloseReason {
-    by_peer,      // its end was read
-    reset,        // broken off
-    refused,      // the connection was never made
-    out_of_files  // nor could it be: this process has no file descriptor left
+    by_peer,            // its end was read
+    reset,              // broken off
+    refused,            // the connection was never made
+    out_of_descriptors  // nor could it be: this process has no file descriptor left
 };
 std::string_view to_string(CloseReason);
 
@@ -31,12 +31,12 @@
 class StreamHandler {
 public:
     virtual ~StreamHandler() = default;
-    virtual void connected() {}  // of a stream that was dialled
+    virtual void on_connected() {}  // of a stream that was dialled
     // Bytes that were read and not consumed yet; gives back how many it has consumed. Called again with the
     // rest once more has come.
-    virtual std::size_t received(std::string_view) = 0;
-    virtual void drained() {}  // all that was written is in the kernel's hands
-    virtual void closed(CloseReason) = 0;
+    virtual std::size_t on_received(std::string_view) = 0;
+    virtual void on_drained() {}  // all that was written is in the kernel's hands
+    virtual void on_closed(CloseReason) = 0;
 };
 
 // Destroying it closes it, after what the kernel has been handed; what it has not been handed is dropped.
@@ -44,17 +44,17 @@
 public:
     virtual ~Stream() = default;
     virtual void write(std::string_view) = 0;
-    virtual std::size_t unsent() const = 0;    // written, and not in the kernel's hands
-    virtual std::uint64_t handed() const = 0;  // bytes in the kernel's hands since the start; grows only
-    virtual void read(bool on) = 0;            // off: nothing is received, the peer meets a full window
+    virtual std::size_t unsent() const = 0;         // written, and not in the kernel's hands
+    virtual std::uint64_t handed_over() const = 0;  // bytes in the kernel's hands since the start; grows only
+    virtual void set_reading(bool on) = 0;          // off: nothing is received, the peer meets a full window
     // Bytes of the peer lie in the kernel that were not handed on yet. Closing now would destroy them, and
     // with them what the peer has not received.
-    virtual bool unread() const = 0;
+    virtual bool has_unread() const = 0;
     // The peer has closed or half-closed its side; what it wrote before may still be unread.
     virtual bool peer_closed() const = 0;
     // Half-close: says that no more comes once all that was written has left, and goes on receiving; what is
     // written later is dropped. closed() tells when the peer has closed too.
-    virtual void finish() = 0;
+    virtual void shutdown_write() = 0;
     // Closes so that what the peer has not received yet never reaches it.
     virtual void abort() = 0;
     virtual std::string peer() const = 0;
@@ -65,7 +65,7 @@
     virtual ~Listener() = default;
     virtual std::string address() const = 0;  // the one really listened on: port 0 asks for any
     // Hands on what the kernel has accepted already, in this call.
-    virtual void accept_waiting() = 0;
+    virtual void accept_pending() = 0;
 };
 
 class Timer {
@@ -90,9 +90,10 @@
                                              std::string& error) = 0;
     // Never null; a failure is told by closed(), later.
     virtual std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) = 0;
-    virtual void use(Stream&,
-                     StreamHandler&) = 0;  // for one that a listener gave; once, before anything is received
-    virtual std::unique_ptr<Timer> timer(std::function<void()>) = 0;
+    virtual void attach(
+        Stream&,
+        StreamHandler&) = 0;  // for one that a listener gave; once, before anything is received
+    virtual std::unique_ptr<Timer> make_timer(std::function<void()>) = 0;
     virtual void stop() = 0;  // the loop's run ends after this pass
 };
 
--- a/src/planner/local_planner.cpp
+++ b/src/planner/local_planner.cpp
@@ -8,105 +8,106 @@
                            std::vector<QueueGroup> groups, std::vector<WorkerKind> kinds,
                            WorkerAcceptance accepts, SlowStartSettings cold, DiscoverySettings list,
                            RetrySettings launch, Prices prices)
-    : bindings_(bindings),
-      placer_(*this, seed, zone, std::move(groups), std::move(kinds), accepts, cold, list, launch, prices) {}
+    : handler_(bindings), scheduler_(*this, seed, zone, std::move(groups), std::move(kinds), accepts, cold,
+                                     list, launch, prices) {}
 
 Task* LocalPlanner::find(TaskNumber number) {
-    const auto it = containers_.find(number);
-    return it == containers_.end() ? nullptr : it->second;
+    const auto it = tasks_.find(number);
+    return it == tasks_.end() ? nullptr : it->second;
 }
 
 Service& LocalPlanner::service(std::uint64_t mark) {
     Service*& s = services_[mark];
-    if (!s) s = &placer_.meet_service(mark);
+    if (!s) s = &scheduler_.add_service(mark);
     return *s;
 }
 
 void LocalPlanner::drop_if_finished(Task& c) {
     if (!c.finished()) return;
-    containers_.erase(c.tag);
-    placer_.release(c);
+    tasks_.erase(c.tag);
+    scheduler_.remove(c);
 }
 
-void LocalPlanner::node(Nanos now, WorkerNumber number, std::uint64_t mark, const EndpointState& listed) {
-    if (machines_.size() <= number) machines_.resize(number + 1);
-    Worker*& m = machines_[number];
+void LocalPlanner::on_endpoint(Nanos now, WorkerNumber number, std::uint64_t mark,
+                               const EndpointState& listed) {
+    if (workers_.size() <= number) workers_.resize(number + 1);
+    Worker*& m = workers_[number];
     if (!m) {
-        m = &placer_.meet_machine(mark);
+        m = &scheduler_.add_worker(mark);
         numbers_[m] = number;
     }
-    placer_.list_entry(now, *m, listed);
+    scheduler_.update_endpoint(now, *m, listed);
 }
-void LocalPlanner::list_done(Nanos now, bool whole) { placer_.list_done(now, whole); }
-void LocalPlanner::list_failed(Nanos now) { placer_.list_failed(now); }
-void LocalPlanner::begin(Nanos now) { placer_.begin(now); }
+void LocalPlanner::on_watch_event_done(Nanos now, bool whole) { scheduler_.on_watch_event_done(now, whole); }
+void LocalPlanner::on_watch_failed(Nanos now) { scheduler_.on_watch_failed(now); }
+void LocalPlanner::start(Nanos now) { scheduler_.start(now); }
 
-void LocalPlanner::take(Nanos now, TaskNumber number, std::uint64_t mark, const ResourceRequest& asked) {
-    containers_[number] = &placer_.take(now, service(mark), asked, number);
+void LocalPlanner::submit(Nanos now, TaskNumber number, std::uint64_t mark, const ResourceRequest& asked) {
+    tasks_[number] = &scheduler_.submit(now, service(mark), asked, number);
 }
-void LocalPlanner::take_over(Nanos now, TaskNumber number, std::uint64_t mark, const ResourceRequest& asked,
-                             WorkerNumber on) {
-    containers_[number] = &placer_.take_over(now, service(mark), asked, *machines_.at(on), number);
+void LocalPlanner::adopt(Nanos now, TaskNumber number, std::uint64_t mark, const ResourceRequest& asked,
+                         WorkerNumber on) {
+    tasks_[number] = &scheduler_.adopt(now, service(mark), asked, *workers_.at(on), number);
 }
 
-void LocalPlanner::accepted(Nanos now, TaskNumber n, int launch) {
-    if (Task* c = find(n)) c->accepted(now, launch);
+void LocalPlanner::on_accepted(Nanos now, TaskNumber n, int launch) {
+    if (Task* c = find(n)) c->on_accepted(now, launch);
 }
-void LocalPlanner::runs(Nanos now, TaskNumber n, int launch) {
-    if (Task* c = find(n)) c->runs(now, launch);
+void LocalPlanner::on_running(Nanos now, TaskNumber n, int launch) {
+    if (Task* c = find(n)) c->on_running(now, launch);
 }
-void LocalPlanner::uses_cores(Nanos now, TaskNumber n, int launch, double x) {
-    if (Task* c = find(n)) c->uses_cores(now, launch, x);
+void LocalPlanner::on_cores_used(Nanos now, TaskNumber n, int launch, double x) {
+    if (Task* c = find(n)) c->on_cores_used(now, launch, x);
 }
-void LocalPlanner::uses_memory(Nanos now, TaskNumber n, int launch, double x) {
-    if (Task* c = find(n)) c->uses_memory(now, launch, x);
+void LocalPlanner::on_memory_used(Nanos now, TaskNumber n, int launch, double x) {
+    if (Task* c = find(n)) c->on_memory_used(now, launch, x);
 }
-void LocalPlanner::served_share(Nanos now, TaskNumber n, int launch, double x) {
-    if (Task* c = find(n)) c->served_share(now, launch, x);
+void LocalPlanner::on_service_share(Nanos now, TaskNumber n, int launch, double x) {
+    if (Task* c = find(n)) c->on_service_share(now, launch, x);
 }
-void LocalPlanner::machine_memory(Nanos now, TaskNumber n, int launch, double x) {
-    if (Task* c = find(n)) c->machine_memory(now, launch, x);
+void LocalPlanner::on_worker_memory(Nanos now, TaskNumber n, int launch, double x) {
+    if (Task* c = find(n)) c->on_worker_memory(now, launch, x);
 }
-void LocalPlanner::ended(Nanos now, TaskNumber n, int launch, AttemptOutcome how, OutcomeReason why,
-                         bool closed, const LoadReport& r) {
+void LocalPlanner::on_attempt_ended(Nanos now, TaskNumber n, int launch, AttemptOutcome how,
+                                    OutcomeReason why, bool closed, const LoadReport& r) {
     Task* c = find(n);
     if (!c) return;
-    c->ended(now, launch, how, why, closed, r);
+    c->on_attempt_ended(now, launch, how, why, closed, r);
     drop_if_finished(*c);
 }
-void LocalPlanner::withdrawn(Nanos now, TaskNumber n) {
+void LocalPlanner::cancel(Nanos now, TaskNumber n) {
     Task* c = find(n);
     if (!c) return;
-    c->withdrawn(now);
+    c->cancel(now);
     drop_if_finished(*c);
 }
-void LocalPlanner::heard(Nanos now, WorkerNumber on, const LoadReport& r) {
-    if (on < machines_.size() && machines_[on]) placer_.heard(now, *machines_[on], r);
+void LocalPlanner::on_load_report(Nanos now, WorkerNumber on, const LoadReport& r) {
+    if (on < workers_.size() && workers_[on]) scheduler_.on_load_report(now, *workers_[on], r);
 }
 
-void LocalPlanner::turns(Nanos, WorkerNumber on, int held) {
-    if (on < machines_.size() && machines_[on]) placer_.turns(*machines_[on], held);
+void LocalPlanner::set_admission_tokens(Nanos, WorkerNumber on, int held) {
+    if (on < workers_.size() && workers_[on]) scheduler_.set_admission_tokens(*workers_[on], held);
 }
 
-void LocalPlanner::round(Nanos now) {
-    placer_.round(now);
-    for (const TaskNumber n : std::exchange(answered_, {}))
+void LocalPlanner::run_round(Nanos now) {
+    scheduler_.run_round(now);
+    for (const TaskNumber n : std::exchange(answered_tasks_, {}))
         if (Task* c = find(n)) drop_if_finished(*c);
 }
 
-void LocalPlanner::bind(Task& c, Worker& m, Nanos time_out) {
-    bindings_.bind(c.tag, numbers_.at(&m), time_out);
+void LocalPlanner::place(Task& c, Worker& m, Nanos time_out) {
+    handler_.place(c.tag, numbers_.at(&m), time_out);
 }
-void LocalPlanner::defer(Task& c, Nanos stay_away) {
-    answered_.push_back(c.tag);
-    bindings_.defer(c.tag, stay_away);
+void LocalPlanner::reject(Task& c, Nanos stay_away) {
+    answered_tasks_.push_back(c.tag);
+    handler_.reject(c.tag, stay_away);
 }
-void LocalPlanner::kill(Task& c) {
-    answered_.push_back(c.tag);
-    bindings_.kill(c.tag);
+void LocalPlanner::fail(Task& c) {
+    answered_tasks_.push_back(c.tag);
+    handler_.fail(c.tag);
 }
-void LocalPlanner::move(Task& c) { bindings_.move(c.tag); }
-void LocalPlanner::stop_waiting(Task& c, int launch) { bindings_.stop_waiting(c.tag, launch); }
-void LocalPlanner::probe(Worker& m) { bindings_.probe(numbers_.at(&m)); }
+void LocalPlanner::migrate(Task& c) { handler_.migrate(c.tag); }
+void LocalPlanner::cancel_attempt(Task& c, int launch) { handler_.cancel_attempt(c.tag, launch); }
+void LocalPlanner::check_health(Worker& m) { handler_.check_health(numbers_.at(&m)); }
 
 }  // namespace whinpost::planner
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -62,7 +62,7 @@
     // the planner, and what else is owed on this connection is to be told to the planner, which bears that
     // between its rounds only.
     if (std::exchange(stuck_, true)) return;
-    stream_->read(false);
+    stream_->set_reading(false);
     owners_.user_.owner_stuck();
 }
 
@@ -80,7 +80,7 @@
 // behind more bytes than one read takes, or have come while the loop was busy.
 bool ClientConnection::may_have_gone() const {
     if (backlog_since_ || stream_->peer_closed()) return true;
-    return owners_.loop_.now() - owners_.loop_.polled_at() > kLoopAway && stream_->unread();
+    return owners_.loop_.now() - owners_.loop_.polled_at() > kLoopAway && stream_->has_unread();
 }
 
 // Guards against a close over bytes of the peer that were not read yet: the kernel would reset the
@@ -95,13 +95,13 @@
     owners_.user_.owner_ends(*this);
     ended_ = true;
     ended_at_ = owners_.loop_.now();
-    stream_->finish();
+    stream_->shutdown_write();
     owners_.leave(*this);
 }
 
 // All whole messages that were read are gone through, also after one that ends the connection: a request that
 // was read is answered, and be it by a refusal.
-std::size_t ClientConnection::received(std::string_view in) {
+std::size_t ClientConnection::on_received(std::string_view in) {
     if (ended_) return in.size();
     Nanos since = owners_.loop_.unseen_since();
     if (!spoke_ && since <= since_) since = std::min(since, unseen_at_accept_);
@@ -115,10 +115,10 @@
     reading_ = false;
     if (spoilt) {
         owners_.log_(log::Level::debug, "owner_unreadable", {{"peer", peer_}});
-        stream_->read(false);  // there may be no end of it
+        stream_->set_reading(false);  // there may be no end of it
         ending_ = true;
     }
-    backlog_since_ = in.size() >= net::kMaxReadSize && stream_->unread() ? since : 0;
+    backlog_since_ = in.size() >= net::kMaxReadSize && stream_->has_unread() ? since : 0;
     half_since_ = done < in.size() ? (half_since_ ? half_since_ : owners_.loop_.now()) : 0;
     if (ending_ && (spoilt || spoke_)) end();
     return ended_ ? in.size() : done;
@@ -127,7 +127,7 @@
 void ClientConnection::heard(const Message& m, Nanos since) {
     used_ = owners_.loop_.now();
     if (!std::exchange(spoke_, true)) owners_.user_.owner_came(*this);
-    if (owners_.log_.says(log::Level::debug))
+    if (owners_.log_.enabled(log::Level::debug))
         owners_.log_(log::Level::debug, "owner_says",
                      {{"peer", stream_->peer()},
                       {"type", static_cast<int>(m.type)},
@@ -168,7 +168,7 @@
 
 // A client that closes its side may still read, so what it is owed is answered. One that has closed both
 // never sees that.
-void ClientConnection::closed(net::CloseReason why) {
+void ClientConnection::on_closed(net::CloseReason why) {
     closed_ = true;
     if (why == net::CloseReason::by_peer && !ended_) return end();
     stream_->abort();  // its descriptor is free from now on
@@ -197,7 +197,7 @@
     if (!room && !room_to_turn_away(now)) return s->abort();
     ClientConnection& o =
         *owners_.emplace_back(std::make_unique<ClientConnection>(*this, std::move(s), !room));
-    loop_.use(*o.stream_, o);
+    loop_.attach(*o.stream_, o);
 }
 
 // Guards against a reset over a first request that was written with the connection: where all have something
@@ -205,7 +205,7 @@
 bool ClientServer::room_to_turn_away(Nanos now) {
     if (turned_away_ < kMostTurnedAway || drop_one_that_left(true)) return true;
     const auto silent = std::find_if(owners_.begin(), owners_.end(), [now](const auto& o) {
-        return o->turned_away_ && !o->spoke_ && now - o->since_ >= kJustCame && !o->stream_->unread();
+        return o->turned_away_ && !o->spoke_ && now - o->since_ >= kJustCame && !o->stream_->has_unread();
     });
     if (silent == owners_.end()) return false;
     (*silent)->end();
@@ -216,7 +216,7 @@
 // One that lingers for its client to close, with nothing on its way that a close would destroy.
 bool ClientServer::drop_one_that_left(bool turned_away) {
     const auto quiet = std::find_if(left_.begin(), left_.end(), [turned_away](const auto& o) {
-        return o->turned_away_ == turned_away && (o->closed_ || !o->stream_->unread()) &&
+        return o->turned_away_ == turned_away && (o->closed_ || !o->stream_->has_unread()) &&
                o->stream_->unsent() == 0;
     });
     if (quiet == left_.end()) return false;
@@ -244,7 +244,7 @@
         if (!out) return false;
         // Guards against a set-up that was written before this moment, and an answer not yet handed over: the
         // first would be taken by nobody, the second would not arrive.
-        if (out->stream_->unread() || out->stream_->unsent() > 0) {
+        if (out->stream_->has_unread() || out->stream_->unsent() > 0) {
             kept.push_back(out);
             continue;
         }
@@ -280,7 +280,7 @@
             std::max(!o->told_ && !o->open_ && !o->standing_ ? now - o->since_ - kFirstWord : 0,
                      o->half_since_ ? now - o->half_since_ - kHalfMessage : 0);
         const bool turned_away_long = o->turned_away_ && now - o->since_ > kLinger;
-        if (turned_away_long || (late > 0 && (late > kUnreadFor || !o->stream_->unread())))
+        if (turned_away_long || (late > 0 && (late > kUnreadFor || !o->stream_->has_unread())))
             out.push_back(o.get());
     }
     for (ClientConnection* o : out) o->end();
@@ -295,12 +295,12 @@
 
 bool ClientServer::drain(Nanos now, Nanos by) {
     if (listener_) {
-        listener_->accept_waiting();
+        listener_->accept_pending();
         listener_.reset();
     }
     std::vector<ClientConnection*> out;
     for (const auto& o : owners_)
-        if (!o->open_ && !o->stream_->unread()) out.push_back(o.get());
+        if (!o->open_ && !o->stream_->has_unread()) out.push_back(o.get());
     for (ClientConnection* o : out) o->end();
     look(now);
     return now >= by || (owners_.empty() && left_.empty());
--- a/src/platform/client_server.h
+++ b/src/platform/client_server.h
@@ -43,8 +43,8 @@
 
 private:
     friend class ClientServer;
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override;
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override;
     void heard(const platform_codec::Message&, Nanos since);
 
     ClientServer& owners_;
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -19,7 +19,7 @@
                                std::vector<std::string> zones, std::vector<std::string> kinds,
                                std::uint64_t seed)
     : loop_(loop), log_(log), user_(user), zones_(std::move(zones)), kinds_(std::move(kinds)),
-      chance_(static_cast<std::ranlux24_base::result_type>(seed)), timer_(loop.timer([this] {
+      chance_(static_cast<std::ranlux24_base::result_type>(seed)), timer_(loop.make_timer([this] {
           if (asking_) ask_later("silent");
           else ask();
       })) {}
@@ -29,8 +29,8 @@
     int odd = 0;
     const auto e = discovery::parse_watch_event(json, zones_, kinds_, wrong, odd);
     if (!e || odd) log_(log::Level::warning, "bus_event_odd", {{"why", wrong}, {"entries_left_out", odd}});
-    if (!e || e->number <= last_) return;  // told twice
-    last_ = e->number;
+    if (!e || e->sequence <= last_) return;  // told twice
+    last_ = e->sequence;
     user_.told(*e);
 }
 
@@ -61,16 +61,16 @@
     timer_->arm(loop_.now() + most / 2 + static_cast<Nanos>(chance_() % 1000) * (most / 2000));
 }
 
-void DiscoveryWatch::connected() {
+void DiscoveryWatch::on_connected() {
     stream_->write(discovery::watch_request(address_, last_));
     line_at_ = loop_.now();
     timer_->arm(line_at_ + kSilent);
 }
 
-std::size_t DiscoveryWatch::received(std::string_view in) {
+std::size_t DiscoveryWatch::on_received(std::string_view in) {
     if (!asking_) return in.size();
     const std::uint64_t lines = reader_->lines();
-    const bool well = reader_->read(in, [this](std::string_view data) { event(data); });
+    const bool well = reader_->feed(in, [this](std::string_view data) { event(data); });
     if (!well) {
         ask_later("no good answer");
         return in.size();
@@ -87,7 +87,7 @@
     return in.size();
 }
 
-void DiscoveryWatch::closed(net::CloseReason why) {
+void DiscoveryWatch::on_closed(net::CloseReason why) {
     if (asking_) ask_later(net::to_string(why));
 }
 
--- a/src/platform/discovery_watch.h
+++ b/src/platform/discovery_watch.h
@@ -28,9 +28,9 @@
     std::int64_t last() const { return last_; }
 
 private:
-    void connected() override;
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override;
+    void on_connected() override;
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override;
     void ask();
     void ask_later(std::string_view why);
     void event(std::string_view json);
--- a/src/platform/in_flight_task.h
+++ b/src/platform/in_flight_task.h
@@ -19,13 +19,13 @@
 
     struct Deadline final : timer_wheel::Timer {
         Deadline(PlatformServer& f, InFlightTask& t) : front(f), task(t) {}
-        void due(Nanos now) override;
+        void on_deadline(Nanos now) override;
         PlatformServer& front;
         InFlightTask& task;
     };
     struct AttemptTimeout final : timer_wheel::Timer {
         AttemptTimeout(PlatformServer& f, InFlightTask& t) : front(f), task(t) {}
-        void due(Nanos now) override;
+        void on_deadline(Nanos now) override;
         PlatformServer& front;
         InFlightTask& task;
     };
--- a/src/platform/placement_request.cpp
+++ b/src/platform/placement_request.cpp
@@ -36,7 +36,7 @@
     if (!m.group) return "no class";
     const auto group = std::find(group_names.begin(), group_names.end(), *m.group);
     if (group == group_names.end()) return "no such class";
-    out.asked.group = static_cast<int>(group - group_names.begin());
+    out.asked.queue_group = static_cast<int>(group - group_names.begin());
     const bool held =
         m.figures && m.figures->find("at:") != std::string_view::npos;  // it waits for no answer
     std::int64_t wait = 0;
@@ -45,7 +45,7 @@
     out.asked.time_left = wait * kMillisecond;
     if (!m.name || !hex(*m.name, 16)) return "no good name of the task";
     out.name = *m.name;
-    if (groups[static_cast<std::size_t>(out.asked.group)].effect == Effect::fingerprinted &&
+    if (groups[static_cast<std::size_t>(out.asked.queue_group)].effect == Effect::keyed &&
         !(held && !m.key) && (!m.key || !hex(*m.key, 32)))
         return "no good key";
     if (m.key) out.key = *m.key;
@@ -66,12 +66,12 @@
         } else if (name == "memory") {
             if (!amount(v, out.asked.memory)) return "memory that is no number";
             memory = true;
-        } else if (name == "again") out.asked.came_again = v == "1";
+        } else if (name == "again") out.asked.is_retry = v == "1";
         else if (name == "service") out.service = v;
         else if (name == "at") out.at = v;
         else if (name == "hint" || name == "life") {
             if (!amount(v, life) || life < 0 || life > 1e9) return "a life that is no number";
-            out.asked.life_left = static_cast<Nanos>(life * 1e6);
+            out.asked.expected_runtime = static_cast<Nanos>(life * 1e6);
         }
     }
     if (!cores || !(out.asked.cores > 0) || out.asked.cores > largest.cores) return "cores out of range";
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-void InFlightTask::Deadline::due(Nanos now) { front.due(task, now); }
-void InFlightTask::AttemptTimeout::due(Nanos now) { front.launch_due(task, now); }
+void InFlightTask::Deadline::on_deadline(Nanos now) { front.due(task, now); }
+void InFlightTask::AttemptTimeout::on_deadline(Nanos now) { front.launch_due(task, now); }
 
 PlatformServer::PlatformServer(net::EventLoop& loop, const log::Logger& log, ledger::Ledger& ledger,
                                std::vector<std::string> group_names, std::vector<WorkerKind> kinds,
@@ -50,8 +50,8 @@
       kind_names_(std::move(kind_names)), zone_names_(std::move(zone_names)), kinds_(std::move(kinds)),
       largest_(largest_of(kinds_)), dial_timeout_(dial_timeout), idle_(idle), seed_(seed), wheel_(loop.now()),
       budget_(descriptors), owners_(loop, log, *this), bus_(loop, log, *this, zone_names_, kind_names_, seed),
-      round_timer_(loop.timer([this] { round(); })), turn_timer_(loop.timer([this] { turn(); })),
-      look_timer_(loop.timer([this] { look(); })), wake_timer_(loop.timer([this] { round(); })) {
+      round_timer_(loop.make_timer([this] { round(); })), turn_timer_(loop.make_timer([this] { turn(); })),
+      look_timer_(loop.make_timer([this] { look(); })), wake_timer_(loop.make_timer([this] { round(); })) {
     look_timer_->arm(loop.now() + kLook);
 }
 PlatformServer::~PlatformServer() = default;
@@ -144,7 +144,7 @@
     round_armed_ = false;
     last_round_ = loop_.now();
     in_round_ = true;
-    planner_->round(last_round_);
+    planner_->run_round(last_round_);
     in_round_ = false;
     while (!later_.empty()) {
         const auto f = std::move(later_.front());
@@ -155,15 +155,15 @@
     arm();
 }
 
-void PlatformServer::wake(Nanos at) { wake_timer_->arm(at); }
-void PlatformServer::note(std::string_view line) { log_(log::Level::debug, "planner", {{"says", line}}); }
+void PlatformServer::wake_at(Nanos at) { wake_timer_->arm(at); }
+void PlatformServer::log(std::string_view line) { log_(log::Level::debug, "planner", {{"says", line}}); }
 
 void PlatformServer::arm() {
-    if (const Nanos next = wheel_.next()) turn_timer_->arm(next);
+    if (const Nanos next = wheel_.next_deadline()) turn_timer_->arm(next);
     else turn_timer_->disarm();
 }
 void PlatformServer::turn() {
-    wheel_.turn(loop_.now());
+    wheel_.run_timers(loop_.now());
     arm();
 }
 
@@ -202,54 +202,54 @@
 // ---------------------------------------------------------------- the list
 
 void PlatformServer::told(const discovery::WatchEvent& e) {
-    if (!e.has_list) return;
+    if (!e.has_endpoints) return;
     const Nanos now = loop_.now();
     std::vector<std::string_view> named;
-    for (const discovery::EndpointUpdate& entry : e.hosts) {
-        named.push_back(entry.host);
-        WorkerEntry& k = known_[entry.host];
-        const Nanos started = k.listed.started;
+    for (const discovery::EndpointUpdate& entry : e.endpoints) {
+        named.push_back(entry.worker);
+        WorkerEntry& k = known_[entry.worker];
+        const Nanos started = k.listed.started_at;
         const bool was_there = k.there();
         if (entry.address) k.address = *entry.address;
         if (entry.zone) k.listed.zone = *entry.zone;
         if (entry.kind) k.listed.kind = *entry.kind;
         if (entry.cell) k.listed.cell = *entry.cell;
-        if (entry.stage) k.listed.stage = *entry.stage;
-        if (entry.started) k.listed.started = *entry.started;
+        if (entry.phase) k.listed.phase = *entry.phase;
+        if (entry.started_at) k.listed.started_at = *entry.started_at;
         if (entry.free_cores) k.listed.free_cores = *entry.free_cores;
         if (entry.free_memory) k.listed.free_memory = *entry.free_memory;
         if (k.address.empty()) continue;
         if (!k.host) {
-            if (k.listed.stage == EndpointPhase::gone) continue;  // it was never here
+            if (k.listed.phase == EndpointPhase::gone) continue;  // it was never here
             WorkerHandler& user = *this;
-            k.host = std::make_unique<PooledWorker>(entry.host, static_cast<std::uint32_t>(hosts_.size()),
+            k.host = std::make_unique<PooledWorker>(entry.worker, static_cast<std::uint32_t>(hosts_.size()),
                                                     loop_, log_, user, dial_timeout_, idle_, seed_);
             hosts_.push_back(k.host.get());
             k.host->most_connections(connections_to_one_);
-            k.node = &ledger_.meet(entry.host);
+            k.node = &ledger_.add_worker(entry.worker);
         }
         hosts_there_ = hosts_there_ + k.there() - was_there;
-        k.host->listed(k.address, k.listed.stage);
-        ledger_.listed(now, *k.node, k.listed);
-        planner_->node(now, k.host->number(), stable_hash(entry.host), k.listed);
+        k.host->listed(k.address, k.listed.phase);
+        ledger_.on_endpoint(now, *k.node, k.listed);
+        planner_->on_endpoint(now, k.host->number(), stable_hash(entry.worker), k.listed);
         // Guards against a machine that is back before anybody missed it: it answers, so it is not lost, and
         // knows nothing of what stood there.
-        if (k.listed.started > started) k.host->started_anew(k.listed.started);
+        if (k.listed.started_at > started) k.host->started_anew(k.listed.started_at);
     }
-    if (e.whole) {
+    if (e.is_snapshot) {
         std::sort(named.begin(), named.end());
         for (auto& [name, k] : known_)
-            if (k.host && k.listed.stage != EndpointPhase::gone &&
+            if (k.host && k.listed.phase != EndpointPhase::gone &&
                 !std::binary_search(named.begin(), named.end(), std::string_view(name))) {
-                k.listed.stage = EndpointPhase::gone;
+                k.listed.phase = EndpointPhase::gone;
                 --hosts_there_;
                 k.host->listed(k.address, EndpointPhase::gone);
-                ledger_.gone(now, *k.node);
+                ledger_.on_removed(now, *k.node);
             }
     }
     share_connections();
-    planner_->list_done(now, e.whole);
-    if (!std::exchange(begun_, true)) planner_->begin(now);
+    planner_->on_watch_event_done(now, e.is_snapshot);
+    if (!std::exchange(begun_, true)) planner_->start(now);
     for (std::size_t left = waiting_.size(); left > 0; --left) {
         const PendingRecovery w = std::move(waiting_.front());
         waiting_.pop_front();
@@ -318,16 +318,16 @@
     if (s.asked.time_left <= 0 || (closing_at_ && now >= closing_at_))
         return from.refuse(m.task, platform_codec::kTryLater);
     const std::uint64_t service = stable_hash(s.service);
-    ledger::TaskRecord& r = ledger_.take(now, s.name, service, s.asked);
+    ledger::TaskRecord& r = ledger_.create_task(now, s.name, service, s.asked);
     InFlightTask& t = make(m.task, r, &from, from.peer());
     owners_.opened(from);
     t.group = *m.group;
     t.name = s.name;
     t.key = s.key;
     t.description = *m.description;
-    wheel_.arm(t.deadline, r.until + kClockGrace);
+    wheel_.arm(t.deadline, r.deadline + kClockGrace);
     arm();
-    planner_->take(now, r.number, service, s.asked);
+    planner_->submit(now, r.number, service, s.asked);
     round_soon();
 }
 
@@ -346,17 +346,17 @@
     WorkerEntry& k = it->second;
     const Nanos now = loop_.now();
     const std::uint64_t service = stable_hash(s.service);
-    ledger::TaskRecord& r = ledger_.take_over(now, s.name, service, s.asked, *k.node);
+    ledger::TaskRecord& r = ledger_.adopt_task(now, s.name, service, s.asked, *k.node);
     InFlightTask& t = make(id, r, owner, peer);
     t.name = s.name;
-    planner_->take_over(now, r.number, service, s.asked, k.host->number());
+    planner_->adopt(now, r.number, service, s.asked, k.host->number());
     standing_[t.name] = &t;
     stands_for_owner(t);
     k.host->stands(t);
     log_(log::Level::debug, "taken_over", {{"task", s.name}, {"host", s.at}});
     if (std::uint8_t cause = 0; k.host->said_over(id, cause))
-        standing_ended(t, cause == platform_codec::kOk ? AttemptOutcome::served : AttemptOutcome::reset,
-                       OutcomeReason::untold, cause, {});
+        standing_ended(t, cause == platform_codec::kOk ? AttemptOutcome::completed : AttemptOutcome::reset,
+                       OutcomeReason::unspecified, cause, {});
     round_soon();
     return true;
 }
@@ -376,20 +376,20 @@
         return;
     }
     t.host->take_down(t, true);
-    end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
+    end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
 }
 
 // Given up, or its connection broke: no answer is owed.
 void PlatformServer::unanswered(InFlightTask& t) {
     const Nanos now = loop_.now();
     if (t.record->answer != Answer::none) return;
-    ledger_.give(now, *t.record, Answer::withdrawn);
+    ledger_.record_answer(now, *t.record, Answer::cancelled);
     if (t.owner) owners_.answered(*t.owner);
     t.owner = nullptr;
-    planner_->withdrawn(now, t.record->number);
-    if (t.record->out) {
+    planner_->cancel(now, t.record->number);
+    if (t.record->in_flight) {
         t.host->give_up(t);
-        end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
+        end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
     } else over(t);
 }
 
@@ -429,8 +429,8 @@
     for (InFlightTask* t : of(o)) {
         if (t->standing || t->record->answer != Answer::none) continue;
         const planner::TaskNumber n = t->record->number;
-        answer(*t, ledger_.honest(*t->record), 0);
-        planner_->withdrawn(loop_.now(), n);
+        answer(*t, ledger_.honest_answer(*t->record), 0);
+        planner_->cancel(loop_.now(), n);
     }
 }
 
@@ -446,10 +446,10 @@
 // ---------------------------------------------------------------- answers
 
 void PlatformServer::give(InFlightTask& t, Answer a, Nanos stay_away) {
-    ledger_.give(loop_.now(), *t.record, a);
+    ledger_.record_answer(loop_.now(), *t.record, a);
     if (!t.owner) return;
     owners_.answered(*t.owner);
-    t.owner->refuse(t.id, a == Answer::deferred ? platform_codec::kTryLater : platform_codec::kReset,
+    t.owner->refuse(t.id, a == Answer::rejected ? platform_codec::kTryLater : platform_codec::kReset,
                     stay_away);
     t.owner = nullptr;
 }
@@ -457,33 +457,33 @@
 void PlatformServer::answer(InFlightTask& t, Answer a, Nanos stay_away) {
     if (t.record->answer != Answer::none) return;
     // What may have run is not to be deferred, whoever asks.
-    give(t, a == Answer::deferred ? ledger_.honest(*t.record) : a, stay_away);
-    if (t.record->out) {
+    give(t, a == Answer::rejected ? ledger_.honest_answer(*t.record) : a, stay_away);
+    if (t.record->in_flight) {
         t.host->give_up(t);
         if (in_round_)
             later_.push_back([this, n = t.record->number] {
-                if (InFlightTask* still = find(n); still && still->record->out)
-                    end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
+                if (InFlightTask* still = find(n); still && still->record->in_flight)
+                    end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
             });
-        else end_launch(t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
+        else end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
     } else over(t);
 }
 
-void PlatformServer::defer(planner::TaskNumber n, Nanos stay_away) {
-    if (InFlightTask* t = find(n)) answer(*t, Answer::deferred, stay_away);
+void PlatformServer::reject(planner::TaskNumber n, Nanos stay_away) {
+    if (InFlightTask* t = find(n)) answer(*t, Answer::rejected, stay_away);
 }
-void PlatformServer::kill(planner::TaskNumber n) {
-    if (InFlightTask* t = find(n)) answer(*t, Answer::killed, 0);
+void PlatformServer::fail(planner::TaskNumber n) {
+    if (InFlightTask* t = find(n)) answer(*t, Answer::failed, 0);
 }
 
 // The clock's own answer, if the planner has said nothing in time.
 void PlatformServer::due(InFlightTask& t, Nanos now) {
     if (t.record->answer != Answer::none) return;
-    ++ledger_.tally().answered_by_clock;
+    ++ledger_.statistics().answered_by_deadline;
     log_(log::Level::warning, "answered_by_clock", {{"task", t.name}});
     const planner::TaskNumber n = t.record->number;
-    answer(t, ledger_.honest(*t.record), 0);
-    planner_->withdrawn(now, n);
+    answer(t, ledger_.honest_answer(*t.record), 0);
+    planner_->cancel(now, n);
     round_soon();
 }
 
@@ -498,54 +498,56 @@
     by_id_.erase(t.id);
     dropped_.push_back(std::move(it->second));
     tasks_.erase(it);
-    ledger_.forget(*t.record);
+    ledger_.erase_task(*t.record);
     t.record = nullptr;
     round_soon();
 }
 
 // ---------------------------------------------------------------- launches
 
-void PlatformServer::bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
+void PlatformServer::place(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
     InFlightTask* t = find(n);
     if (!t) return;
     const Nanos now = loop_.now();
     PooledWorker& host = *hosts_.at(to);
     ledger::Refusal why = ledger::Refusal::none;
     ledger::Attempt* l =
-        ledger_.launch(now, *t->record, *known_.find(host.name())->second.node, time_out, why);
+        ledger_.start_attempt(now, *t->record, *known_.find(host.name())->second.node, time_out, why);
     if (!l) {
         log_(log::Level::warning, "bind_refused",
              {{"task", t->name}, {"host", host.name()}, {"why", ledger::to_string(why)}});
         later_.push_back([this, n] {
-            planner_->ended(loop_.now(), n, 0, AttemptOutcome::unsent, OutcomeReason::untold, false, {});
+            planner_->on_attempt_ended(loop_.now(), n, 0, AttemptOutcome::not_sent,
+                                       OutcomeReason::unspecified, false, {});
             round_soon();
         });
         return;
     }
     t->stood = false;
-    wheel_.arm(t->launch_end, l->until);
+    wheel_.arm(t->launch_end, l->deadline);
     arm();
     log_(log::Level::debug, "launch",
          {{"task", t->name},
           {"host", host.name()},
-          {"number", t->record->launches.size()},
+          {"number", t->record->attempts.size()},
           {"ms", time_out / kMillisecond}});
     if (!host.launch(*t))
         later_.push_back([this, n] {
-            if (InFlightTask* still = find(n); still && still->record->out && !still->standing && !still->on)
-                end_launch(*still, AttemptOutcome::unsent, OutcomeReason::untold, {}, false);
+            if (InFlightTask* still = find(n);
+                still && still->record->in_flight && !still->standing && !still->on)
+                end_launch(*still, AttemptOutcome::not_sent, OutcomeReason::unspecified, {}, false);
         });
 }
 
 bool PlatformServer::may_write(InFlightTask& t) {
-    return t.record->out && !(t.owner && t.owner->may_have_gone()) &&
-           ledger_.may_still_send(loop_.now(), *t.record->out);
+    return t.record->in_flight && !(t.owner && t.owner->may_have_gone()) &&
+           ledger_.may_still_send(loop_.now(), *t.record->in_flight);
 }
 
 void PlatformServer::launch_due(InFlightTask& t, Nanos) {
-    if (!t.record->out || t.standing) return;
+    if (!t.record->in_flight || t.standing) return;
     t.host->give_up(t);
-    end_launch(t, AttemptOutcome::timed_out, OutcomeReason::untold, {}, false);
+    end_launch(t, AttemptOutcome::timed_out, OutcomeReason::unspecified, {}, false);
 }
 
 // What became of the launch that is out, or of the container that stands; `closed`: nothing is owed any more.
@@ -557,15 +559,15 @@
     t.launch_end.disarm();
     t.host = nullptr;
     t.standing = false;
-    const int number = static_cast<int>(r.launches.size()) - 1;
-    if (r.out) ledger_.ended(now, *r.out, how);
-    closed = closed || r.over;
+    const int number = static_cast<int>(r.attempts.size()) - 1;
+    if (r.in_flight) ledger_.on_ended(now, *r.in_flight, how);
+    closed = closed || r.closed;
     log_(log::Level::debug, "launch_ended",
          {{"task", t.name},
           {"how", static_cast<int>(how)},
           {"why", static_cast<int>(why)},
           {"closed", closed}});
-    planner_->ended(now, n, number, how, why, closed, report);
+    planner_->on_attempt_ended(now, n, number, how, why, closed, report);
     if (closed)
         if (InFlightTask* still = find(n)) over(*still);
     round_soon();
@@ -574,7 +576,7 @@
 void PlatformServer::launch_answered(InFlightTask& t, std::string_view description) {
     const Nanos now = loop_.now();
     ledger::TaskRecord& r = *t.record;
-    if (!r.out || !ledger_.accepted(now, *r.out)) return;
+    if (!r.in_flight || !ledger_.on_accepted(now, *r.in_flight)) return;
     t.launch_end.disarm();
     t.deadline.disarm();
     PooledWorker& host = *t.host;
@@ -591,13 +593,13 @@
     }
     t.description = std::string();
     t.group = std::string();
-    planner_->accepted(now, r.number, static_cast<int>(r.launches.size()) - 1);
+    planner_->on_accepted(now, r.number, static_cast<int>(r.attempts.size()) - 1);
     round_soon();
 }
 
 void PlatformServer::launch_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
                                   const LoadReport& report) {
-    if (!t.record->out) return;
+    if (!t.record->in_flight) return;
     // Its time may run out between the bind and the write, in the same round.
     if (in_round_) {
         later_.push_back([this, n = t.record->number, how, why, report] {
@@ -607,11 +609,11 @@
     }
     // Answers can be late, or lost, while what they tell of stands and comes to its end: the platform wants
     // that end told to the owner, who asks again. Launched anew in silence, the container counted as lost.
-    if (t.stood &&
-        (how == AttemptOutcome::reset || how == AttemptOutcome::served || how == AttemptOutcome::cancelled)) {
+    if (t.stood && (how == AttemptOutcome::reset || how == AttemptOutcome::completed ||
+                    how == AttemptOutcome::cancelled)) {
         const planner::TaskNumber n = t.record->number;
-        give(t, Answer::killed, 0);
-        planner_->withdrawn(loop_.now(), n);
+        give(t, Answer::failed, 0);
+        planner_->cancel(loop_.now(), n);
         return end_launch(t, how, why, report, true);
     }
     end_launch(t, how, why, report, false);
@@ -633,23 +635,24 @@
 void PlatformServer::noted(InFlightTask& t, std::string_view what, double figure) {
     const Nanos now = loop_.now();
     const planner::TaskNumber n = t.record->number;
-    const int launch = static_cast<int>(t.record->launches.size()) - 1;
+    const int launch = static_cast<int>(t.record->attempts.size()) - 1;
     t.stood = true;
     if (what == "runs") {
-        if (t.record->out && ledger_.runs(now, *t.record->out)) planner_->runs(now, n, launch);
-    } else if (what == "cores") planner_->uses_cores(now, n, launch, figure);
-    else if (what == "memory") planner_->uses_memory(now, n, launch, figure);
-    else if (what == "served") planner_->served_share(now, n, launch, figure);
-    else if (what == "pressure") planner_->machine_memory(now, n, launch, figure);
+        if (t.record->in_flight && ledger_.on_running(now, *t.record->in_flight))
+            planner_->on_running(now, n, launch);
+    } else if (what == "cores") planner_->on_cores_used(now, n, launch, figure);
+    else if (what == "memory") planner_->on_memory_used(now, n, launch, figure);
+    else if (what == "served") planner_->on_service_share(now, n, launch, figure);
+    else if (what == "pressure") planner_->on_worker_memory(now, n, launch, figure);
     round_soon();
 }
 
 void PlatformServer::reported(PooledWorker& h, const LoadReport& r) {
-    planner_->heard(loop_.now(), h.number(), r);
+    planner_->on_load_report(loop_.now(), h.number(), r);
     round_soon();
 }
 
-void PlatformServer::move(planner::TaskNumber n) {
+void PlatformServer::migrate(planner::TaskNumber n) {
     InFlightTask* t = find(n);
     if (!t || !t->standing) return;
     Message m;
@@ -661,22 +664,22 @@
         InFlightTask* still = find(n);
         if (!still || !still->standing) return;
         still->host->take_down(*still, true);
-        end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::untold, {}, true);
+        end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
     });
     round_soon();
 }
 
-void PlatformServer::stop_waiting(planner::TaskNumber n, int) {
+void PlatformServer::cancel_attempt(planner::TaskNumber n, int) {
     later_.push_back([this, n] {
         InFlightTask* t = find(n);
-        if (!t || !t->record->out || t->standing) return;
+        if (!t || !t->record->in_flight || t->standing) return;
         t->host->give_up(*t);
-        end_launch(*t, AttemptOutcome::cancelled, OutcomeReason::untold, {}, false);
+        end_launch(*t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, false);
     });
     round_soon();
 }
 
-void PlatformServer::probe(planner::WorkerNumber n) {
+void PlatformServer::check_health(planner::WorkerNumber n) {
     if (n < hosts_.size()) hosts_[n]->test();
 }
 
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -48,16 +48,16 @@
     std::size_t connections() const;
     std::size_t early() const { return waiting_.size(); }
 
-    void bind(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
-    void defer(planner::TaskNumber, Nanos stay_away) override;
-    void kill(planner::TaskNumber) override;
-    void move(planner::TaskNumber) override;
-    void stop_waiting(planner::TaskNumber, int launch) override;
-    void probe(planner::WorkerNumber) override;
-    void follow_list() override {}  // the event bus is followed from the start
-    void fetch_list() override {}
-    void wake(Nanos at) override;
-    void note(std::string_view line) override;
+    void place(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
+    void reject(planner::TaskNumber, Nanos stay_away) override;
+    void fail(planner::TaskNumber) override;
+    void migrate(planner::TaskNumber) override;
+    void cancel_attempt(planner::TaskNumber, int launch) override;
+    void check_health(planner::WorkerNumber) override;
+    void watch_endpoints() override {}  // the event bus is followed from the start
+    void fetch_endpoints() override {}
+    void wake_at(Nanos at) override;
+    void log(std::string_view line) override;
 
 private:
     friend struct InFlightTask;
@@ -88,7 +88,7 @@
         ledger::WorkerRecord* node = nullptr;
         std::string address;
         EndpointState listed;
-        bool there() const { return host && listed.stage != EndpointPhase::gone; }
+        bool there() const { return host && listed.phase != EndpointPhase::gone; }
     };
     struct PendingRecovery {  // taken over on a host that is not listed yet
         std::uint64_t id;
--- a/src/platform/worker_pool.cpp
+++ b/src/platform/worker_pool.cpp
@@ -33,15 +33,15 @@
 
 constexpr std::pair<std::string_view, OutcomeReason> kReasons[] = {
     {"no_cores", OutcomeReason::no_cores},     {"no_memory", OutcomeReason::no_memory},
-    {"queue_full", OutcomeReason::queue_full}, {"not_here", OutcomeReason::not_here},
-    {"evicted", OutcomeReason::evicted},       {"pushed_out", OutcomeReason::pushed_out},
-    {"sent_away", OutcomeReason::sent_away}};
+    {"queue_full", OutcomeReason::queue_full}, {"not_here", OutcomeReason::not_available},
+    {"evicted", OutcomeReason::evicted},       {"pushed_out", OutcomeReason::preempted},
+    {"sent_away", OutcomeReason::drained}};
 
 OutcomeReason reason_of(const Message& m) {
     if (m.notes)
         for (const auto& [word, reason] : kReasons)
             if (*m.notes == word) return reason;
-    return OutcomeReason::untold;
+    return OutcomeReason::unspecified;
 }
 LoadReport report_of(const Message& m) {
     LoadReport r;
@@ -56,7 +56,7 @@
 
 WorkerConnection::WorkerConnection(PooledWorker& h, net::EventLoop& loop, const std::string& address,
                                    Nanos dial_timeout)
-    : host_(h), stream_(loop.dial(address, *this)), timer_(loop.timer([this] {
+    : host_(h), stream_(loop.dial(address, *this)), timer_(loop.make_timer([this] {
           if (up_) unreadable("half a message");
           else abandon();  // the dial takes too long
       })),
@@ -86,12 +86,12 @@
         waiting_.pop_front();
         if (!host_.user_.may_write(t)) {
             t.on = nullptr;
-            host_.user_.launch_ended(t, AttemptOutcome::unsent, OutcomeReason::untold, {});
+            host_.user_.launch_ended(t, AttemptOutcome::not_sent, OutcomeReason::unspecified, {});
             continue;
         }
         const Nanos now = host_.loop_.now();
         const std::string wait =
-            std::to_string(std::max<Nanos>(1, (t.record->out->until - now) / kMillisecond));
+            std::to_string(std::max<Nanos>(1, (t.record->in_flight->deadline - now) / kMillisecond));
         Message m;
         m.type = MessageType::set_up;
         m.task = t.id;
@@ -116,7 +116,7 @@
     if (launches_.erase(t.id) == 0) return;
     // A repeat of an idempotent one may stand elsewhere: a late yes is cut. Others are left standing; owners
     // find them by their name.
-    given_up_[t.id] = t.record->group->effect == Effect::idempotent;
+    given_up_[t.id] = t.record->queue_group->effect == Effect::idempotent;
     Message m;
     m.type = MessageType::release;
     m.task = t.id;
@@ -148,7 +148,7 @@
     write(m);
 }
 
-void WorkerConnection::connected() {
+void WorkerConnection::on_connected() {
     up_ = true;
     timer_->disarm();
     heard_ = used_ = up_since_ = host_.loop_.now();
@@ -160,7 +160,7 @@
     flush();
 }
 
-std::size_t WorkerConnection::received(std::string_view in) {
+std::size_t WorkerConnection::on_received(std::string_view in) {
     heard_ = host_.heard_ = host_.loop_.now();
     bool spoilt = false;
     const std::size_t done = platform_codec::decode_all(in, spoilt, [this](const Message& m) {
@@ -177,7 +177,7 @@
 
 void WorkerConnection::heard(const Message& m) {
     WorkerHandler& user = host_.user_;
-    if (host_.log_.says(log::Level::debug))
+    if (host_.log_.enabled(log::Level::debug))
         host_.log_(log::Level::debug, "host_says",
                    {{"host", host_.name_},
                     {"type", static_cast<int>(m.type)},
@@ -220,18 +220,18 @@
                     const LoadReport report = report_of(m);
                     user.launch_answered(t, *m.description);
                     if (InFlightTask* stands = host_.stands_here(m.task))
-                        user.standing_ended(*stands, AttemptOutcome::served, reason_of(m), cause, report);
+                        user.standing_ended(*stands, AttemptOutcome::completed, reason_of(m), cause, report);
                     return;
                 }
-                const AttemptOutcome how = cause == platform_codec::kFull        ? AttemptOutcome::refused
-                                           : cause == platform_codec::kError     ? AttemptOutcome::error
-                                           : cause == platform_codec::kNeverLeft ? AttemptOutcome::unsent
+                const AttemptOutcome how = cause == platform_codec::kFull        ? AttemptOutcome::rejected
+                                           : cause == platform_codec::kError     ? AttemptOutcome::failed
+                                           : cause == platform_codec::kNeverLeft ? AttemptOutcome::not_sent
                                                                                  : AttemptOutcome::reset;
                 return user.launch_ended(t, how, reason_of(m), report_of(m));
             }
             if (given_up_.erase(m.task)) return;
             if (InFlightTask* t = host_.stands_here(m.task)) {
-                const AttemptOutcome how = cause == platform_codec::kOk          ? AttemptOutcome::served
+                const AttemptOutcome how = cause == platform_codec::kOk          ? AttemptOutcome::completed
                                            : cause == platform_codec::kCancelled ? AttemptOutcome::cancelled
                                                                                  : AttemptOutcome::reset;
                 return user.standing_ended(*t, how, reason_of(m), cause, report_of(m));
@@ -297,12 +297,12 @@
 Nanos WorkerConnection::idle_since() const {
     const Nanos last = std::max(used_, heard_);
     if (!usable() || !up_ || busy() || !cuts_.empty() || host_.loop_.now() - last < kNoUse) return 0;
-    return stream_->unread() || stream_->unsent() ? 0 : last;
+    return stream_->has_unread() || stream_->unsent() ? 0 : last;
 }
 
 bool WorkerConnection::carries_nothing() const {
-    return up_ && !broken_ && waiting_.empty() && launches_.empty() && cuts_.empty() && !stream_->unread() &&
-           stream_->unsent() == 0;
+    return up_ && !broken_ && waiting_.empty() && launches_.empty() && cuts_.empty() &&
+           !stream_->has_unread() && stream_->unsent() == 0;
 }
 
 void WorkerConnection::close() {
@@ -310,14 +310,14 @@
     broke(false);
 }
 
-void WorkerConnection::closed(net::CloseReason why) {
+void WorkerConnection::on_closed(net::CloseReason why) {
     if (broken_) return;
     stream_->abort();  // its descriptor is free from now on
     host_.log_(
         log::Level::debug, "host_connection_ended",
         {{"host", host_.name_}, {"why", net::to_string(why)}, {"up", up_}, {"launches", launches_.size()}});
     // A descriptor that we lack says nothing about the host.
-    if (why == net::CloseReason::out_of_files) host_.heard_ = host_.loop_.now();
+    if (why == net::CloseReason::out_of_descriptors) host_.heard_ = host_.loop_.now();
     broke(!up_ && why == net::CloseReason::refused);
 }
 
@@ -332,10 +332,10 @@
     for (InFlightTask* t : written) t->on = nullptr;
     for (InFlightTask* t : unwritten) t->on = nullptr;
     for (InFlightTask* t : written)
-        host_.user_.launch_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, {});
+        host_.user_.launch_ended(*t, AttemptOutcome::reset, OutcomeReason::unspecified, {});
     for (InFlightTask* t : unwritten)
-        host_.user_.launch_ended(*t, connected ? AttemptOutcome::unsent : AttemptOutcome::unconnected,
-                                 OutcomeReason::untold, {});
+        host_.user_.launch_ended(*t, connected ? AttemptOutcome::not_sent : AttemptOutcome::connect_failed,
+                                 OutcomeReason::unspecified, {});
 }
 
 // ---------------------------------------------------------------- one host
@@ -368,16 +368,16 @@
 void PooledWorker::started_anew(Nanos at) {
     const auto all = standing_;
     for (const auto& [id, t] : all)
-        if (standing_.contains(id) && t->record->out && t->record->out->sent < at) {
+        if (standing_.contains(id) && t->record->in_flight && t->record->in_flight->sent_at < at) {
             log_(log::Level::info, "host_started_anew", {{"host", name_}, {"task", t->name}});
-            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, platform_codec::kReset,
-                                 {});
+            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::unspecified,
+                                 platform_codec::kReset, {});
         }
 }
 
 void PooledWorker::hush() {
     hushed_ = true;
-    for (const auto& c : connections_) c->stream_->read(false);
+    for (const auto& c : connections_) c->stream_->set_reading(false);
 }
 
 bool PooledWorker::said_over(std::uint64_t id, std::uint8_t& cause) const {
@@ -504,7 +504,7 @@
     if (was_up && stage_ != EndpointPhase::gone) {
         std::vector<std::uint64_t> doubtful;
         for (const auto& [id, t] : c.launches_)
-            if (t->record->group->effect == Effect::idempotent) doubtful.push_back(id);
+            if (t->record->queue_group->effect == Effect::idempotent) doubtful.push_back(id);
         std::sort(doubtful.begin(), doubtful.end());
         for (const std::uint64_t id : doubtful) {
             if (WorkerConnection* other = current(); other && other->up()) other->cut(id);
@@ -520,8 +520,8 @@
     const auto all = standing_;
     for (const auto& [id, t] : all)
         if (standing_.contains(id))
-            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::untold, platform_codec::kReset,
-                                 {});
+            user_.standing_ended(*t, AttemptOutcome::reset, OutcomeReason::unspecified,
+                                 platform_codec::kReset, {});
 }
 
 void PooledWorker::look(Nanos now) {
--- a/src/platform/worker_pool.h
+++ b/src/platform/worker_pool.h
@@ -66,10 +66,10 @@
 
 private:
     friend class PooledWorker;
-    void connected() override;
-    std::size_t received(std::string_view) override;
-    void drained() override { flush(); }
-    void closed(net::CloseReason) override;
+    void on_connected() override;
+    std::size_t on_received(std::string_view) override;
+    void on_drained() override { flush(); }
+    void on_closed(net::CloseReason) override;
     void heard(const platform_codec::Message&);
     void unreadable(std::string_view why);
     void broke(bool refused);
@@ -85,7 +85,7 @@
     std::deque<InFlightTask*> waiting_;                          // not written yet
     std::unordered_map<std::uint64_t, InFlightTask*> launches_;  // written, no end yet; looked up, and walked
                                                                  // in order of id only
-    std::map<std::uint64_t, bool> given_up_;  // by id: whether a late yes is to be cut
+    std::map<std::uint64_t, bool> given_up_;                     // by id: whether a late yes is to be cut
     std::set<std::uint64_t> tests_;
     std::vector<std::uint64_t> cuts_;  // to be written once it is up
 };
--- a/src/recovery/recovery_queue.cpp
+++ b/src/recovery/recovery_queue.cpp
@@ -22,7 +22,7 @@
     if (list_ && !ask_at_) {
         ask_at_ = now;
         pause_ = kFirstPause;
-        port_.wake(ask_at_);
+        port_.wake_at(ask_at_);
     }
     return *at;
 }
@@ -64,7 +64,7 @@
     if (!all_.empty() && !ask_at_) {
         pause_ = kFirstPause;
         ask_at_ = now + pause_;
-        port_.wake(ask_at_);
+        port_.wake_at(ask_at_);
     }
 }
 
@@ -75,7 +75,7 @@
     ++counts_.asked;
     ask_at_ = now + pause_;
     pause_ = std::min(kLongestPause, 2 * pause_);
-    port_.wake(ask_at_);
+    port_.wake_at(ask_at_);
     port_.list_again(now);
 }
 
--- a/src/recovery/recovery_queue.h
+++ b/src/recovery/recovery_queue.h
@@ -27,7 +27,7 @@
     virtual void found(Nanos now, PendingRecovery&) = 0;  // its node is known; the handle has ended
     virtual void lost(Nanos now, PendingRecovery&) = 0;   // its node is not there; the handle has ended
     virtual void list_again(Nanos now) = 0;               // ask for the whole list
-    virtual void wake(Nanos at) = 0;                      // call turn() then
+    virtual void wake_at(Nanos at) = 0;                   // call turn() then
 };
 
 struct RecoveryStatistics {
--- a/src/server/client_endpoint.cpp
+++ b/src/server/client_endpoint.cpp
@@ -17,12 +17,12 @@
 }  // namespace
 
 ClientEndpoint::ClientEndpoint(PlacerServer& e, std::unique_ptr<net::Listener> l)
-    : edge_(e), listener_(std::move(l)), sweep_(e.loop_.timer([this] { left_.clear(); })) {}
+    : edge_(e), listener_(std::move(l)), sweep_(e.loop_.make_timer([this] { left_.clear(); })) {}
 
 void ClientEndpoint::accept(std::unique_ptr<net::Stream> s) {
     if (static_cast<std::int64_t>(sessions_.size()) >= edge_.intake_.limits().owners) {
-        MessageWriter<v1::ToOwner> sender;
-        v1::ToOwner m;
+        MessageWriter<v1::ToClient> sender;
+        v1::ToClient m;
         m.mutable_error()->set_text("intake.owners: as many owners are connected as are allowed");
         sender.send(s.get(), m);
         ++edge_.counts_.turned_away;
@@ -30,7 +30,7 @@
     }
     net::Stream& stream = *s;
     sessions_.push_back(std::make_unique<ClientConnection>(*this, std::move(s)));
-    edge_.loop_.use(stream, *sessions_.back());
+    edge_.loop_.attach(stream, *sessions_.back());
 }
 
 void ClientEndpoint::leave(ClientConnection& s) {
@@ -53,7 +53,7 @@
 ClientConnection::ClientConnection(ClientEndpoint& d, std::unique_ptr<net::Stream> s)
     : door_(d), stream_(std::move(s)) {}
 
-void ClientConnection::send(const v1::ToOwner& m) {
+void ClientConnection::send(const v1::ToClient& m) {
     if (!stream_ || leaving_) return;
     sender_.send(stream_.get(), m);
     const std::size_t waits = stream_->unsent();
@@ -68,21 +68,21 @@
         });
     } else if (waits > kPauseAt && !paused_) {
         paused_ = true;
-        stream_->read(false);
+        stream_->set_reading(false);
     }
 }
 
-void ClientConnection::drained() {
+void ClientConnection::on_drained() {
     if (!paused_ || leaving_) return;
     paused_ = false;
-    stream_->read(true);
+    stream_->set_reading(true);
 }
 
 bool ClientConnection::refuse(const std::string& why) {
     ++door_.edge_.counts_.bad_peers;
     door_.edge_.log_(Level::warning, "bad_owner",
                      {{"owner", name_.empty() ? "?" : name_}, {"peer", stream_->peer()}, {"reason", why}});
-    v1::ToOwner m;
+    v1::ToClient m;
     m.mutable_error()->set_text(why);
     send(m);
     leaving_ = true;
@@ -92,7 +92,7 @@
     return false;
 }
 
-std::size_t ClientConnection::received(std::string_view in) {
+std::size_t ClientConnection::on_received(std::string_view in) {
     if (leaving_) return in.size();
     bool too_long = false;
     const std::size_t done =
@@ -101,7 +101,7 @@
     return leaving_ ? in.size() : done;
 }
 
-void ClientConnection::closed(net::CloseReason) {
+void ClientConnection::on_closed(net::CloseReason) {
     if (leaving_) return;
     leaving_ = true;
     door_.leave(*this);
@@ -109,11 +109,11 @@
 
 bool ClientConnection::message(std::string_view bytes) {
     PlacerServer& edge = door_.edge_;
-    v1::FromOwner m;
+    v1::FromClient m;
     if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return refuse("not a message of this protocol");
     if (!greeted_) {
-        if (m.of_case() != v1::FromOwner::kHello) return refuse("the first message must be a hello");
+        if (m.of_case() != v1::FromClient::kHello) return refuse("the first message must be a hello");
         if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
                           std::to_string(kProtocolVersion));
@@ -122,7 +122,7 @@
         greeted_ = true;
         name_ = m.hello().name();
         share.emplace(edge.intake_);
-        v1::ToOwner back;
+        v1::ToClient back;
         back.mutable_hello()->set_version(kProtocolVersion);
         back.mutable_hello()->set_name(edge.identity_.name);
         back.mutable_hello()->set_incarnation(edge.identity_.incarnation);
@@ -131,36 +131,36 @@
         return true;
     }
     switch (m.of_case()) {
-        case v1::FromOwner::kHello:
+        case v1::FromClient::kHello:
             return refuse("a second hello");
-        case v1::FromOwner::kOffer: {
-            const std::string wrong = wrong_with(m.offer(), edge.group_names_);
+        case v1::FromClient::kSubmit: {
+            const std::string wrong = wrong_with(m.submit(), edge.group_names_);
             if (!wrong.empty()) return refuse(wrong);
-            if (open.contains(m.offer().id()) || awaited.contains(m.offer().id()))
+            if (open.contains(m.submit().id()) || awaited.contains(m.submit().id()))
                 return refuse("offer.id: is in use on this session");
-            edge.offer(*this, m.offer());
+            edge.offer(*this, m.submit());
             return !leaving_;
         }
-        case v1::FromOwner::kHandOver: {
-            const std::string wrong = wrong_with(m.hand_over().offer(), edge.group_names_);
+        case v1::FromClient::kHandOver: {
+            const std::string wrong = wrong_with(m.hand_over().submit(), edge.group_names_);
             if (!wrong.empty()) return refuse("hand_over." + wrong);
-            if (open.contains(m.hand_over().offer().id()) || awaited.contains(m.hand_over().offer().id()))
+            if (open.contains(m.hand_over().submit().id()) || awaited.contains(m.hand_over().submit().id()))
                 return refuse("hand_over.offer.id: is in use on this session");
             edge.hand_over(*this, m.hand_over());
             return !leaving_;
         }
-        case v1::FromOwner::kWithdraw: {
+        case v1::FromClient::kCancel: {
             // One that has just ended may be named still: the two crossed.
-            const auto it = open.find(m.withdraw().id());
+            const auto it = open.find(m.cancel().id());
             if (it != open.end()) edge.withdraw(*it->second);
-            else if (const auto a = awaited.find(m.withdraw().id()); a != awaited.end())
+            else if (const auto a = awaited.find(m.cancel().id()); a != awaited.end())
                 a->second->withdrawn = true;
             return !leaving_;
         }
-        case v1::FromOwner::kError:
+        case v1::FromClient::kError:
             edge.log_(Level::warning, "owner_says", {{"owner", name_}, {"error", m.error().text()}});
             return true;
-        case v1::FromOwner::OF_NOT_SET:
+        case v1::FromClient::OF_NOT_SET:
             return true;  // something newer: passed over
     }
     return true;
--- a/src/server/discovery_client.cpp
+++ b/src/server/discovery_client.cpp
@@ -12,21 +12,21 @@
 constexpr Nanos kCallTimeOut = 2 * kSecond;
 constexpr std::uint32_t kMostPlaces = 1 << 20;  // zones, cells, kinds: more is a mistake
 
-std::string wrong_with(const v1::Entry& e) {
-    if (e.node().empty() || e.node().size() > 256) return "entry.node: must have 1 to 256 bytes";
-    if (e.stage() != v1::Entry::GONE && e.address().empty()) return "entry.address: is missing";
+std::string wrong_with(const v1::Endpoint& e) {
+    if (e.worker().empty() || e.worker().size() > 256) return "entry.node: must have 1 to 256 bytes";
+    if (e.phase() != v1::Endpoint::GONE && e.address().empty()) return "entry.address: is missing";
     if (e.zone() > kMostPlaces || e.cell() > kMostPlaces) return "entry.zone, entry.cell: out of range";
     if (!std::isfinite(e.free_cores()) || !std::isfinite(e.free_memory()))
         return "entry.free_cores, entry.free_memory: must be numbers";
-    if (e.up_for() < 0) return "entry.up_for: must not be negative";
+    if (e.uptime() < 0) return "entry.up_for: must not be negative";
     return "";
 }
 }  // namespace
 
 DiscoveryClient::DiscoveryClient(PlacerServer& e, std::string address, bool on_request)
     : edge_(e), address_(std::move(address)), on_request_(on_request),
-      again_(e.loop_.timer([this] { connect(); })),
-      deadline_(e.loop_.timer([this] { lost("no answer in time"); })),
+      again_(e.loop_.make_timer([this] { connect(); })),
+      deadline_(e.loop_.make_timer([this] { lost("no answer in time"); })),
       chance_(static_cast<std::ranlux24_base::result_type>(e.identity_.seed ^ 0x715)) {}
 
 void DiscoveryClient::connect() {
@@ -35,10 +35,10 @@
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
 }
 
-void DiscoveryClient::send(const v1::ToList& m) { sender_.send(stream_.get(), m); }
+void DiscoveryClient::send(const v1::ToDiscovery& m) { sender_.send(stream_.get(), m); }
 
-void DiscoveryClient::connected() {
-    v1::ToList m;
+void DiscoveryClient::on_connected() {
+    v1::ToDiscovery m;
     m.mutable_hello()->set_version(kProtocolVersion);
     m.mutable_hello()->set_name(edge_.identity_.name);
     m.mutable_hello()->set_incarnation(edge_.identity_.incarnation);
@@ -57,9 +57,9 @@
     edge_.list_failed(why);
 }
 
-void DiscoveryClient::closed(net::CloseReason why) { lost(net::to_string(why)); }
+void DiscoveryClient::on_closed(net::CloseReason why) { lost(net::to_string(why)); }
 
-std::size_t DiscoveryClient::received(std::string_view in) {
+std::size_t DiscoveryClient::on_received(std::string_view in) {
     bool too_long = false;
     net::Stream* const on = stream_.get();
     const std::size_t done =
@@ -76,17 +76,17 @@
     const auto refuse = [this](const std::string& why) {
         ++edge_.counts_.bad_peers;
         edge_.log_(Level::warning, "bad_list", {{"reason", why}});
-        v1::ToList m;
+        v1::ToDiscovery m;
         m.mutable_error()->set_text(why);
         send(m);
         lost(why);
         return false;
     };
-    v1::FromList m;
+    v1::FromDiscovery m;
     if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return refuse("not a message of this protocol");
     if (!greeted_) {
-        if (m.of_case() != v1::FromList::kHello) return refuse("the first message must be a hello");
+        if (m.of_case() != v1::FromDiscovery::kHello) return refuse("the first message must be a hello");
         if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
                           std::to_string(kProtocolVersion));
@@ -99,12 +99,12 @@
         return true;
     }
     switch (m.of_case()) {
-        case v1::FromList::kHello:
+        case v1::FromDiscovery::kHello:
             return refuse("a second hello");
-        case v1::FromList::kEntries: {
+        case v1::FromDiscovery::kUpdate: {
             if (asked_) deadline_->disarm();
             asked_ = false;
-            for (const v1::Entry& e : m.entries().entries()) {
+            for (const v1::Endpoint& e : m.update().endpoints()) {
                 const std::string wrong = wrong_with(e);
                 if (!wrong.empty()) return refuse(wrong);
                 if (e.kind() >= edge_.kinds_) return refuse("entry.kind: is out of range");
@@ -112,28 +112,29 @@
             // The whole message is checked before any of it is used. One that is older than the view that
             // stands (two services behind one address, an answer overtaken by a change) would bring back what
             // is gone.
-            if (m.entries().number() < number_) {
+            if (m.update().sequence() < number_) {
                 ++edge_.counts_.old_lists;
                 edge_.log_(Level::warning, "old_list",
-                           {{"number", m.entries().number()}, {"stands", number_}});
+                           {{"number", m.update().sequence()}, {"stands", number_}});
                 return true;
             }
-            if (!seen_whole_ && !m.entries().whole()) return refuse("entries: changes before any whole list");
-            number_ = m.entries().number();
+            if (!seen_whole_ && !m.update().is_snapshot())
+                return refuse("entries: changes before any whole list");
+            number_ = m.update().sequence();
             seen_whole_ = true;
-            edge_.entries(m.entries());
+            edge_.entries(m.update());
             return true;
         }
-        case v1::FromList::kFailed:
+        case v1::FromDiscovery::kFailed:
             deadline_->disarm();
             asked_ = false;
             edge_.list_failed(m.failed().text());
             if (!seen_whole_) lost(m.failed().text());
             return stream_ != nullptr;
-        case v1::FromList::kError:
+        case v1::FromDiscovery::kError:
             edge_.log_(Level::warning, "list_says", {{"error", m.error().text()}});
             return true;
-        case v1::FromList::OF_NOT_SET:
+        case v1::FromDiscovery::OF_NOT_SET:
             return true;
     }
     return true;
@@ -145,8 +146,8 @@
         edge_.later([this] { edge_.list_failed("not connected"); });
         return;
     }
-    v1::ToList m;
-    m.mutable_follow()->set_on(true);
+    v1::ToDiscovery m;
+    m.mutable_watch()->set_on(true);
     send(m);
     asked_ = true;
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
@@ -154,8 +155,8 @@
 
 void DiscoveryClient::fetch() {
     if (!stream_ || !greeted_) return;
-    v1::ToList m;
-    m.mutable_fetch();
+    v1::ToDiscovery m;
+    m.mutable_fetch_snapshot();
     send(m);
     asked_ = true;
     deadline_->arm(edge_.loop_.now() + kCallTimeOut);
--- a/src/server/endpoints.h
+++ b/src/server/endpoints.h
@@ -16,7 +16,7 @@
     template <void (PlacerServer::*Then)(InFlightTask&)>
     struct Due final : timer_wheel::Timer {
         explicit Due(InFlightTask& h) : held(h) {}
-        void due(Nanos) override { (held.edge.*Then)(held); }
+        void on_deadline(Nanos) override { (held.edge.*Then)(held); }
         InFlightTask& held;
     };
 
@@ -38,7 +38,7 @@
 // A container that was handed over and whose node is not known yet.
 struct PendingAdoption {
     ClientConnection& owner;
-    v1::HandOver told;
+    v1::HandOverTask told;
     recovery::PendingRecovery* handle;
     bool withdrawn = false;  // its owner wants it no more: stopped as soon as its node is known
 };
@@ -63,11 +63,11 @@
 class ClientConnection final : public net::StreamHandler {
 public:
     ClientConnection(ClientEndpoint&, std::unique_ptr<net::Stream>);
-    std::size_t received(std::string_view) override;
-    void drained() override;
-    void closed(net::CloseReason) override;
+    std::size_t on_received(std::string_view) override;
+    void on_drained() override;
+    void on_closed(net::CloseReason) override;
 
-    void send(const v1::ToOwner&);
+    void send(const v1::ToClient&);
     const std::string& name() const { return name_; }
 
     std::unordered_map<std::uint64_t, InFlightTask*>
@@ -82,7 +82,7 @@
 
     ClientEndpoint& door_;
     std::unique_ptr<net::Stream> stream_;
-    MessageWriter<v1::ToOwner> sender_;
+    MessageWriter<v1::ToClient> sender_;
     std::string name_;
     bool greeted_ = false, paused_ = false, leaving_ = false;
 };
@@ -112,15 +112,15 @@
 class WorkerPeer final : public net::StreamHandler {
 public:
     WorkerPeer(WorkerEndpoint&, ledger::WorkerRecord&, membership::WorkerEntry&, std::uint64_t seed);
-    void connected() override;
-    std::size_t received(std::string_view) override;
-    void drained() override;
-    void closed(net::CloseReason) override;
-    void send(const v1::ToNode&);
+    void on_connected() override;
+    std::size_t on_received(std::string_view) override;
+    void on_drained() override;
+    void on_closed(net::CloseReason) override;
+    void send(const v1::ToWorker&);
 
     struct Tick final : timer_wheel::Timer {
         explicit Tick(WorkerPeer& p) : peer(p) {}
-        void due(Nanos) override;
+        void on_deadline(Nanos) override;
         WorkerPeer& peer;
     };
 
@@ -136,7 +136,7 @@
 private:
     bool message(std::string_view);
     bool refuse(const std::string& why);
-    MessageWriter<v1::ToNode> sender_;
+    MessageWriter<v1::ToWorker> sender_;
     std::uint64_t incarnation_ = 0;
     std::string name_;
 };
@@ -179,15 +179,15 @@
 public:
     DiscoveryClient(PlacerServer&, std::string address, bool on_request);
     void connect();
-    void connected() override;
-    std::size_t received(std::string_view) override;
-    void closed(net::CloseReason) override;
+    void on_connected() override;
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override;
     void follow();
     void fetch();
 
 private:
     bool message(std::string_view);
-    void send(const v1::ToList&);
+    void send(const v1::ToDiscovery&);
     void lost(std::string_view why);
 
     PlacerServer& edge_;
@@ -195,7 +195,7 @@
     bool on_request_;
     std::unique_ptr<net::Stream> stream_;
     std::unique_ptr<net::Timer> again_, deadline_;
-    MessageWriter<v1::ToList> sender_;
+    MessageWriter<v1::ToDiscovery> sender_;
     std::ranlux24_base chance_;
     Nanos pause_ = 0;
     bool greeted_ = false, asked_ = false;
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -43,12 +43,12 @@
 constexpr std::size_t kLongestName = 256;
 
 OutcomeReason reason_of(v1::Reason r) {
-    return r >= 0 && r <= 7 ? static_cast<OutcomeReason>(r) : OutcomeReason::untold;
+    return r >= 0 && r <= 7 ? static_cast<OutcomeReason>(r) : OutcomeReason::unspecified;
 }
 
 std::string_view to_string(OutcomeReason r) {
     switch (r) {
-        case OutcomeReason::untold:
+        case OutcomeReason::unspecified:
             break;
         case OutcomeReason::no_cores:
             return "no cores";
@@ -56,13 +56,13 @@
             return "no memory";
         case OutcomeReason::queue_full:
             return "too many offers wait";
-        case OutcomeReason::not_here:
+        case OutcomeReason::not_available:
             return "not here";
         case OutcomeReason::evicted:
             return "evicted";
-        case OutcomeReason::pushed_out:
+        case OutcomeReason::preempted:
             return "pushed out";
-        case OutcomeReason::sent_away:
+        case OutcomeReason::drained:
             return "sent away";
     }
     return "no reason told";
@@ -70,21 +70,21 @@
 
 std::string_view to_string(AttemptOutcome e) {
     switch (e) {
-        case AttemptOutcome::served:
+        case AttemptOutcome::completed:
             return "served";
-        case AttemptOutcome::error:
+        case AttemptOutcome::failed:
             return "error";
-        case AttemptOutcome::refused:
+        case AttemptOutcome::rejected:
             return "refused";
         case AttemptOutcome::timed_out:
             return "no answer in time";
-        case AttemptOutcome::unconnected:
+        case AttemptOutcome::connect_failed:
             return "not connected";
         case AttemptOutcome::reset:
             return "broken off";
         case AttemptOutcome::cancelled:
             return "stopped";
-        case AttemptOutcome::unsent:
+        case AttemptOutcome::not_sent:
             return "never sent";
         case AttemptOutcome::unknown:
             break;
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-LoadReport report_of(const v1::Report& r) {
+LoadReport report_of(const v1::LoadReport& r) {
     LoadReport out;
     const auto take = [](bool has, double v, double& to, bool& flag) {
         flag = has && std::isfinite(v);
@@ -102,8 +102,8 @@
     };
     take(r.has_free_cores(), r.free_cores(), out.free_cores, out.has_free_cores);
     take(r.has_free_memory(), r.free_memory(), out.free_memory, out.has_free_memory);
-    take(r.has_busy(), r.busy(), out.busy, out.has_busy);
-    take(r.has_queued(), r.queued(), out.queued, out.has_queued);
+    take(r.has_utilization(), r.utilization(), out.utilization, out.has_utilization);
+    take(r.has_queue_length(), r.queue_length(), out.queue_length, out.has_queue_length);
     return out;
 }
 
@@ -115,8 +115,8 @@
     : loop_(loop), log_(log), identity_(std::move(identity)), ledger_(ledger), intake_(intake),
       group_names_(std::move(group_names)), kinds_(machine_kinds), wheel_(loop.now()),
       fleet_(*this, loop.now(), terms.drain_grace, report_is_free), taker_(*this, cold_for), regain_(*this),
-      fleet_due_(*this), view_due_(*this), tick_(loop.timer([this] { turn(); })),
-      round_(loop.timer([this] { round(); })),
+      fleet_due_(*this), view_due_(*this), tick_(loop.make_timer([this] { turn(); })),
+      round_(loop.make_timer([this] { round(); })),
       nodes_(std::make_unique<WorkerEndpoint>(*this, terms, dials_at_once, dials_a_second, identity_.seed)) {}
 
 PlacerServer::~PlacerServer() {
@@ -160,8 +160,8 @@
 
 void PlacerServer::turn() {
     tick_at_ = 0;
-    wheel_.turn(loop_.now());
-    const Nanos next = wheel_.next();
+    wheel_.run_timers(loop_.now());
+    const Nanos next = wheel_.next_deadline();
     if (next && (!tick_at_ || next < tick_at_)) {
         tick_at_ = std::max(next, loop_.now() + timer_wheel::TimerWheel::kTick / 2);
         tick_->arm(tick_at_);
@@ -194,7 +194,7 @@
     if (wake_at_ <= now) wake_at_ = 0;
     run_later();
     regain_.turn(now);
-    planning_->round(now);
+    planning_->run_round(now);
     run_later();
     taker_.waiting(now, static_cast<std::size_t>(std::max<std::int64_t>(0, intake_.waiting() - out_)));
     const Nanos took = loop_.now() - now;
@@ -205,12 +205,12 @@
     round_by(wake_at_ ? std::min(wake_at_, now + kIdleRound) : now + kIdleRound);
 }
 
-void PlacerServer::wake(Nanos at) {
+void PlacerServer::wake_at(Nanos at) {
     if (!wake_at_ || at < wake_at_) wake_at_ = at;
     round_by(at);
 }
 
-void PlacerServer::note(std::string_view line) { log_(Level::info, "planner", {{"says", line}}); }
+void PlacerServer::log(std::string_view line) { log_(Level::info, "planner", {{"says", line}}); }
 
 // ---------------------------------------------------------------- from owners
 
@@ -220,120 +220,120 @@
 }
 
 // Of an offer that was checked.
-ResourceRequest PlacerServer::asked_of(const v1::Offer& o) const {
+ResourceRequest PlacerServer::asked_of(const v1::SubmitTask& o) const {
     ResourceRequest asked;
     asked.cores = o.cores();
     asked.memory = o.memory();
-    asked.group = static_cast<int>(std::find(group_names_.begin(), group_names_.end(), o.group()) -
-                                   group_names_.begin());
+    asked.queue_group = static_cast<int>(
+        std::find(group_names_.begin(), group_names_.end(), o.queue_group()) - group_names_.begin());
     asked.time_left = o.time_left();
-    asked.life_left = o.life_left();
-    asked.came_again = o.came_again();
+    asked.expected_runtime = o.expected_runtime();
+    asked.is_retry = o.is_retry();
     return asked;
 }
 
 // It counts no more among what waits at the door.
 void PlacerServer::waits_no_more(InFlightTask& h) {
     if (std::exchange(h.waiting, false))
-        intake_.answered(h.owner ? &*h.owner->share : nullptr, h.record->group_index);
+        intake_.answered(h.owner ? &*h.owner->share : nullptr, h.record->queue_group_index);
 }
 
 void PlacerServer::stop(const ledger::Attempt& l) {
-    v1::ToNode m;
-    m.mutable_stop()->set_launch(l.number);
-    nodes_->find(l.node->name)->send(m);
+    v1::ToWorker m;
+    m.mutable_cancel_attempt()->set_attempt(l.number);
+    nodes_->find(l.worker->name)->send(m);
     ++counts_.stops;
 }
 
 // What was to be stopped while the node could not be reached runs on there, and nobody wants it.
 void PlacerServer::stop_again(WorkerPeer& peer) {
     for (const ledger::Attempt* l : peer.link.in_order())
-        if (const InFlightTask* h = held(l->record->number); h && h->stopping && !l->over) stop(*l);
+        if (const InFlightTask* h = held(l->task->number); h && h->stopping && !l->ended) stop(*l);
 }
 
-void PlacerServer::offer(ClientConnection& from, const v1::Offer& o) {
+void PlacerServer::offer(ClientConnection& from, const v1::SubmitTask& o) {
     const Nanos now = loop_.now();
     ResourceRequest asked = asked_of(o);
     asked.time_left -= early(o.time_left());
-    const admission::AdmissionLimit limit = intake_.take(now, *from.share, asked.group);
+    const admission::AdmissionLimit limit = intake_.take(now, *from.share, asked.queue_group);
     if (limit != admission::AdmissionLimit::none) {
         ++counts_.turned_away;
-        v1::ToOwner m;
-        m.mutable_deferred()->set_id(o.id());
-        m.mutable_deferred()->set_stay_away(kStayAway);
-        m.mutable_deferred()->set_why(std::string(admission::to_string(limit)));
+        v1::ToClient m;
+        m.mutable_rejected()->set_id(o.id());
+        m.mutable_rejected()->set_retry_after(kStayAway);
+        m.mutable_rejected()->set_reason(std::string(admission::to_string(limit)));
         from.send(m);
         log_(Level::debug, "turned_away",
-             {{"owner", from.name()}, {"container", o.container()}, {"limit", admission::to_string(limit)}});
+             {{"owner", from.name()}, {"container", o.task()}, {"limit", admission::to_string(limit)}});
         return;
     }
     const std::uint64_t service = stable_hash(o.service());
-    ledger::TaskRecord& r = ledger_.take(now, o.container(), service, asked);
+    ledger::TaskRecord& r = ledger_.create_task(now, o.task(), service, asked);
     auto h = std::make_unique<InFlightTask>(*this, r);
     h->owner = &from;
     h->id = o.id();
     h->service = o.service();
     from.open[o.id()] = h.get();
-    arm(h->answer_by, r.until);
+    arm(h->answer_by, r.deadline);
     held_[r.number] = std::move(h);
-    v1::ToOwner m;
-    m.mutable_taken()->set_id(o.id());
+    v1::ToClient m;
+    m.mutable_received()->set_id(o.id());
     from.send(m);
-    planning_->take(now, r.number, service, asked);
+    planning_->submit(now, r.number, service, asked);
     taker_.taken(now);
     touch();
 }
 
 void PlacerServer::lost_to_owner(ClientConnection& owner, std::uint64_t id) {
-    v1::ToOwner m;
-    m.mutable_over()->set_id(id);
-    m.mutable_over()->set_how(v1::Over::LOST);
+    v1::ToClient m;
+    m.mutable_ended()->set_id(id);
+    m.mutable_ended()->set_outcome(v1::TaskEnded::LOST);
     owner.send(m);
 }
 
-void PlacerServer::hand_over(ClientConnection& from, const v1::HandOver& h) {
-    WorkerPeer* peer = nodes_->find(h.node());
+void PlacerServer::hand_over(ClientConnection& from, const v1::HandOverTask& h) {
+    WorkerPeer* peer = nodes_->find(h.worker());
     if (peer && peer->member.list.ever) {
         // Gone by the list, and it can't be reached to say otherwise: its owner is to ask anew.
-        if (!peer->node.known && peer->member.standing == membership::WorkerState::gone)
-            lost_to_owner(from, h.offer().id());
+        if (!peer->node.is_listed && peer->member.standing == membership::WorkerState::gone)
+            lost_to_owner(from, h.submit().id());
         else take_over(from, h, *peer);
         return;
     }
     auto a = std::make_unique<PendingAdoption>(PendingAdoption{from, h, nullptr});
-    a->handle = &regain_.wait(loop_.now(), h.node(), a.get());
-    from.awaited[h.offer().id()] = std::move(a);
+    a->handle = &regain_.wait(loop_.now(), h.worker(), a.get());
+    from.awaited[h.submit().id()] = std::move(a);
 }
 
 void PlacerServer::found(Nanos now, recovery::PendingRecovery& h) {
     PendingAdoption& a = *static_cast<PendingAdoption*>(h.tag);
     ClientConnection& owner = a.owner;
-    const auto it = owner.awaited.find(a.told.offer().id());
+    const auto it = owner.awaited.find(a.told.submit().id());
     const std::unique_ptr<PendingAdoption> kept = std::move(it->second);
     owner.awaited.erase(it);
     log_(Level::info, "found_again",
-         {{"container", kept->told.offer().container()},
+         {{"container", kept->told.submit().task()},
           {"node", h.node},
           {"waited_ms", (now - h.since) / kMillisecond}});
     take_over(owner, kept->told, *nodes_->find(h.node));
-    if (kept->withdrawn) withdraw(*owner.open.at(kept->told.offer().id()));
+    if (kept->withdrawn) withdraw(*owner.open.at(kept->told.submit().id()));
 }
 
 void PlacerServer::lost(Nanos, recovery::PendingRecovery& h) {
     PendingAdoption& a = *static_cast<PendingAdoption*>(h.tag);
     ClientConnection& owner = a.owner;
-    const std::uint64_t id = a.told.offer().id();
-    log_(Level::warning, "lost", {{"container", a.told.offer().container()}, {"node", h.node}});
+    const std::uint64_t id = a.told.submit().id();
+    log_(Level::warning, "lost", {{"container", a.told.submit().task()}, {"node", h.node}});
     if (!a.withdrawn) lost_to_owner(owner, id);
     owner.awaited.erase(id);
 }
 
-void PlacerServer::take_over(ClientConnection& from, const v1::HandOver& h, WorkerPeer& peer) {
+void PlacerServer::take_over(ClientConnection& from, const v1::HandOverTask& h, WorkerPeer& peer) {
     const Nanos now = loop_.now();
-    const v1::Offer& o = h.offer();
+    const v1::SubmitTask& o = h.submit();
     const ResourceRequest asked = asked_of(o);
     const std::uint64_t service = stable_hash(o.service());
-    ledger::TaskRecord& r = ledger_.take_over(now, o.container(), service, asked, peer.node);
+    ledger::TaskRecord& r = ledger_.adopt_task(now, o.task(), service, asked, peer.node);
     auto held = std::make_unique<InFlightTask>(*this, r);
     held->owner = &from;
     held->id = o.id();
@@ -341,9 +341,9 @@
     held->bound = 1;
     from.open[o.id()] = held.get();
     held_[r.number] = std::move(held);
-    launches_[r.launches[0].number] = &r.launches[0];
-    planning_->take_over(now, r.number, service, asked, peer.number);
-    peer.link.adopt(r.launches[0]);
+    launches_[r.attempts[0].number] = &r.attempts[0];
+    planning_->adopt(now, r.number, service, asked, peer.number);
+    peer.link.adopt(r.attempts[0]);
     touch();
 }
 
@@ -353,12 +353,13 @@
     const Nanos now = loop_.now();
     ledger::TaskRecord& r = *h.record;
     h.stopping = true;
-    ledger_.give(now, r, ledger::Answer::withdrawn);
+    ledger_.record_answer(now, r, ledger::Answer::cancelled);
     waits_no_more(h);
-    planning_->withdrawn(now, r.number);
-    if (ledger::Attempt* l = r.out) {
-        WorkerPeer& peer = *nodes_->find(l->node->name);
-        if (peer.link.take_back(*l)) launch_over(*l, AttemptOutcome::unsent, OutcomeReason::untold, {});
+    planning_->cancel(now, r.number);
+    if (ledger::Attempt* l = r.in_flight) {
+        WorkerPeer& peer = *nodes_->find(l->worker->name);
+        if (peer.link.take_back(*l))
+            launch_over(*l, AttemptOutcome::not_sent, OutcomeReason::unspecified, {});
         else stop(*l);
     }
     finish(h);
@@ -392,7 +393,7 @@
     log_(Level::warning, "planner_fault", {{"decision", what}, {"container", n}, {"reason", why}});
 }
 
-void PlacerServer::bind(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
+void PlacerServer::place(planner::TaskNumber n, planner::WorkerNumber to, Nanos time_out) {
     const Nanos now = loop_.now();
     InFlightTask* h = held(n);
     if (!h) return fault("bind", n, "the container is not held here");
@@ -402,74 +403,77 @@
         // The planner counts it as out: it hears that nothing was sent, once this round is over.
         later([this, n, index] {
             const InFlightTask* still = held(n);
-            planning_->ended(loop_.now(), n, index, AttemptOutcome::unsent, OutcomeReason::untold,
-                             !still || still->record->answer != ledger::Answer::none, {});
+            planning_->on_attempt_ended(loop_.now(), n, index, AttemptOutcome::not_sent,
+                                        OutcomeReason::unspecified,
+                                        !still || still->record->answer != ledger::Answer::none, {});
         });
     };
     if (to >= nodes_->size()) return untaken("no such node");
     WorkerPeer& peer = nodes_->at(to);
     ledger::Refusal why{};
-    ledger::Attempt* l = ledger_.launch(now, *h->record, peer.node, time_out, why);
+    ledger::Attempt* l = ledger_.start_attempt(now, *h->record, peer.node, time_out, why);
     if (!l) return untaken(ledger::to_string(why));
     ++binds_;
     ++out_;
     taker_.spend(now, peer.cold);
     launches_[l->number] = l;
-    arm(h->launch_by, l->until);
-    if (log_.says(Level::debug))
+    arm(h->launch_by, l->deadline);
+    if (log_.enabled(Level::debug))
         log_(Level::debug, "bind",
-             {{"container", h->record->container}, {"launch", l->number}, {"node", l->node->name}});
+             {{"container", h->record->key}, {"launch", l->number}, {"node", l->worker->name}});
     peer.link.offer(now, *l);
 }
 
-void PlacerServer::defer(planner::TaskNumber n, Nanos stay_away) {
+void PlacerServer::reject(planner::TaskNumber n, Nanos stay_away) {
     InFlightTask* h = held(n);
     if (!h) return fault("defer", n, "the container is not held here");
     if (h->record->answer != ledger::Answer::none)
         return;  // crossed: withdrawn, placed, or answered by the clock
-    if (!ledger_.may_defer(*h->record)) return fault("defer", n, "a launch may have run");
-    answer(*h, ledger::Answer::deferred, stay_away, h->why.empty() ? "no node has room" : h->why);
+    if (!ledger_.may_reject(*h->record)) return fault("defer", n, "a launch may have run");
+    answer(*h, ledger::Answer::rejected, stay_away, h->why.empty() ? "no node has room" : h->why);
 }
 
-void PlacerServer::kill(planner::TaskNumber n) {
+void PlacerServer::fail(planner::TaskNumber n) {
     InFlightTask* h = held(n);
     if (!h) return fault("kill", n, "the container is not held here");
     if (h->record->answer != ledger::Answer::none) return;
-    answer(*h, ledger::Answer::killed, 0, h->why.empty() ? "no launch was answered" : h->why);
+    answer(*h, ledger::Answer::failed, 0, h->why.empty() ? "no launch was answered" : h->why);
 }
 
-void PlacerServer::move(planner::TaskNumber n) {
+void PlacerServer::migrate(planner::TaskNumber n) {
     InFlightTask* h = held(n);
-    if (!h || !h->record->holds) return fault("move", n, "no node holds the container");
+    if (!h || !h->record->accepted_attempt) return fault("move", n, "no node holds the container");
     h->moving = true;
-    stop(*h->record->holds);
-    log_(Level::info, "move", {{"container", h->record->container}, {"node", h->record->holds->node->name}});
+    stop(*h->record->accepted_attempt);
+    log_(Level::info, "move",
+         {{"container", h->record->key}, {"node", h->record->accepted_attempt->worker->name}});
 }
 
-void PlacerServer::stop_waiting(planner::TaskNumber n, int) {
+void PlacerServer::cancel_attempt(planner::TaskNumber n, int) {
     InFlightTask* h = held(n);
-    if (!h || !h->record->out || h->record->holds) return;
-    ledger::Attempt& l = *h->record->out;
+    if (!h || !h->record->in_flight || h->record->accepted_attempt) return;
+    ledger::Attempt& l = *h->record->in_flight;
     later([this, number = l.number] {
         ledger::Attempt* l = launch(number);
-        if (!l || l->over || l->accepted) return;
-        const bool here = nodes_->find(l->node->name)->link.take_back(*l);
-        launch_over(*l, here ? AttemptOutcome::unsent : AttemptOutcome::cancelled, OutcomeReason::untold, {});
+        if (!l || l->ended || l->accepted) return;
+        const bool here = nodes_->find(l->worker->name)->link.take_back(*l);
+        launch_over(*l, here ? AttemptOutcome::not_sent : AttemptOutcome::cancelled,
+                    OutcomeReason::unspecified, {});
     });
 }
 
-void PlacerServer::probe(planner::WorkerNumber n) {
+void PlacerServer::check_health(planner::WorkerNumber n) {
     if (n >= nodes_->size()) return fault("probe", 0, "no such node");
     WorkerPeer& peer = nodes_->at(n);
     if (peer.link.state() != worker_connection::ConnectionState::up)
         return;  // no answer: the planner takes it as silent
-    v1::ToNode m;
-    m.mutable_probe()->set_probe(++counts_.probes);
+    v1::ToWorker m;
+    m.mutable_health_check()->set_id(++counts_.probes);
     peer.send(m);
 }
 
-void PlacerServer::follow_list() { list_->follow(); }
-void PlacerServer::fetch_list() { list_->fetch(); }
+void PlacerServer::watch_endpoints() { list_->follow(); }
+void PlacerServer::fetch_endpoints() { list_->fetch(); }
 
 // ---------------------------------------------------------------- from nodes
 
@@ -480,19 +484,19 @@
 
 void PlacerServer::node_accepted(ledger::Attempt& l) {
     const Nanos now = loop_.now();
-    if (l.accepted && !l.over) return;  // said twice
-    InFlightTask& h = *held(l.record->number);
-    if (!ledger_.accepted(now, l)) {
+    if (l.accepted && !l.ended) return;  // said twice
+    InFlightTask& h = *held(l.task->number);
+    if (!ledger_.on_accepted(now, l)) {
         // Too late: another copy is wanted, or none. One that must not run twice is never stopped behind its
         // owner's back: the owner is told where it is as soon as it has its answer.
-        if (l.record->group->effect == Effect::idempotent || h.stopping || l.record->holds) {
+        if (l.task->queue_group->effect == Effect::idempotent || h.stopping || l.task->accepted_attempt) {
             stop(l);
         } else {
             h.found = &l;
-            if (l.record->answer == ledger::Answer::killed && h.owner) {
-                v1::ToOwner m;
+            if (l.task->answer == ledger::Answer::failed && h.owner) {
+                v1::ToClient m;
                 m.mutable_found()->set_id(h.id);
-                m.mutable_found()->set_node(l.node->name);
+                m.mutable_found()->set_worker(l.worker->name);
                 h.owner->send(m);
                 ++counts_.late_found;
             }
@@ -504,71 +508,71 @@
     h.launch_by.disarm();
     waits_no_more(h);
     if (h.owner) {
-        v1::ToOwner m;
+        v1::ToClient m;
         m.mutable_placed()->set_id(h.id);
-        m.mutable_placed()->set_node(l.node->name);
+        m.mutable_placed()->set_worker(l.worker->name);
         h.owner->send(m);
     }
-    planning_->accepted(now, l.record->number, h.bound - 1);
+    planning_->on_accepted(now, l.task->number, h.bound - 1);
     touch();
 }
 
 void PlacerServer::node_runs(ledger::Attempt& l) {
     const Nanos now = loop_.now();
-    if (!ledger_.runs(now, l)) return;
-    InFlightTask& h = *held(l.record->number);
+    if (!ledger_.on_running(now, l)) return;
+    InFlightTask& h = *held(l.task->number);
     if (h.owner) {
-        v1::ToOwner m;
-        m.mutable_runs()->set_id(h.id);
+        v1::ToClient m;
+        m.mutable_running()->set_id(h.id);
         h.owner->send(m);
     }
-    planning_->runs(now, l.record->number, h.bound - 1);
+    planning_->on_running(now, l.task->number, h.bound - 1);
     touch();
 }
 
-void PlacerServer::node_ended(ledger::Attempt& l, const v1::Ended& e) {
+void PlacerServer::node_ended(ledger::Attempt& l, const v1::AttemptEnded& e) {
     AttemptOutcome how = AttemptOutcome::unknown;
-    switch (e.how()) {
-        case v1::Ended::SERVED:
-            how = AttemptOutcome::served;
+    switch (e.outcome()) {
+        case v1::AttemptEnded::COMPLETED:
+            how = AttemptOutcome::completed;
             break;
-        case v1::Ended::ERROR:
-            how = AttemptOutcome::error;
+        case v1::AttemptEnded::FAILED:
+            how = AttemptOutcome::failed;
             break;
-        case v1::Ended::REFUSED:
+        case v1::AttemptEnded::REJECTED:
             // After a yes it is no refusal any more: it was placed, and is lost.
-            how = l.accepted ? AttemptOutcome::reset : AttemptOutcome::refused;
+            how = l.accepted ? AttemptOutcome::reset : AttemptOutcome::rejected;
             break;
-        case v1::Ended::RESET:
+        case v1::AttemptEnded::RESET:
             how = AttemptOutcome::reset;
             break;
-        case v1::Ended::STOPPED:
+        case v1::AttemptEnded::CANCELLED:
             how = AttemptOutcome::cancelled;
             break;
         default:
             break;
     }
     const LoadReport report = report_of(e.report());
-    fleet_.reported(loop_.now(), nodes_->find(l.node->name)->member, report);
+    fleet_.reported(loop_.now(), nodes_->find(l.worker->name)->member, report);
     launch_over(l, how, reason_of(e.reason()), report);
 }
 
-void PlacerServer::node_note(ledger::Attempt& l, const v1::Note& n) {
-    if (l.over || !std::isfinite(n.value())) return;
+void PlacerServer::node_note(ledger::Attempt& l, const v1::UsageReport& n) {
+    if (l.ended || !std::isfinite(n.value())) return;
     const Nanos now = loop_.now();
-    const int index = held(l.record->number)->bound - 1;
+    const int index = held(l.task->number)->bound - 1;
     switch (n.kind()) {
-        case v1::Note::CORES:
-            planning_->uses_cores(now, l.record->number, index, n.value());
+        case v1::UsageReport::CORES:
+            planning_->on_cores_used(now, l.task->number, index, n.value());
             break;
-        case v1::Note::MEMORY:
-            planning_->uses_memory(now, l.record->number, index, n.value());
+        case v1::UsageReport::MEMORY:
+            planning_->on_memory_used(now, l.task->number, index, n.value());
             break;
-        case v1::Note::SERVED_SHARE:
-            planning_->served_share(now, l.record->number, index, n.value());
+        case v1::UsageReport::SERVICE_SHARE:
+            planning_->on_service_share(now, l.task->number, index, n.value());
             break;
-        case v1::Note::MACHINE_MEMORY:
-            planning_->machine_memory(now, l.record->number, index, n.value());
+        case v1::UsageReport::WORKER_MEMORY:
+            planning_->on_worker_memory(now, l.task->number, index, n.value());
             break;
         default:
             return;
@@ -578,7 +582,7 @@
 
 void PlacerServer::node_heard(WorkerPeer& peer, const LoadReport& r) {
     const Nanos now = loop_.now();
-    planning_->heard(now, peer.number, r);
+    planning_->on_load_report(now, peer.number, r);
     fleet_.reported(now, peer.member, r);
     touch();
 }
@@ -588,49 +592,50 @@
 void PlacerServer::launch_over(ledger::Attempt& l, AttemptOutcome how, OutcomeReason why,
                                const LoadReport& report) {
     const Nanos now = loop_.now();
-    ledger::TaskRecord& r = *l.record;
+    ledger::TaskRecord& r = *l.task;
     InFlightTask& h = *held(r.number);
-    if (!ledger_.ended(now, l, how)) {
+    if (!ledger_.on_ended(now, l, how)) {
         if (h.found == &l) h.found = nullptr;  // a copy that nobody waited for has gone
         return;
     }
-    if (WorkerPeer* peer = nodes_->find(l.node->name)) {
+    if (WorkerPeer* peer = nodes_->find(l.worker->name)) {
         const bool given_up = how == AttemptOutcome::timed_out || how == AttemptOutcome::cancelled;
         peer->link.forget(l, !given_up);
-        if (how == AttemptOutcome::unsent) taker_.unsent(peer->cold);
+        if (how == AttemptOutcome::not_sent) taker_.unsent(peer->cold);
         if (given_up) {
             // Best effort, so that no copy stands idle; one that may not run twice is left for its owner to
             // decide on.
-            if (r.group->effect == Effect::idempotent && !l.accepted) stop(l);
+            if (r.queue_group->effect == Effect::idempotent && !l.accepted) stop(l);
         }
     }
     h.launch_by.disarm();
     const bool was_placed = l.accepted;
     if (!was_placed) --out_;
     if (!was_placed)
-        h.why = l.node->name + ": " +
-                std::string(how == AttemptOutcome::refused ? to_string(why) : to_string(how));
-    if (log_.says(Level::debug))
+        h.why = l.worker->name + ": " +
+                std::string(how == AttemptOutcome::rejected ? to_string(why) : to_string(how));
+    if (log_.enabled(Level::debug))
         log_(Level::debug, "launch_over",
-             {{"container", r.container},
+             {{"container", r.key},
               {"launch", l.number},
-              {"node", l.node->name},
+              {"node", l.worker->name},
               {"end", to_string(how)},
               {"reason", to_string(why)}});
     if (was_placed && h.owner) {
-        v1::ToOwner m;
-        v1::Over& over = *m.mutable_over();
+        v1::ToClient m;
+        v1::TaskEnded& over = *m.mutable_ended();
         over.set_id(h.id);
-        over.set_how(h.moving && how == AttemptOutcome::cancelled ? v1::Over::MOVED
-                     : how == AttemptOutcome::served              ? v1::Over::SERVED
-                     : how == AttemptOutcome::error               ? v1::Over::ERROR
-                     : how == AttemptOutcome::cancelled           ? v1::Over::STOPPED
-                     : why == OutcomeReason::untold               ? v1::Over::LOST
-                                                                  : v1::Over::RESET);
+        over.set_outcome(h.moving && how == AttemptOutcome::cancelled ? v1::TaskEnded::MIGRATED
+                         : how == AttemptOutcome::completed           ? v1::TaskEnded::COMPLETED
+                         : how == AttemptOutcome::failed              ? v1::TaskEnded::FAILED
+                         : how == AttemptOutcome::cancelled           ? v1::TaskEnded::CANCELLED
+                         : why == OutcomeReason::unspecified          ? v1::TaskEnded::LOST
+                                                                      : v1::TaskEnded::RESET);
         over.set_reason(static_cast<v1::Reason>(why));
         h.owner->send(m);
     }
-    planning_->ended(now, r.number, h.bound - 1, how, why, r.answer != ledger::Answer::none, report);
+    planning_->on_attempt_ended(now, r.number, h.bound - 1, how, why, r.answer != ledger::Answer::none,
+                                report);
     finish(h);
     touch();
 }
@@ -638,30 +643,30 @@
 void PlacerServer::answer(InFlightTask& h, ledger::Answer a, Nanos stay_away, std::string_view why) {
     const Nanos now = loop_.now();
     ledger::TaskRecord& r = *h.record;
-    if (!ledger_.give(now, r, a)) return;
+    if (!ledger_.record_answer(now, r, a)) return;
     h.answer_by.disarm();
     waits_no_more(h);
     if (h.owner) {
-        v1::ToOwner m;
-        if (a == ledger::Answer::deferred) {
-            m.mutable_deferred()->set_id(h.id);
-            m.mutable_deferred()->set_stay_away(stay_away);
-            m.mutable_deferred()->set_why(std::string(why));
+        v1::ToClient m;
+        if (a == ledger::Answer::rejected) {
+            m.mutable_rejected()->set_id(h.id);
+            m.mutable_rejected()->set_retry_after(stay_away);
+            m.mutable_rejected()->set_reason(std::string(why));
         } else {
-            m.mutable_killed()->set_id(h.id);
-            m.mutable_killed()->set_why(std::string(why));
+            m.mutable_failed()->set_id(h.id);
+            m.mutable_failed()->set_reason(std::string(why));
         }
         h.owner->send(m);
-        if (a == ledger::Answer::killed && h.found) {
+        if (a == ledger::Answer::failed && h.found) {
             m.mutable_found()->set_id(h.id);
-            m.mutable_found()->set_node(h.found->node->name);
+            m.mutable_found()->set_worker(h.found->worker->name);
             h.owner->send(m);
             ++counts_.late_found;
         }
     }
-    if (log_.says(Level::debug))
-        log_(Level::debug, a == ledger::Answer::deferred ? "deferred" : "killed",
-             {{"container", r.container}, {"reason", why}});
+    if (log_.enabled(Level::debug))
+        log_(Level::debug, a == ledger::Answer::rejected ? "deferred" : "killed",
+             {{"container", r.key}, {"reason", why}});
     later([this, n = r.number] {
         if (InFlightTask* still = held(n)) finish(*still);
     });
@@ -670,11 +675,11 @@
 // Nothing more can come of it, but for a late yes: it is kept in mind for that long, and then forgotten.
 void PlacerServer::finish(InFlightTask& h) {
     ledger::TaskRecord& r = *h.record;
-    if (!r.over) return;
+    if (!r.closed) return;
     h.answer_by.disarm();
     h.launch_by.disarm();
     bool late = false;
-    for (const ledger::Attempt& l : r.launches) late = late || (l.may_have_run && !l.accepted);
+    for (const ledger::Attempt& l : r.attempts) late = late || (l.may_have_run && !l.accepted);
     if (h.owner && !h.found && (!late || r.answer == ledger::Answer::placed)) h.owner->open.erase(h.id);
     if (h.forget_at.armed()) return;
     // Also what ended well is kept to the end of this pass: calls on it may be under way.
@@ -684,19 +689,19 @@
 void PlacerServer::drop(InFlightTask& h) {
     ledger::TaskRecord& r = *h.record;
     if (h.owner) h.owner->open.erase(h.id);
-    for (ledger::Attempt& l : r.launches) launches_.erase(l.number);
+    for (ledger::Attempt& l : r.attempts) launches_.erase(l.number);
     const std::uint64_t number = r.number;
-    ledger_.forget(r);
+    ledger_.erase_task(r);
     held_.erase(number);  // destroys `h`
 }
 
 // The launch has had its time. Where it still lies here, nothing of it was sent.
 void PlacerServer::launch_due(InFlightTask& h) {
-    ledger::Attempt* l = h.record->out;
+    ledger::Attempt* l = h.record->in_flight;
     if (!l || l->accepted) return;
-    WorkerPeer& peer = *nodes_->find(l->node->name);
-    launch_over(*l, peer.link.take_back(*l) ? AttemptOutcome::unsent : AttemptOutcome::timed_out,
-                OutcomeReason::untold, {});
+    WorkerPeer& peer = *nodes_->find(l->worker->name);
+    launch_over(*l, peer.link.take_back(*l) ? AttemptOutcome::not_sent : AttemptOutcome::timed_out,
+                OutcomeReason::unspecified, {});
 }
 
 // The owner is about to give up. The planner is heard first: told that the launch that is out has had its
@@ -707,9 +712,10 @@
     launch_due(h);
     InFlightTask* still = held(n);
     if (!still || still->record->answer != ledger::Answer::none) return;
-    ++ledger_.tally().answered_by_clock;
-    planning_->withdrawn(loop_.now(), n);
-    answer(*still, ledger_.honest(*still->record), 0, still->why.empty() ? "no node in time" : still->why);
+    ++ledger_.statistics().answered_by_deadline;
+    planning_->cancel(loop_.now(), n);
+    answer(*still, ledger_.honest_answer(*still->record), 0,
+           still->why.empty() ? "no node in time" : still->why);
     touch();
 }
 
@@ -720,39 +726,39 @@
 // holds at once.
 constexpr Nanos kViewEvery = 100 * kMillisecond;
 
-void PlacerServer::entries(const v1::Entries& list) {
+void PlacerServer::entries(const v1::EndpointUpdate& list) {
     const Nanos now = loop_.now();
     ++counts_.lists;
     list_failing_ = false;
-    fleet_.list_begins(now, std::max<Nanos>(list.age(), 0), list.whole());
-    for (const v1::Entry& e : list.entries()) {
-        WorkerPeer& peer = nodes_->meet(e.node());
+    fleet_.list_begins(now, std::max<Nanos>(list.age(), 0), list.is_snapshot());
+    for (const v1::Endpoint& e : list.endpoints()) {
+        WorkerPeer& peer = nodes_->meet(e.worker());
         EndpointState l;
         l.zone = static_cast<int>(e.zone());
         l.cell = static_cast<int>(e.cell());
         l.kind = static_cast<int>(e.kind());
         l.free_cores = e.free_cores();
         l.free_memory = e.free_memory();
-        l.stage = e.stage() == v1::Entry::SERVING    ? EndpointPhase::serving
-                  : e.stage() == v1::Entry::DRAINING ? EndpointPhase::draining
-                                                     : EndpointPhase::gone;
-        l.started = e.up_for() > 0 ? now - e.up_for() : 0;
+        l.phase = e.phase() == v1::Endpoint::SERVING    ? EndpointPhase::serving
+                  : e.phase() == v1::Endpoint::DRAINING ? EndpointPhase::draining
+                                                        : EndpointPhase::gone;
+        l.started_at = e.uptime() > 0 ? now - e.uptime() : 0;
         fleet_.entry(now, peer.member, l, e.address());
     }
     fleet_.list_ends(now);
     // The planner hears of all nodes before of what runs on them.
-    for (const v1::Entry& e : list.entries())
-        if (regain_.waiting() && e.stage() != v1::Entry::GONE) regain_.named(now, e.node());
-    regain_.listed(now, now - std::max<Nanos>(list.age(), 0), list.whole());
+    for (const v1::Endpoint& e : list.endpoints())
+        if (regain_.waiting() && e.phase() != v1::Endpoint::GONE) regain_.named(now, e.worker());
+    regain_.listed(now, now - std::max<Nanos>(list.age(), 0), list.is_snapshot());
     view_done(now);
     if (!begun_) {
         begun_ = true;
-        planning_->begin(now);
+        planning_->start(now);
     }
-    log_(list.whole() ? Level::info : Level::debug, "list",
-         {{"number", list.number()},
-          {"whole", list.whole()},
-          {"entries", list.entries_size()},
+    log_(list.is_snapshot() ? Level::info : Level::debug, "list",
+         {{"number", list.sequence()},
+          {"whole", list.is_snapshot()},
+          {"entries", list.endpoints_size()},
           {"age_ms", list.age() / kMillisecond}});
     touch();
 }
@@ -760,7 +766,7 @@
 void PlacerServer::list_failed(std::string_view why) {
     log_(Level::warning, "list_failed", {{"reason", why}});
     list_failing_ = true;
-    if (planning_ && begun_) planning_->list_failed(loop_.now());
+    if (planning_ && begun_) planning_->on_watch_failed(loop_.now());
     touch();
 }
 
@@ -770,16 +776,16 @@
     WorkerPeer& peer = nodes_->at(m.number);
     // The ledger holds what was said, not what was made of it: it is a guard of its own.
     EndpointState said = m.list.entry;
-    said.started = m.told.started;
-    if (m.list.left_out) ledger_.gone(now, peer.node);
-    else ledger_.listed(now, peer.node, said);
-    planning_->node(now, peer.number, stable_hash(m.name), m.told);
+    said.started_at = m.told.started_at;
+    if (m.list.left_out) ledger_.on_removed(now, peer.node);
+    else ledger_.on_endpoint(now, peer.node, said);
+    planning_->on_endpoint(now, peer.number, stable_hash(m.name), m.told);
     holds(now, peer.cold);
-    taker_.stands(now, peer.cold, m.standing == membership::WorkerState::serving, m.told.started);
-    const bool gone = m.told.stage == EndpointPhase::gone;
+    taker_.stands(now, peer.cold, m.standing == membership::WorkerState::serving, m.told.started_at);
+    const bool gone = m.told.phase == EndpointPhase::gone;
     if (gone) peer.link.gone(now);
     else peer.link.want(now, true);
-    if (log_.says(Level::debug))
+    if (log_.enabled(Level::debug))
         log_(Level::debug, "node_stands",
              {{"node", m.name},
               {"standing", membership::to_string(m.standing)},
@@ -813,22 +819,22 @@
     later([this, &m] { nodes_->at(m.number).link.dial_anew(loop_.now()); });
 }
 void PlacerServer::ask(slow_start::WarmingWorker& c, std::uint64_t number, int held, int more) {
-    v1::ToNode m;
-    m.mutable_turns()->set_number(number);
-    m.mutable_turns()->set_held(static_cast<std::uint32_t>(held));
-    m.mutable_turns()->set_more(static_cast<std::uint32_t>(more));
+    v1::ToWorker m;
+    m.mutable_request_tokens()->set_sequence(number);
+    m.mutable_request_tokens()->set_held(static_cast<std::uint32_t>(held));
+    m.mutable_request_tokens()->set_wanted(static_cast<std::uint32_t>(more));
     static_cast<WorkerPeer*>(c.tag)->send(m);
 }
 
 void PlacerServer::holds(Nanos now, slow_start::WarmingWorker& c) {
     WorkerPeer& peer = *static_cast<WorkerPeer*>(c.tag);
-    peer.node.turns = c.allowed();
-    planning_->turns(now, peer.number, peer.node.turns);
+    peer.node.admission_tokens = c.allowed();
+    planning_->set_admission_tokens(now, peer.number, peer.node.admission_tokens);
     if (c.held() > 0) touch();
 }
 
 void PlacerServer::turn_at(Nanos at) {
-    if (!fleet_due_.armed() || at < fleet_due_.at()) arm(fleet_due_, at);
+    if (!fleet_due_.armed() || at < fleet_due_.deadline()) arm(fleet_due_, at);
 }
 void PlacerServer::fleet_due() { fleet_.turn(loop_.now()); }
 void PlacerServer::view_due() {
@@ -838,9 +844,9 @@
 void PlacerServer::view_done(Nanos now) {
     view_changed_ = false;
     view_due_.disarm();
-    planning_->list_done(now, false);
+    planning_->on_watch_event_done(now, false);
     // The planner takes this for a list that came. It did not, and is still to be asked for.
-    if (list_failing_ && begun_) planning_->list_failed(now);
+    if (list_failing_ && begun_) planning_->on_watch_failed(now);
     touch();
 }
 
@@ -851,7 +857,7 @@
     intake_.close();
     if (owners_) owners_->stop_listening();
     log_(Level::info, "closing", {{"waiting", intake_.waiting()}});
-    close_timer_ = loop_.timer([this] { check_closed(); });
+    close_timer_ = loop_.make_timer([this] { check_closed(); });
     check_closed();
 }
 
@@ -859,7 +865,8 @@
     if (!done_) return;
     if (intake_.waiting() == 0 && (!owners_ || owners_->flushed())) {
         const auto done = std::exchange(done_, nullptr);
-        log_(Level::info, "closed", {{"taken", ledger_.tally().taken}, {"placed", ledger_.tally().placed}});
+        log_(Level::info, "closed",
+             {{"taken", ledger_.statistics().submitted}, {"placed", ledger_.statistics().accepted}});
         done();
         return;
     }
@@ -868,20 +875,20 @@
 
 // ---------------------------------------------------------------- checks at the owners' door
 
-std::string wrong_with(const v1::Offer& o, const std::vector<std::string>& groups) {
+std::string wrong_with(const v1::SubmitTask& o, const std::vector<std::string>& groups) {
     const auto amount = [](double v) { return std::isfinite(v) && v >= 0 && v <= kMostAmount; };
     if (o.id() == 0) return "offer.id: must not be 0";
-    if (o.container().empty() || o.container().size() > kLongestName)
+    if (o.task().empty() || o.task().size() > kLongestName)
         return "offer.container: must have 1 to 256 bytes";
     if (o.service().empty() || o.service().size() > kLongestName)
         return "offer.service: must have 1 to 256 bytes";
-    if (std::find(groups.begin(), groups.end(), o.group()) == groups.end())
+    if (std::find(groups.begin(), groups.end(), o.queue_group()) == groups.end())
         return "offer.group: no such queue group";
     if (!amount(o.cores())) return "offer.cores: must be a number from 0 to 1e9";
     if (!amount(o.memory())) return "offer.memory: must be a number from 0 to 1e9";
     if (o.time_left() <= 0 || o.time_left() > kLongestWait)
         return "offer.time_left: must be over 0 and at most a day";
-    if (o.life_left() < 0) return "offer.life_left: must not be negative";
+    if (o.expected_runtime() < 0) return "offer.life_left: must not be negative";
     return "";
 }
 
--- a/src/server/placer_server.h
+++ b/src/server/placer_server.h
@@ -24,12 +24,12 @@
 #include "worker_connection/worker_connection.h"
 
 namespace whinpost::v1 {
-class Offer;
-class HandOver;
-class Entries;
-class Ended;
-class Note;
-class Report;
+class SubmitTask;
+class HandOverTask;
+class EndpointUpdate;
+class AttemptEnded;
+class UsageReport;
+class LoadReport;
 }  // namespace whinpost::v1
 
 namespace whinpost::server {
@@ -74,16 +74,16 @@
     void close(std::function<void()> done);
 
     // ---- planner::Bindings
-    void bind(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
-    void defer(planner::TaskNumber, Nanos stay_away) override;
-    void kill(planner::TaskNumber) override;
-    void move(planner::TaskNumber) override;
-    void stop_waiting(planner::TaskNumber, int launch) override;
-    void probe(planner::WorkerNumber) override;
-    void follow_list() override;
-    void fetch_list() override;
-    void wake(Nanos at) override;  // regain::Port's too: it takes its turn with each round
-    void note(std::string_view line) override;
+    void place(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
+    void reject(planner::TaskNumber, Nanos stay_away) override;
+    void fail(planner::TaskNumber) override;
+    void migrate(planner::TaskNumber) override;
+    void cancel_attempt(planner::TaskNumber, int launch) override;
+    void check_health(planner::WorkerNumber) override;
+    void watch_endpoints() override;
+    void fetch_endpoints() override;
+    void wake_at(Nanos at) override;  // regain::Port's too: it takes its turn with each round
+    void log(std::string_view line) override;
 
     // ---- for operators and tests
     struct Counts {
@@ -107,10 +107,10 @@
     friend struct InFlightTask;
 
     // from owners
-    void offer(ClientConnection&, const v1::Offer&);
-    void hand_over(ClientConnection&, const v1::HandOver&);
+    void offer(ClientConnection&, const v1::SubmitTask&);
+    void hand_over(ClientConnection&, const v1::HandOverTask&);
     void withdraw(InFlightTask&);
-    ResourceRequest asked_of(const v1::Offer&) const;
+    ResourceRequest asked_of(const v1::SubmitTask&) const;
     void waits_no_more(InFlightTask&);
     void stop(const ledger::Attempt&);
     void stop_again(WorkerPeer&);
@@ -118,12 +118,12 @@
     // from nodes
     void node_accepted(ledger::Attempt&);
     void node_runs(ledger::Attempt&);
-    void node_ended(ledger::Attempt&, const v1::Ended&);
-    void node_note(ledger::Attempt&, const v1::Note&);
+    void node_ended(ledger::Attempt&, const v1::AttemptEnded&);
+    void node_note(ledger::Attempt&, const v1::UsageReport&);
     void node_heard(WorkerPeer&, const LoadReport&);
     ledger::Attempt* launch(std::uint64_t number);
     // from the list
-    void entries(const v1::Entries&);
+    void entries(const v1::EndpointUpdate&);
     void list_failed(std::string_view why);
     // of the fleet
     void stands(Nanos now, membership::WorkerEntry&, bool careful) override;
@@ -139,7 +139,7 @@
     void found(Nanos now, recovery::PendingRecovery&) override;
     void lost(Nanos now, recovery::PendingRecovery&) override;
     void lost_to_owner(ClientConnection&, std::uint64_t id);
-    void take_over(ClientConnection&, const v1::HandOver&, WorkerPeer&);
+    void take_over(ClientConnection&, const v1::HandOverTask&, WorkerPeer&);
     // of the turns at cold nodes
     void ask(slow_start::WarmingWorker&, std::uint64_t number, int held, int more) override;
     void holds(Nanos now, slow_start::WarmingWorker&) override;
@@ -176,7 +176,7 @@
     template <void (PlacerServer::*Then)()>
     struct Due final : timer_wheel::Timer {
         explicit Due(PlacerServer& e) : edge(e) {}
-        void due(Nanos) override { (edge.*Then)(); }
+        void on_deadline(Nanos) override { (edge.*Then)(); }
         PlacerServer& edge;
     };
     timer_wheel::TimerWheel wheel_;
@@ -203,9 +203,9 @@
 };
 
 // What is wrong with an offer's fields, or empty.
-std::string wrong_with(const v1::Offer&, const std::vector<std::string>& groups);
+std::string wrong_with(const v1::SubmitTask&, const std::vector<std::string>& groups);
 
 // The numbers of a report that came along; what is not a finite number counts as not told.
-LoadReport report_of(const v1::Report&);
+LoadReport report_of(const v1::LoadReport&);
 
 }  // namespace whinpost::server
--- a/src/server/worker_endpoint.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -20,7 +20,7 @@
     // Another jitter for each link, and for each placer: the same for the same seed.
     const std::uint64_t seed = (seed_ ^ stable_hash(name)) * 0x9e3779b97f4a7c15u;
     peers_.push_back(
-        std::make_unique<WorkerPeer>(*this, edge.ledger_.meet(name), edge.fleet_.meet(name), seed));
+        std::make_unique<WorkerPeer>(*this, edge.ledger_.add_worker(name), edge.fleet_.meet(name), seed));
     names_[std::string(name)] = peers_.back().get();
     return *peers_.back();
 }
@@ -44,29 +44,29 @@
     p.stream.reset();
 }
 void WorkerEndpoint::write(worker_connection::WorkerConnection& l, ledger::Attempt& launch) {
-    const ledger::TaskRecord& r = *launch.record;
-    v1::ToNode m;
-    v1::Launch& out = *m.mutable_launch();
-    out.set_launch(launch.number);
-    out.set_container(r.container);
+    const ledger::TaskRecord& r = *launch.task;
+    v1::ToWorker m;
+    v1::StartAttempt& out = *m.mutable_start_attempt();
+    out.set_attempt(launch.number);
+    out.set_task(r.key);
     if (const InFlightTask* h = edge.held(r.number)) out.set_service(h->service);
-    out.set_group(static_cast<std::uint32_t>(r.group_index));
-    out.set_cores(r.asked.cores);
-    out.set_memory(r.asked.memory);
-    out.set_life_left(r.asked.life_left);
-    out.set_ask(r.number);
-    out.set_not_after(l.there(launch.until));
+    out.set_queue_group(static_cast<std::uint32_t>(r.queue_group_index));
+    out.set_cores(r.request.cores);
+    out.set_memory(r.request.memory);
+    out.set_expected_runtime(r.request.expected_runtime);
+    out.set_request(r.number);
+    out.set_not_after(l.there(launch.deadline));
     peer_of(l).send(m);
 }
 void WorkerEndpoint::ask_for_life(worker_connection::WorkerConnection& l) {
-    v1::ToNode m;
-    m.mutable_probe()->set_probe(0);  // no probe of the planner's: its answer is only a sign of life
+    v1::ToWorker m;
+    m.mutable_health_check()->set_id(0);  // no probe of the planner's: its answer is only a sign of life
     peer_of(l).send(m);
 }
 void WorkerEndpoint::ask_after(worker_connection::WorkerConnection& l, ledger::Attempt& launch) {
-    v1::ToNode m;
-    m.mutable_adopt()->set_launch(launch.number);
-    m.mutable_adopt()->set_container(launch.record->container);
+    v1::ToWorker m;
+    m.mutable_adopt_attempt()->set_attempt(launch.number);
+    m.mutable_adopt_attempt()->set_task(launch.task->key);
     peer_of(l).send(m);
 }
 std::size_t WorkerEndpoint::unsent(const worker_connection::WorkerConnection& l) const {
@@ -75,11 +75,11 @@
 }
 std::uint64_t WorkerEndpoint::handed(const worker_connection::WorkerConnection& l) const {
     const WorkerPeer& p = peer_of(l);
-    return p.stream ? p.stream->handed() : 0;
+    return p.stream ? p.stream->handed_over() : 0;
 }
 std::uint64_t WorkerEndpoint::written(const worker_connection::WorkerConnection& l) const {
     const WorkerPeer& p = peer_of(l);
-    return p.stream ? p.stream->handed() + p.stream->unsent() : 0;
+    return p.stream ? p.stream->handed_over() + p.stream->unsent() : 0;
 }
 bool WorkerEndpoint::may_still_send(Nanos now, const ledger::Attempt& l) const {
     return edge.ledger_.may_still_send(now, l);
@@ -88,7 +88,7 @@
     // A bind may be under way in the planner: it hears of it after its round.
     edge.later([this, number = l.number, how] {
         if (ledger::Attempt* still = edge.launch(number))
-            edge.launch_over(*still, how, OutcomeReason::untold, {});
+            edge.launch_over(*still, how, OutcomeReason::unspecified, {});
     });
 }
 void WorkerEndpoint::wake(worker_connection::WorkerConnection& l, Nanos at) {
@@ -113,17 +113,17 @@
     cold.tag = this;
 }
 
-void WorkerPeer::Tick::due(Nanos now) { peer.link.tick(now); }
+void WorkerPeer::Tick::on_deadline(Nanos now) { peer.link.tick(now); }
 
-void WorkerPeer::send(const v1::ToNode& m) {
+void WorkerPeer::send(const v1::ToWorker& m) {
     if (link.state() == worker_connection::ConnectionState::up || m.has_hello())
         sender_.send(stream.get(), m);
 }
 
-void WorkerPeer::connected() {
+void WorkerPeer::on_connected() {
     const Nanos now = door.edge.loop_.now();
     link.connected(now);
-    v1::ToNode m;
+    v1::ToWorker m;
     m.mutable_hello()->set_version(kProtocolVersion);
     m.mutable_hello()->set_name(door.edge.identity_.name);
     m.mutable_hello()->set_incarnation(door.edge.identity_.incarnation);
@@ -132,11 +132,11 @@
     name_.clear();
 }
 
-void WorkerPeer::drained() { link.drained(door.edge.loop_.now()); }
+void WorkerPeer::on_drained() { link.drained(door.edge.loop_.now()); }
 
-void WorkerPeer::closed(net::CloseReason why) {
+void WorkerPeer::on_closed(net::CloseReason why) {
     const Nanos now = door.edge.loop_.now();
-    const std::uint64_t handed = stream ? stream->handed() : 0;
+    const std::uint64_t handed = stream ? stream->handed_over() : 0;
     stream.reset();
     door.edge.log_(Level::debug, "node_closed", {{"node", node.name}, {"reason", net::to_string(why)}});
     if (link.state() == worker_connection::ConnectionState::dialling) link.dial_failed(now);
@@ -148,17 +148,17 @@
     PlacerServer& edge = door.edge;
     ++edge.counts_.bad_peers;
     edge.log_(Level::warning, "bad_node", {{"node", node.name}, {"reason", why}});
-    v1::ToNode m;
+    v1::ToWorker m;
     m.mutable_error()->set_text(why);
     sender_.send(stream.get(), m);
-    const std::uint64_t handed = stream->handed();
+    const std::uint64_t handed = stream->handed_over();
     stream.reset();
     link.broken(edge.loop_.now(), handed);
     edge.touch();
     return false;
 }
 
-std::size_t WorkerPeer::received(std::string_view in) {
+std::size_t WorkerPeer::on_received(std::string_view in) {
     bool too_long = false;
     link.heard(door.edge.loop_.now());
     net::Stream* const on = stream.get();
@@ -173,15 +173,15 @@
 bool WorkerPeer::message(std::string_view bytes) {
     PlacerServer& edge = door.edge;
     const Nanos now = edge.loop_.now();
-    v1::FromNode m;
+    v1::FromWorker m;
     if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
         return refuse("not a message of this protocol");
     if (name_.empty()) {
-        if (m.of_case() == v1::FromNode::kError) {
+        if (m.of_case() == v1::FromWorker::kError) {
             edge.log_(Level::warning, "node_says", {{"node", node.name}, {"error", m.error().text()}});
             return true;
         }
-        if (m.of_case() != v1::FromNode::kHello) return refuse("the first message must be a hello");
+        if (m.of_case() != v1::FromWorker::kHello) return refuse("the first message must be a hello");
         if (m.hello().version() != kProtocolVersion)
             return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
                           std::to_string(kProtocolVersion));
@@ -199,8 +199,8 @@
     bool never = false;
     const auto launch = [&](std::uint64_t n) {
         ledger::Attempt* l = edge.launch(n);
-        never = !l && !edge.ledger_.given(n);
-        if (l && l->node != &node) {
+        never = !l && !edge.ledger_.was_issued(n);
+        if (l && l->worker != &node) {
             never = true;
             l = nullptr;
         }
@@ -208,26 +208,26 @@
     };
     constexpr const char* kNever = "launch: was never given to this node";
     switch (m.of_case()) {
-        case v1::FromNode::kHello:
+        case v1::FromWorker::kHello:
             return refuse("a second hello");
-        case v1::FromNode::kHolding: {
+        case v1::FromWorker::kState: {
             if (link.state() != worker_connection::ConnectionState::greeting)
                 return refuse("a second greeting");
             std::vector<std::uint64_t> holds;
-            for (const v1::Held& h : m.holding().held()) holds.push_back(h.launch());
+            for (const v1::HeldAttempt& h : m.state().attempts()) holds.push_back(h.attempt());
             if (link.incarnation() && link.incarnation() != incarnation_)
-                edge.ledger_.started_anew(now, node);
-            edge.ledger_.said(now, node, m.holding().draining());
-            const LoadReport report = report_of(m.holding().report());
-            edge.fleet_.greeted(now, member, incarnation_, std::max<Nanos>(m.holding().up_for(), 0),
-                                m.holding().draining(), report);
-            edge.planning_->heard(now, number, report);
-            link.clock(now, m.holding().clock());
-            link.greeted(now, incarnation_, holds, m.holding().remembers());
+                edge.ledger_.on_restarted(now, node);
+            edge.ledger_.on_drain_announced(now, node, m.state().draining());
+            const LoadReport report = report_of(m.state().report());
+            edge.fleet_.greeted(now, member, incarnation_, std::max<Nanos>(m.state().uptime(), 0),
+                                m.state().draining(), report);
+            edge.planning_->on_load_report(now, number, report);
+            link.clock(now, m.state().clock());
+            link.greeted(now, incarnation_, holds, m.state().remembers_for());
             edge.stop_again(*this);
-            edge.taker_.greeted(now, cold, m.holding().gives_turns());
-            for (const v1::Held& h : m.holding().held()) {
-                ledger::Attempt* l = launch(h.launch());
+            edge.taker_.greeted(now, cold, m.state().issues_tokens());
+            for (const v1::HeldAttempt& h : m.state().attempts()) {
+                ledger::Attempt* l = launch(h.attempt());
                 if (!l) continue;  // of long ago, or another node's: it is the node's to clear up
                 if (h.accepted()) edge.node_accepted(*l);
                 if (h.running()) edge.node_runs(*l);
@@ -236,39 +236,40 @@
             edge.touch();
             return true;
         }
-        case v1::FromNode::kReceived:
-            link.clock(now, m.received().clock());
-            link.received(now, m.received().launches());
+        case v1::FromWorker::kAttemptsRead:
+            link.clock(now, m.attempts_read().clock());
+            link.received(now, m.attempts_read().attempts());
             return true;
-        case v1::FromNode::kAccepted:
-            if (ledger::Attempt* l = launch(m.accepted().launch())) edge.node_accepted(*l);
+        case v1::FromWorker::kAccepted:
+            if (ledger::Attempt* l = launch(m.accepted().attempt())) edge.node_accepted(*l);
             return !never || refuse(kNever);
-        case v1::FromNode::kRunning:
-            if (ledger::Attempt* l = launch(m.running().launch())) edge.node_runs(*l);
+        case v1::FromWorker::kRunning:
+            if (ledger::Attempt* l = launch(m.running().attempt())) edge.node_runs(*l);
             return !never || refuse(kNever);
-        case v1::FromNode::kEnded:
-            if (ledger::Attempt* l = launch(m.ended().launch())) edge.node_ended(*l, m.ended());
+        case v1::FromWorker::kEnded:
+            if (ledger::Attempt* l = launch(m.ended().attempt())) edge.node_ended(*l, m.ended());
             return !never || refuse(kNever);
-        case v1::FromNode::kNote:
-            if (ledger::Attempt* l = launch(m.note().launch())) edge.node_note(*l, m.note());
+        case v1::FromWorker::kUsage:
+            if (ledger::Attempt* l = launch(m.usage().attempt())) edge.node_note(*l, m.usage());
             return !never || refuse(kNever);
-        case v1::FromNode::kProbeReply:
-            if (m.probe_reply().probe() == 0) return true;
-            edge.node_heard(*this, report_of(m.probe_reply().report()));
+        case v1::FromWorker::kHealthCheckReply:
+            if (m.health_check_reply().id() == 0) return true;
+            edge.node_heard(*this, report_of(m.health_check_reply().report()));
             edge.touch();
             return true;
-        case v1::FromNode::kGiven:
-            edge.taker_.given(now, cold, m.given().number(),
-                              static_cast<int>(std::min<std::uint32_t>(m.given().turns(), 1'000'000)));
+        case v1::FromWorker::kTokensGranted:
+            edge.taker_.given(
+                now, cold, m.tokens_granted().sequence(),
+                static_cast<int>(std::min<std::uint32_t>(m.tokens_granted().tokens(), 1'000'000)));
             return true;
-        case v1::FromNode::kDraining:
-            edge.ledger_.said(now, node, true);
+        case v1::FromWorker::kDraining:
+            edge.ledger_.on_drain_announced(now, node, true);
             edge.fleet_.says_drain(now, member);
             return true;
-        case v1::FromNode::kError:
+        case v1::FromWorker::kError:
             edge.log_(Level::warning, "node_says", {{"node", node.name}, {"error", m.error().text()}});
             return true;
-        case v1::FromNode::OF_NOT_SET:
+        case v1::FromWorker::OF_NOT_SET:
             return true;
     }
     return true;
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -14,11 +14,11 @@
         const std::size_t eq = pair.find('=');
         if (eq != std::string_view::npos)
             put(std::string(pair.substr(0, eq)), std::string(pair.substr(eq + 1)));
-        else if (!pair.empty()) wrong("params", "holds a pair without '='");
+        else if (!pair.empty()) fail("params", "holds a pair without '='");
     }
 }
 
-void Settings::wrong(std::string_view path, std::string_view what) const {
+void Settings::fail(std::string_view path, std::string_view what) const {
     throw SettingsError(source_ + ": " + std::string(path) + " " + std::string(what));
 }
 bool Settings::has(const std::string& path) const {
@@ -26,24 +26,24 @@
     return it != values_.end() && it->second != "-" && !it->second.empty();
 }
 std::string_view Settings::text(const std::string& path) const {
-    if (!has(path)) wrong(path, "is missing");
+    if (!has(path)) fail(path, "is missing");
     return values_.at(path);
 }
-double Settings::positive(const std::string& path) const {
-    const double v = real(path);
-    if (!(v > 0)) wrong(path, "must be above zero");
+double Settings::positive_number(const std::string& path) const {
+    const double v = number_at(path);
+    if (!(v > 0)) fail(path, "must be above zero");
     return v;
 }
-Nanos Settings::micros(const std::string& path) const {
-    const double v = real(path);
-    if (v < 0 || v > 9e14) wrong(path, "is out of range");
+Nanos Settings::duration(const std::string& path) const {
+    const double v = number_at(path);
+    if (v < 0 || v > 9e14) fail(path, "is out of range");
     return static_cast<Nanos>(v) * kMicrosecond;
 }
-bool Settings::truth(const std::string& path) const {
+bool Settings::boolean(const std::string& path) const {
     const std::string_view v = text(path);
     if (v == "true" || v == "1") return true;
     if (v == "false" || v == "0") return false;
-    wrong(path, "is not true or false");
+    fail(path, "is not true or false");
 }
 std::vector<std::string_view> Settings::list(const std::string& path) const {
     std::vector<std::string_view> out;
@@ -64,7 +64,7 @@
     double out{};
     const auto [at, error] = std::from_chars(v.data(), v.data() + v.size(), out);
     if (error != std::errc{} || at != v.data() + v.size() || !std::isfinite(out))
-        wrong(path, "is not a number");
+        fail(path, "is not a number");
     return out;
 }
 
@@ -72,15 +72,15 @@
 
 FailureDomain place_of(const Settings& p, const std::string& path, std::string_view v) {
     if (v == "off" || v == "none") return FailureDomain::none;
-    if (v == "machine") return FailureDomain::machine;
+    if (v == "machine") return FailureDomain::worker;
     if (v == "cell") return FailureDomain::cell;
     if (v == "zone") return FailureDomain::zone;
     if (v == "all") return FailureDomain::all;
-    p.wrong(path, "names no known kind of place");
+    p.fail(path, "names no known kind of place");
 }
 std::size_t group_count(const Settings& p) {
-    const double count = p.real("classes.count");
-    if (!(count >= 1 && count <= 10'000)) p.wrong("classes.count", "is out of range");
+    const double count = p.number_at("classes.count");
+    if (!(count >= 1 && count <= 10'000)) p.fail("classes.count", "is out of range");
     return static_cast<std::size_t>(count);
 }
 std::string group_path(std::size_t i) { return "classes." + std::to_string(i) + "."; }
@@ -95,24 +95,25 @@
         QueueGroup g;
         const std::string_view effect = p.text(at + "semantics");
         if (effect == "free") g.effect = Effect::idempotent;
-        else if (effect == "guarded") g.effect = Effect::fingerprinted;
+        else if (effect == "guarded") g.effect = Effect::keyed;
         else if (effect == "single_shot") g.effect = Effect::side_effecting;
-        else p.wrong(at + "semantics", "names no known kind of effect");
+        else p.fail(at + "semantics", "names no known kind of effect");
         if (p.has(at + "key_scope"))
-            g.repeats_dropped_by = place_of(p, at + "key_scope", p.text(at + "key_scope"));
-        g.repeat_window = p.micros_or_zero(at + "repeat_window_us");
-        g.start_target = p.micros(at + "aim_us");
-        g.importance = p.real_or(at + "importance", 1);
+            g.deduplicated_by = place_of(p, at + "key_scope", p.text(at + "key_scope"));
+        g.deduplication_window = p.duration_or_zero(at + "repeat_window_us");
+        g.start_objective = p.duration(at + "aim_us");
+        g.priority_weight = p.number_or(at + "importance", 1);
         const auto per_group = [&](const std::string& path, std::string_view absent) {
             return p.number(path, p.nth(path, i, absent));
         };
-        g.start_worth_s = per_group("family_info.class_start_s", "0");
-        g.calm = per_group("family_info.calm_level", "1");
-        g.fade = per_group("family_info.class_fade", "1");
-        g.kind = static_cast<int>(per_group("family_info.kind_by_class", "-1"));
-        g.most = static_cast<int>(per_group("family_info.class_most", "0"));
+        g.start_value_s = per_group("family_info.class_start_s", "0");
+        g.full_service_utilization = per_group("family_info.calm_level", "1");
+        g.degradation_range = per_group("family_info.class_fade", "1");
+        g.worker_kind = static_cast<int>(per_group("family_info.kind_by_class", "-1"));
+        g.max_per_domain = static_cast<int>(per_group("family_info.class_most", "0"));
         g.priority = static_cast<int>(per_group("family_info.class_priority", "0"));
-        g.spread = place_of(p, "family_info.class_spread", p.nth("family_info.class_spread", i, "off"));
+        g.spread_domain =
+            place_of(p, "family_info.class_spread", p.nth("family_info.class_spread", i, "off"));
         groups.push_back(g);
     }
     return groups;
@@ -128,61 +129,60 @@
 std::vector<WorkerKind> worker_kinds(const Settings& p) {
     std::vector<WorkerKind> kinds;
     const auto cores = p.list("family_info.cpu_of_kind"), memory = p.list("family_info.size_memory");
-    if (cores.empty()) p.wrong("family_info.cpu_of_kind", "names no machine kind");
+    if (cores.empty()) p.fail("family_info.cpu_of_kind", "names no machine kind");
     if (memory.size() != cores.size())
-        p.wrong("family_info.size_memory", "does not match family_info.cpu_of_kind");
+        p.fail("family_info.size_memory", "does not match family_info.cpu_of_kind");
     for (std::size_t i = 0; i < cores.size(); ++i) {
         const WorkerKind k{p.number("family_info.cpu_of_kind", cores[i]),
                            p.number("family_info.size_memory", memory[i])};
-        if (!(k.cores > 0)) p.wrong("family_info.cpu_of_kind", "must be above zero");
-        if (!(k.memory > 0)) p.wrong("family_info.size_memory", "must be above zero");
+        if (!(k.cores > 0)) p.fail("family_info.cpu_of_kind", "must be above zero");
+        if (!(k.memory > 0)) p.fail("family_info.size_memory", "must be above zero");
         kinds.push_back(k);
     }
     return kinds;
 }
 
 WorkerAcceptance worker_acceptance(const Settings& p) {
-    return {p.positive("family_info.accepts_cores"),
-            p.positive("family_info.memory_multiple"),
-            p.nth("family_info.free_by", 0, "asked") == "used",
-            p.truth_or("limits.probes", false),
-            p.text("family_info.yes_at") == "running",
-            p.truth_or("family_info.pushes_out", false),
-            p.truth_or("family_info.says_pressure", true)};
+    return {
+        p.positive_number("family_info.accepts_cores"),     p.positive_number("family_info.memory_multiple"),
+        p.nth("family_info.free_by", 0, "asked") == "used", p.boolean_or("limits.probes", false),
+        p.text("family_info.yes_at") == "running",          p.boolean_or("family_info.pushes_out", false),
+        p.boolean_or("family_info.says_pressure", true)};
 }
 
 SlowStartSettings slow_start_settings(const Settings& p) {
-    SlowStartSettings cold{p.positive("contract.cold_from"),        p.micros("contract.cold_us"),
-                           p.positive("contract.fall_multiple"),    p.micros("contract.fall_us"),
-                           p.real_or("family_info.young_limit", 0), static_cast<int>(p.positive("balancers")),
-                           static_cast<int>(p.real_or("me", 0))};
-    if (cold.placers < 1) p.wrong("balancers", "must be one or more");
-    if (cold.me < 0 || cold.me >= cold.placers) p.wrong("me", "is out of range");
-    if (cold.window <= 0) p.wrong("contract.fall_us", "must be above zero");
+    SlowStartSettings cold{
+        p.positive_number("contract.cold_from"),     p.duration("contract.cold_us"),
+        p.positive_number("contract.fall_multiple"), p.duration("contract.fall_us"),
+        p.number_or("family_info.young_limit", 0),   static_cast<int>(p.positive_number("balancers")),
+        static_cast<int>(p.number_or("me", 0))};
+    if (cold.placers < 1) p.fail("balancers", "must be one or more");
+    if (cold.placer_index < 0 || cold.placer_index >= cold.placers) p.fail("me", "is out of range");
+    if (cold.window <= 0) p.fail("contract.fall_us", "must be above zero");
     return cold;
 }
 
 DiscoverySettings discovery_settings(const Settings& p) {
-    return {p.text("discovery") == "on_request", p.micros_or_zero("contract.ask_every_us")};
+    return {p.text("discovery") == "on_request", p.duration_or_zero("contract.ask_every_us")};
 }
 RetrySettings retry_settings(const Settings& p) {
-    return {static_cast<int>(p.positive("limits.send_cap")), p.truth_or("limits.cancelling", false)};
+    return {static_cast<int>(p.positive_number("limits.send_cap")), p.boolean_or("limits.cancelling", false)};
 }
 Prices prices(const Settings& p) {
-    return {p.real_or("penalties.fleet", 0),
-            p.real_or("penalties.moves", 0),
-            p.real_or("penalties.waste", 0),
-            p.real_or("penalties.probe", 0),
-            p.real_or("penalties.cross_zone", 0),
-            p.real_or("penalties.discovery", 0),
-            p.real_or("family_info.turned_down_price", 0)};
+    return {p.number_or("penalties.fleet", 0),
+            p.number_or("penalties.moves", 0),
+            p.number_or("penalties.waste", 0),
+            p.number_or("penalties.probe", 0),
+            p.number_or("penalties.cross_zone", 0),
+            p.number_or("penalties.discovery", 0),
+            p.number_or("family_info.turned_down_price", 0)};
 }
 
 int zone(const Settings& p) {
     const auto zones = p.list("zones");
-    if (zones.empty()) p.wrong("zones", "names no zone");
-    const double zone = p.real("zone");
-    if (zone < 0 || zone >= static_cast<double>(zones.size())) p.wrong("zone", "is out of range");
+    if (zones.empty()) p.fail("zones", "names no zone");
+    const double zone = p.number_at("zone");
+    if (zone < 0 || zone >= static_cast<double>(zones.size())) p.fail("zone", "is out of range");
     return static_cast<int>(zone);
 }
 
@@ -196,16 +196,16 @@
         const std::string_view name = pair.substr(0, colon), v = pair.substr(colon + 1);
         double* value = name == "x0"                       ? &r.free_cores
                         : name == "x1"                     ? &r.free_memory
-                        : name == "busy"                   ? &r.busy
-                        : (name == "q" || name == "queue") ? &r.queued
+                        : name == "busy"                   ? &r.utilization
+                        : (name == "q" || name == "queue") ? &r.queue_length
                                                            : nullptr;
         if (!value) continue;
         const auto [at, error] = std::from_chars(v.data(), v.data() + v.size(), *value);
         if (error != std::errc{} || at != v.data() + v.size() || !std::isfinite(*value)) return false;
         (name == "x0"     ? r.has_free_cores
          : name == "x1"   ? r.has_free_memory
-         : name == "busy" ? r.has_busy
-                          : r.has_queued) = true;
+         : name == "busy" ? r.has_utilization
+                          : r.has_queue_length) = true;
     }
     return true;
 }
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -28,18 +28,20 @@
 
     bool has(const std::string& path) const;
     std::string_view text(const std::string& path) const;
-    double real(const std::string& path) const { return number(path, text(path)); }
-    double real_or(const std::string& path, double absent) const { return has(path) ? real(path) : absent; }
-    double positive(const std::string& path) const;
-    Nanos micros(const std::string& path) const;
-    Nanos micros_or_zero(const std::string& path) const { return has(path) ? micros(path) : 0; }
-    bool truth(const std::string& path) const;
-    bool truth_or(const std::string& path, bool absent) const { return has(path) ? truth(path) : absent; }
+    double number_at(const std::string& path) const { return number(path, text(path)); }
+    double number_or(const std::string& path, double absent) const {
+        return has(path) ? number_at(path) : absent;
+    }
+    double positive_number(const std::string& path) const;
+    Nanos duration(const std::string& path) const;
+    Nanos duration_or_zero(const std::string& path) const { return has(path) ? duration(path) : 0; }
+    bool boolean(const std::string& path) const;
+    bool boolean_or(const std::string& path, bool absent) const { return has(path) ? boolean(path) : absent; }
     std::vector<std::string_view> list(const std::string& path) const;
     // The value of one queue group in a list; the last serves for the rest.
     std::string_view nth(const std::string& path, std::size_t i, std::string_view absent) const;
     double number(const std::string& path, std::string_view v) const;
-    [[noreturn]] void wrong(std::string_view path, std::string_view what) const;
+    [[noreturn]] void fail(std::string_view path, std::string_view what) const;
 
 private:
     std::string source_;
--- a/src/timer_wheel/timer_wheel.cpp
+++ b/src/timer_wheel/timer_wheel.cpp
@@ -11,30 +11,30 @@
 
 TimerWheel::TimerWheel(Nanos now) : tick_(now / kTick) {
     for (auto& level : slots_)
-        for (Head& h : level) h.prev_ = h.next_ = &h;
+        for (Head& h : level) h.previous_ = h.next_ = &h;
 }
 
 TimerWheel::~TimerWheel() {
     for (auto& level : slots_)
         for (Head& h : level) {
             while (h.next_ != &h) unlink(*h.next_);
-            h.prev_ = h.next_ = nullptr;
+            h.previous_ = h.next_ = nullptr;
         }
 }
 
 void TimerWheel::unlink(Timer& t) {
-    t.prev_->next_ = t.next_;
-    t.next_->prev_ = t.prev_;
+    t.previous_->next_ = t.next_;
+    t.next_->previous_ = t.previous_;
     const std::size_t level = t.slot_ >> kBits, slot = t.slot_ & (kSlots - 1);
     if (const Head& h = slots_[level][slot]; h.next_ == &h)
         used_[level][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
-    t.prev_ = t.next_ = nullptr;
+    t.previous_ = t.next_ = nullptr;
     --armed_;
 }
 
-void TimerWheel::put(Timer& t) {
+void TimerWheel::insert(Timer& t) {
     // Rounded up: a timer may come late by a tick, never early.
-    const std::int64_t tick = std::max(tick_, (t.at_ + kTick - 1) / kTick);
+    const std::int64_t tick = std::max(tick_, (t.deadline_ + kTick - 1) / kTick);
     int level = 0;
     while (level + 1 < kLevels && (tick >> (kBits * (level + 1))) != (tick_ >> (kBits * (level + 1))))
         ++level;
@@ -43,9 +43,9 @@
     Head& h = slots_[static_cast<std::size_t>(level)][slot];
     t.slot_ = static_cast<std::uint16_t>((static_cast<std::size_t>(level) << kBits) | slot);
     t.next_ = &h;
-    t.prev_ = h.prev_;
-    h.prev_->next_ = &t;
-    h.prev_ = &t;
+    t.previous_ = h.previous_;
+    h.previous_->next_ = &t;
+    h.previous_ = &t;
     used_[static_cast<std::size_t>(level)][slot / 64] |= std::uint64_t{1} << (slot % 64);
     ++armed_;
 }
@@ -53,19 +53,19 @@
 void TimerWheel::arm(Timer& t, Nanos at) {
     t.disarm();
     t.wheel_ = this;
-    t.at_ = at;
-    put(t);
+    t.deadline_ = at;
+    insert(t);
 }
 
 // Takes all of a slot's timers onto a list of its own: what is done with them may fill the same slot again.
 void TimerWheel::detach(int level, std::size_t slot, Head& lot) {
     Head& h = slots_[static_cast<std::size_t>(level)][slot];
-    lot.prev_ = lot.next_ = &lot;
+    lot.previous_ = lot.next_ = &lot;
     if (h.next_ == &h) return;
     lot.next_ = h.next_;
-    lot.prev_ = h.prev_;
-    lot.next_->prev_ = lot.prev_->next_ = &lot;
-    h.prev_ = h.next_ = &h;
+    lot.previous_ = h.previous_;
+    lot.next_->previous_ = lot.previous_->next_ = &lot;
+    h.previous_ = h.next_ = &h;
     used_[static_cast<std::size_t>(level)][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
 }
 
@@ -75,13 +75,13 @@
     while (lot.next_ != &lot) {
         Timer& t = *lot.next_;
         unlink(t);
-        put(t);
+        insert(t);
     }
-    lot.prev_ = lot.next_ = nullptr;
+    lot.previous_ = lot.next_ = nullptr;
 }
 
 // At the edge of a level's slot, the levels above hand down what stands in theirs.
-void TimerWheel::turn_levels() {
+void TimerWheel::cascade() {
     if (tick_ & (kSlots - 1)) return;
     for (int level = 1; level < kLevels; ++level) {
         const std::int64_t at = tick_ >> (kBits * level);
@@ -100,7 +100,7 @@
     return -1;
 }
 
-Nanos TimerWheel::next() const {
+Nanos TimerWheel::next_deadline() const {
     if (!armed_) return 0;
     for (int level = 0; level < kLevels; ++level) {
         const std::int64_t at = tick_ >> (kBits * level);
@@ -111,7 +111,7 @@
     return tick_ * kTick;
 }
 
-void TimerWheel::turn(Nanos now) {
+void TimerWheel::run_timers(Nanos now) {
     const std::int64_t last = now / kTick;
     while (tick_ <= last) {
         // Straight to the next tick at which anything stands or a level turns over.
@@ -121,7 +121,7 @@
         if (to > last) {
             // Stops at the edge of the slot; what stands further on keeps its place.
             tick_ = last + 1;
-            turn_levels();
+            cascade();
             return;
         }
         tick_ = to;
@@ -130,20 +130,20 @@
                 tick_ = last + 1;
                 return;
             }
-            turn_levels();
+            cascade();
             continue;
         }
         // What a timer arms for this very tick or earlier is put off to the next one: no turn without end.
         Head lot;
         detach(0, static_cast<std::size_t>(slot), lot);
         ++tick_;
-        turn_levels();
+        cascade();
         while (lot.next_ != &lot) {
             Timer& t = *lot.next_;
             unlink(t);
-            t.due(now);
+            t.on_deadline(now);
         }
-        lot.prev_ = lot.next_ = nullptr;
+        lot.previous_ = lot.next_ = nullptr;
     }
 }
 
--- a/src/timer_wheel/timer_wheel.h
+++ b/src/timer_wheel/timer_wheel.h
@@ -21,18 +21,18 @@
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     virtual ~Timer() { disarm(); }
-    virtual void due(Nanos now) = 0;  // may arm this or any other timer again, or destroy this one
+    virtual void on_deadline(Nanos now) = 0;  // may arm this or any other timer again, or destroy this one
 
     bool armed() const { return next_ != nullptr; }
-    Nanos at() const { return at_; }
+    Nanos deadline() const { return deadline_; }
     void disarm();
 
 private:
     friend class TimerWheel;
-    Timer* prev_ = nullptr;
+    Timer* previous_ = nullptr;
     Timer* next_ = nullptr;
     TimerWheel* wheel_ = nullptr;
-    Nanos at_ = 0;
+    Nanos deadline_ = 0;
     std::uint16_t slot_ = 0;
 };
 
@@ -50,23 +50,23 @@
     TimerWheel& operator=(const TimerWheel&) = delete;
 
     void arm(Timer&, Nanos at);  // again: moved. A time that has passed comes due at the next turn
-    void turn(Nanos now);        // `now` never goes backwards; an earlier one is taken as the last
-    std::size_t armed() const { return armed_; }
+    void run_timers(Nanos now);  // `now` never goes backwards; an earlier one is taken as the last
+    std::size_t armed_timers() const { return armed_; }
     // No timer is due before this time; 0 if none is armed. Exact for those within 256 ticks, else early by
     // at most what one slot of the level spans: a turn then only moves timers down a level.
-    Nanos next() const;
+    Nanos next_deadline() const;
 
 private:
     friend class Timer;
     static constexpr int kLevels = 5, kBits = 8, kSlots = 1 << kBits;  // 256^5 ms: 34 years
     struct Head final : Timer {
-        void due(Nanos) override {}
+        void on_deadline(Nanos) override {}
     };
-    void put(Timer&);
+    void insert(Timer&);
     void unlink(Timer&);
     void detach(int level, std::size_t slot, Head& lot);
     void spill(int level, std::size_t slot);
-    void turn_levels();
+    void cascade();
     int first_used(int level, std::size_t from) const;
 
     std::int64_t tick_;  // all before it has been turned
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -122,7 +122,7 @@
     if (state_ == ConnectionState::idle) want(now, true);
     const bool failing = state_ == ConnectionState::waiting && pause_ > 0;
     if (failing) {
-        wire_.over(now, l, AttemptOutcome::unconnected);
+        wire_.over(now, l, AttemptOutcome::connect_failed);
         return;
     }
     queue_.push_back(&l);
@@ -137,7 +137,7 @@
         queue_.pop_front();
         if (!wire_.may_still_send(now, l)) {
             ++counts_.proven_unsent;
-            wire_.over(now, l, AttemptOutcome::unsent);
+            wire_.over(now, l, AttemptOutcome::not_sent);
             continue;
         }
         add_out(l);
@@ -147,16 +147,16 @@
 }
 
 void WorkerConnection::add_out(ledger::Attempt& l) {
-    l.at = out_.size();
+    l.connection_index = out_.size();
     out_.push_back(&l);
 }
 
 void WorkerConnection::drop_out(ledger::Attempt& l) {
-    if (l.at >= out_.size() || out_[l.at] != &l) return;
-    out_[l.at] = out_.back();
-    out_[l.at]->at = l.at;
+    if (l.connection_index >= out_.size() || out_[l.connection_index] != &l) return;
+    out_[l.connection_index] = out_.back();
+    out_[l.connection_index]->connection_index = l.connection_index;
     out_.pop_back();
-    l.at = SIZE_MAX;
+    l.connection_index = SIZE_MAX;
 }
 
 std::vector<ledger::Attempt*> WorkerConnection::in_order() const {
@@ -225,7 +225,7 @@
     ++counts_.failed_dials;
     if (!wanted_) lose_all(now);  // gone by the list, and it can't be reached to say otherwise
     pause(now);
-    empty_queue(now, AttemptOutcome::unconnected);
+    empty_queue(now, AttemptOutcome::connect_failed);
     plan(now);
     wire_.down(now, *this, false);
 }
@@ -244,7 +244,7 @@
     cut_at_ = 0;
     pause(now);
     for (const Written& w : written) {
-        if (!w.launch || w.launch->over) continue;
+        if (!w.launch || w.launch->ended) continue;
         if (w.end <= handed) {
             ++counts_.in_doubt;
             continue;
@@ -252,9 +252,9 @@
         ledger::Attempt& l = *w.launch;
         drop_out(l);
         ++counts_.proven_unsent;
-        wire_.over(now, l, AttemptOutcome::unsent);
+        wire_.over(now, l, AttemptOutcome::not_sent);
     }
-    empty_queue(now, AttemptOutcome::unsent);
+    empty_queue(now, AttemptOutcome::not_sent);
     plan(now);
     wire_.down(now, *this, was_up);
 }
@@ -311,13 +311,13 @@
             if (std::find(holds.begin(), holds.end(), l->number) == holds.end()) unnamed.push_back(l);
         const bool certain = same && broken_at_ && now - broken_at_ < remembers;
         for (ledger::Attempt* l : unnamed) {
-            if (l->taken_over) {
+            if (l->adopted) {
                 wire_.ask_after(*this, *l);
                 continue;
             }
             drop_out(*l);
             ++counts_.cleared_up;
-            wire_.over(now, *l, certain && !l->accepted ? AttemptOutcome::unsent : AttemptOutcome::reset);
+            wire_.over(now, *l, certain && !l->accepted ? AttemptOutcome::not_sent : AttemptOutcome::reset);
         }
     }
     pump(now);
@@ -327,14 +327,14 @@
 // Launches that wait here are taken back at once. Those that the node has not said it received may lie in any
 // buffer on the way: if it has not before the grace is up, the connection is cut so that they never arrive.
 void WorkerConnection::drain_heard(Nanos now) {
-    empty_queue(now, AttemptOutcome::unsent);
+    empty_queue(now, AttemptOutcome::not_sent);
     if (state_ == ConnectionState::up && !unreceived_.empty() && !cut_at_)
         cut_at_ = now + terms_.drain_grace - terms_.drain_grace / kGraceKept;
     plan(now);
 }
 
 void WorkerConnection::gone(Nanos now) {
-    empty_queue(now, AttemptOutcome::unsent);
+    empty_queue(now, AttemptOutcome::not_sent);
     want(now, false);
     if (state_ != ConnectionState::up) lose_all(now);
     want(now, false);
