--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -137,8 +137,8 @@
 
 std::string enumerations() {
     std::string out = "enumerations";
-    for (const auto* file : {v1::FromNode::descriptor()->file(), v1::FromOwner::descriptor()->file(),
-                             v1::FromList::descriptor()->file(), v1::Report::descriptor()->file()}) {
+    for (const auto* file : {v1::FromWorker::descriptor()->file(), v1::FromClient::descriptor()->file(),
+                             v1::FromDiscovery::descriptor()->file(), v1::LoadReport::descriptor()->file()}) {
         for (int i = 0; i < file->enum_type_count(); ++i) numbers_of(*file->enum_type(i), out);
         for (int i = 0; i < file->message_type_count(); ++i)
             for (int k = 0; k < file->message_type(i)->enum_type_count(); ++k)
@@ -167,48 +167,48 @@
         const QueueGroup& g = groups[i];
         const std::string at = "group " + std::to_string(i) + " ";
         values.add(at + "effect", static_cast<int>(g.effect))
-            .add(at + "repeats dropped by", static_cast<int>(g.repeats_dropped_by))
-            .add(at + "repeat window", g.repeat_window)
-            .add(at + "start target", g.start_target)
-            .add(at + "importance", g.importance)
-            .add(at + "start worth", g.start_worth_s)
-            .add(at + "full service utilization", g.calm)
-            .add(at + "degradation range", g.fade)
-            .add(at + "kind", g.kind)
-            .add(at + "spread", static_cast<int>(g.spread))
-            .add(at + "most", g.most)
+            .add(at + "repeats dropped by", static_cast<int>(g.deduplicated_by))
+            .add(at + "repeat window", g.deduplication_window)
+            .add(at + "start target", g.start_objective)
+            .add(at + "importance", g.priority_weight)
+            .add(at + "start worth", g.start_value_s)
+            .add(at + "full service utilization", g.full_service_utilization)
+            .add(at + "degradation range", g.degradation_range)
+            .add(at + "kind", g.worker_kind)
+            .add(at + "spread", static_cast<int>(g.spread_domain))
+            .add(at + "most", g.max_per_domain)
             .add(at + "priority", g.priority);
     }
 }
 
 void add_acceptance(Values& values, const WorkerAcceptance& a) {
-    values.add("cores multiple", a.cores_multiple)
-        .add("memory multiple", a.memory_multiple)
+    values.add("cores multiple", a.cores_overcommit)
+        .add("memory multiple", a.memory_overcommit)
         .add("reports use", a.reports_use)
-        .add("can probe", a.can_probe)
-        .add("yes on running", a.yes_on_running)
+        .add("can probe", a.health_checks)
+        .add("yes on running", a.accepts_when_running)
         .add("preempts", a.preempts)
-        .add("notes pressure", a.notes_pressure);
+        .add("notes pressure", a.reports_pressure);
 }
 
 void add_slow_start(Values& values, const SlowStartSettings& c) {
-    values.add("cold from", c.from)
-        .add("warm after", c.warm_after)
-        .add("multiple", c.multiple)
+    values.add("cold from", c.initial_capacity)
+        .add("warm after", c.warm_up_time)
+        .add("multiple", c.overload_factor)
         .add("window", c.window)
-        .add("always borne", c.always_borne)
+        .add("always borne", c.guaranteed_attempts)
         .add("placers", c.placers)
-        .add("me", c.me);
+        .add("me", c.placer_index);
 }
 
 void add_prices(Values& values, const Prices& p) {
-    values.add("machines in use", p.machines_in_use)
-        .add("moves", p.moves)
+    values.add("machines in use", p.workers_in_use)
+        .add("moves", p.migrations)
         .add("waste", p.waste)
-        .add("probes", p.probes)
-        .add("across zones", p.across_zones)
-        .add("list lines", p.list_lines)
-        .add("refused", p.refused);
+        .add("probes", p.health_checks)
+        .add("across zones", p.cross_zone)
+        .add("list lines", p.discovery_entries)
+        .add("refused", p.rejections);
 }
 
 void add_kinds(Values& values, const std::vector<WorkerKind>& kinds) {
@@ -253,10 +253,10 @@
 
 TEST_CASE("each message of the own protocol has the bytes it had") {
     check_unchanged("messages.txt",
-                    messages_in<v1::ToNode>("to_node") + messages_in<v1::FromNode>("from_node") +
-                        messages_in<v1::ToOwner>("to_owner") + messages_in<v1::FromOwner>("from_owner") +
-                        messages_in<v1::ToList>("to_list") + messages_in<v1::FromList>("from_list") +
-                        enumerations());
+                    messages_in<v1::ToWorker>("to_node") + messages_in<v1::FromWorker>("from_node") +
+                        messages_in<v1::ToClient>("to_owner") + messages_in<v1::FromClient>("from_owner") +
+                        messages_in<v1::ToDiscovery>("to_list") +
+                        messages_in<v1::FromDiscovery>("from_list") + enumerations());
 }
 
 TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
@@ -308,22 +308,22 @@
     values.add("name", named.name).add("listen", named.listen).add("zone", named.zone);
     values.add("zones", named.zones).add("seed", named.seed);
     const config::DiscoveryService list = config::discovery_service(root);
-    values.add("list", list.address).add("on request", list.terms.on_request);
-    values.add("ask every", list.terms.ask_every);
+    values.add("list", list.address).add("on request", list.settings.poll);
+    values.add("ask every", list.settings.poll_interval);
     const config::LogSettings saying = config::log_settings(root);
-    values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.form));
+    values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.format));
     const auto kinds = config::worker_kinds(root);
     add_kinds(values, kinds);
     std::vector<QueueGroup> groups;
     for (const config::NamedQueueGroup& g : config::queue_groups(root, kinds.size())) {
         values.add("group", g.name);
-        groups.push_back(g.terms);
+        groups.push_back(g.queue_group);
     }
     add_groups(values, groups);
     add_acceptance(values, config::worker_acceptance(root));
     add_slow_start(values, config::slow_start_settings(root));
     const RetrySettings launches = config::retry_settings(root);
-    values.add("launches most", launches.most).add("can stop", launches.can_stop);
+    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
     add_prices(values, config::prices(root));
     const admission::AdmissionLimits limits = config::admission_limits(root);
     values.add("waiting", limits.waiting).add("waiting an owner", limits.waiting_an_owner);
@@ -333,7 +333,7 @@
     values.add("silent after", links.silent_after).add("first pause", links.first_pause);
     values.add("longest pause", links.longest_pause).add("drain grace", links.drain_grace);
     const config::DialLimits dialling = config::dial_limits(root);
-    values.add("dials at once", dialling.at_once).add("dials a second", dialling.a_second);
+    values.add("dials at once", dialling.concurrent).add("dials a second", dialling.per_second);
     check_unchanged("placer-values.txt", values.text());
 }
 
@@ -345,7 +345,7 @@
     std::string out = c.text;
     for (const std::string& line : c.carried) out += "carried " + line + "\n";
     for (const std::string& line : c.replaced) out += "replaced " + line + "\n";
-    for (const std::string& line : c.left) out += "left " + line + "\n";
+    for (const std::string& line : c.left_behind) out += "left " + line + "\n";
     check_unchanged("migrated.txt", out);
 }
 
@@ -363,15 +363,15 @@
     add_acceptance(values, settings::worker_acceptance(settings));
     add_slow_start(values, settings::slow_start_settings(settings));
     const DiscoverySettings list = settings::discovery_settings(settings);
-    values.add("on request", list.on_request).add("ask every", list.ask_every);
+    values.add("on request", list.poll).add("ask every", list.poll_interval);
     const RetrySettings launches = settings::retry_settings(settings);
-    values.add("launches most", launches.most).add("can stop", launches.can_stop);
+    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
     add_prices(values, settings::prices(settings));
     values.add("zone", settings::zone(settings));
     for (const auto name : settings.list("flavors")) values.add("flavor", name);
     for (const auto name : settings.list("zones")) values.add("zone", name);
-    values.add("dial timeout", settings.micros("limits.dial_timeout_us"));
-    values.add("idle", settings.micros("limits.conn_idle_us"));
+    values.add("dial timeout", settings.duration("limits.dial_timeout_us"));
+    values.add("idle", settings.duration("limits.conn_idle_us"));
     check_unchanged("platform-values.txt", values.text());
 }
 
@@ -384,16 +384,16 @@
     REQUIRE(problems.empty());
     Values values;
     values.add("name", plan.name).add("length", plan.length).add("seed", plan.seed);
-    values.add("placers", plan.placers).add("owners", plan.owners).add("nodes", plan.nodes);
+    values.add("placers", plan.placers).add("owners", plan.clients).add("nodes", plan.workers);
     for (const std::string& zone : plan.zones) values.add("zone", zone);
-    values.add("cells in zone", plan.cells_in_zone).add("pushes", plan.list_pushes);
-    values.add("late", plan.list_late).add("lean", plan.lean).add("slack", plan.slack);
-    values.add("drain grace", plan.drain_grace).add("list age", plan.old_list.age);
-    values.add("list lasts", plan.old_list.lasts).add("ghosts", plan.old_list.ghosts);
-    values.add("missing", plan.old_list.missing).add("least", plan.network.least);
+    values.add("cells in zone", plan.cells_per_zone).add("pushes", plan.discovery_pushes);
+    values.add("late", plan.discovery_delay).add("lean", plan.first_placer_share).add("slack", plan.slack);
+    values.add("drain grace", plan.drain_grace).add("list age", plan.stale_discovery.age);
+    values.add("list lasts", plan.stale_discovery.lasts).add("ghosts", plan.stale_discovery.ghosts);
+    values.add("missing", plan.stale_discovery.missing).add("least", plan.network.least);
     values.add("spread", plan.network.spread).add("late", plan.network.late);
-    values.add("late share", plan.network.late_share).add("launches", plan.launches.most);
-    const emulator::EmulatedWorkerSettings& node = plan.node;
+    values.add("late share", plan.network.late_share).add("launches", plan.retry.max_attempts);
+    const emulator::EmulatedWorkerSettings& node = plan.worker;
     values.add("judge", node.judge).add("line", node.line).add("starts", node.starts);
     values.add("start", node.start).add("without program", node.without_program);
     values.add("program kept", node.program_kept).add("gives turns", node.gives_turns);
@@ -401,20 +401,20 @@
     values.add("sends away every", node.sends_away_every).add("report every", node.report_every);
     for (const emulator::NamedQueueGroup& g : plan.groups) values.add("group", g.name);
     for (const emulator::LoadProfile& load : plan.loads) {
-        values.add("load group", load.group).add("a second", load.a_second).add("services", load.services);
-        values.add("batch", load.batch).add("queue timeout", load.queue_timeout);
-        values.add("life least", load.life_least).add("life most", load.life_most);
+        values.add("load group", load.group).add("a second", load.per_second).add("services", load.services);
+        values.add("batch", load.batch_size).add("queue timeout", load.queue_timeout);
+        values.add("life least", load.min_runtime).add("life most", load.max_runtime);
         for (const double cores : load.cores) values.add("cores", cores);
         for (const double memory : load.memory) values.add("memory", memory);
     }
     for (const emulator::Fault& fault : plan.faults) {
-        values.add("fault", static_cast<int>(fault.what)).add("at", fault.at).add("lasts", fault.lasts);
+        values.add("fault", static_cast<int>(fault.kind)).add("at", fault.at).add("lasts", fault.duration);
         for (const std::size_t i : fault.nodes) values.add("fault node", i);
-        values.add("which", fault.which).add("size", fault.size).add("tell", fault.tell);
+        values.add("which", fault.target).add("size", fault.size).add("tell", fault.announce);
         values.add("fault group", fault.group).add("in", fault.in).add("out", fault.out);
     }
-    for (const emulator::Expectation& expect : plan.expects) {
-        values.add("expect", emulator::to_string(expect.of)).add("expect group", expect.group);
+    for (const emulator::Expectation& expect : plan.expectations) {
+        values.add("expect", emulator::to_string(expect.metric)).add("expect group", expect.group);
         values.add("from", expect.from).add("to", expect.to).add("at least", expect.at_least);
         values.add("bound", expect.bound).add("share", expect.share);
     }
@@ -450,9 +450,9 @@
                 platform_codec::decode_all(bytes, bad, [](const platform_codec::Message&) { return true; });
         } else {
             done = net::decode_frames(bytes, net::kMaxFrameSize, bad, [&folder](std::string_view frame) {
-                v1::FromOwner owner;
-                v1::FromNode node;
-                v1::FromList list;
+                v1::FromClient owner;
+                v1::FromWorker node;
+                v1::FromDiscovery list;
                 Message& message = folder == "client_endpoint"   ? static_cast<Message&>(owner)
                                    : folder == "worker_endpoint" ? static_cast<Message&>(node)
                                                                  : static_cast<Message&>(list);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -53,9 +53,9 @@
     const auto kinds = config::worker_kinds(d.root());
     CHECK(kinds.at(0).memory == 32.5);
     const auto groups = config::queue_groups(d.root(), 1);
-    CHECK(groups.at(0).terms.effect == Effect::fingerprinted);
-    CHECK(groups.at(0).terms.repeats_dropped_by == FailureDomain::cell);
-    CHECK(groups.at(0).terms.repeat_window == 1500 * kMillisecond);
+    CHECK(groups.at(0).queue_group.effect == Effect::keyed);
+    CHECK(groups.at(0).queue_group.deduplicated_by == FailureDomain::cell);
+    CHECK(groups.at(0).queue_group.deduplication_window == 1500 * kMillisecond);
 }
 
 TEST_CASE("what is wrong is named with file, line, key and what was expected") {
@@ -124,9 +124,9 @@
 
 TEST_CASE("a file that says nothing of notes of pressure means that they come") {
     config::Document d = config::Document::parse(kGood, "f.toml");
-    CHECK(config::worker_acceptance(d.root()).notes_pressure);
+    CHECK(config::worker_acceptance(d.root()).reports_pressure);
     config::Document other =
         config::Document::parse(std::string(kGood) + "[acceptance]\nnotes_pressure = false\n", "f.toml");
-    CHECK_FALSE(config::worker_acceptance(other.root()).notes_pressure);
+    CHECK_FALSE(config::worker_acceptance(other.root()).reports_pressure);
     CHECK(config::check(other).empty());
 }
--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -19,7 +19,7 @@
         REQUIRE(node->listen("node:1").empty());
         peer.stream = client.dial("node:1", peer);
         run(10 * kMillisecond);
-        v1::ToNode m;
+        v1::ToWorker m;
         Rig::greet(*m.mutable_hello(), "p", 1);
         peer.say(m);
         run(10 * kMillisecond);
@@ -38,16 +38,16 @@
         return -mean * std::log((static_cast<double>(chance() % 1'048'576) + 1) / 1'048'577);
     }
     std::uint64_t launch(double life_s, double cores = 1, int group = 0) {
-        v1::ToNode m;
-        v1::Launch& l = *m.mutable_launch();
-        l.set_launch(++sent);
-        l.set_container("c" + std::to_string(sent));
+        v1::ToWorker m;
+        v1::StartAttempt& l = *m.mutable_start_attempt();
+        l.set_attempt(++sent);
+        l.set_task("c" + std::to_string(sent));
         l.set_service("s");
-        l.set_group(static_cast<std::uint32_t>(group));
+        l.set_queue_group(static_cast<std::uint32_t>(group));
         l.set_cores(cores);
         l.set_memory(0.001);
-        l.set_life_left(std::max<Nanos>(1, static_cast<Nanos>(life_s * 1e9)));
-        l.set_ask(sent);
+        l.set_expected_runtime(std::max<Nanos>(1, static_cast<Nanos>(life_s * 1e9)));
+        l.set_request(sent);
         peer.say(m);
         return sent;
     }
@@ -63,18 +63,18 @@
     std::vector<double> between(emulator::EventKind a, emulator::EventKind b) const {
         std::vector<Nanos> from(sent + 1, 0);
         std::vector<double> out;
-        for (const emulator::RecordedEvent& l : seen.lines()) {
-            if (l.launch == 0 || l.launch > sent) continue;
-            if (l.what == a) from[l.launch] = l.at;
-            if (l.what == b && from[l.launch])
-                out.push_back(static_cast<double>(l.at - from[l.launch]) / 1e9);
+        for (const emulator::RecordedEvent& l : seen.events()) {
+            if (l.attempt == 0 || l.attempt > sent) continue;
+            if (l.kind == a) from[l.attempt] = l.at;
+            if (l.kind == b && from[l.attempt])
+                out.push_back(static_cast<double>(l.at - from[l.attempt]) / 1e9);
         }
         return out;
     }
     std::size_t count(emulator::EventKind w) const {
         return static_cast<std::size_t>(
-            std::count_if(seen.lines().begin(), seen.lines().end(),
-                          [w](const emulator::RecordedEvent& l) { return l.what == w; }));
+            std::count_if(seen.events().begin(), seen.events().end(),
+                          [w](const emulator::RecordedEvent& l) { return l.kind == w; }));
     }
 
     simulation::SimulatedNetwork world;
@@ -82,7 +82,7 @@
     emulator::EventLog seen;
     emulator::EmulatedFleet fleet;
     std::unique_ptr<emulator::EmulatedWorker> node;
-    Peer<v1::FromNode, v1::ToNode> peer;
+    Peer<v1::FromWorker, v1::ToWorker> peer;
     std::ranlux24_base chance;
     std::uint64_t sent = 0;
 };
@@ -176,7 +176,7 @@
     terms.judge = kMillisecond;
     Line1 t(terms, 4, 2);
     emulator::ActiveFaults f;
-    const auto answers = [&t] { return t.peer.count(&v1::FromNode::has_accepted); };
+    const auto answers = [&t] { return t.peer.count(&v1::FromWorker::has_accepted); };
     SECTION("paused: nothing moves, and then all of it does") {
         f.paused = true;
         t.node->set(f);
@@ -207,7 +207,7 @@
         t.launch(1);
         t.run(3 * kSecond);
         CHECK(t.count(emulator::EventKind::launch) == 1);
-        CHECK(t.peer.count(&v1::FromNode::has_ended) == 1);
+        CHECK(t.peer.count(&v1::FromWorker::has_ended) == 1);
         t.node->set({});
         t.run(kSecond);
         CHECK(t.count(emulator::EventKind::launch) == 2);
@@ -259,19 +259,19 @@
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.judge = 100 * kMillisecond;
     Line1 t(terms, 6);
-    v1::ToNode m;
-    v1::Launch& l = *m.mutable_launch();
-    l.set_container("c");
+    v1::ToWorker m;
+    v1::StartAttempt& l = *m.mutable_start_attempt();
+    l.set_task("c");
     l.set_service("s");
     l.set_cores(1);
     const Nanos clock = t.node->clock();
-    l.set_launch(1);
+    l.set_attempt(1);
     l.set_not_after(clock - 1);  // it lay somewhere
     t.peer.say(m);
-    l.set_launch(2);
+    l.set_attempt(2);
     l.set_not_after(clock + 50 * kMillisecond);  // it will be judged too late
     t.peer.say(m);
-    l.set_launch(3);
+    l.set_attempt(3);
     l.set_not_after(clock + kSecond);
     t.peer.say(m);
     t.run(kSecond);
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -15,17 +15,17 @@
 namespace {
 
 struct End : net::StreamHandler {
-    void connected() override {
+    void on_connected() override {
         up = true;
         if (then) then();
     }
-    std::size_t received(std::string_view in) override {
+    std::size_t on_received(std::string_view in) override {
         got += in;
         if (then) then();
         return in.size();
     }
-    void drained() override { ++drains; }
-    void closed(net::CloseReason c) override {
+    void on_drained() override { ++drains; }
+    void on_closed(net::CloseReason c) override {
         over = true;
         how = c;
         stream.reset();
@@ -58,7 +58,7 @@
         } else {
             std::unique_ptr<net::Timer> poll;
             const Nanos give_up = event->now() + 20 * kSecond;
-            poll = event->timer([&] {
+            poll = event->make_timer([&] {
                 if (done() || event->now() > give_up) event->stop();
                 else poll->arm(event->now() + kMillisecond);
             });
@@ -82,7 +82,7 @@
         g.any(),
         [&](std::unique_ptr<net::Stream> s) {
             far.stream = std::move(s);
-            g.far().use(*far.stream, far);
+            g.far().attach(*far.stream, far);
         },
         error);
     REQUIRE(listener);
@@ -95,7 +95,7 @@
     g.until([&] { return far.got.size() == much.size() && near.got == "back"; });
     CHECK(far.got == much);
     g.until([&] { return near.stream->unsent() == 0; });
-    CHECK(near.stream->handed() == much.size());
+    CHECK(near.stream->handed_over() == much.size());
 
     SECTION("closed: the other end reads all, then the end") {
         near.stream->write("last");
@@ -107,16 +107,16 @@
     }
     SECTION(
         "a peer that does not read: what the kernel does not take stays countable, and an abort drops it") {
-        far.stream->read(false);
+        far.stream->set_reading(false);
         for (int i = 0; i < 200; ++i) near.stream->write(std::string(64 << 10, 'x'));
         bool waited = false;
-        const auto timer = g.near().timer([&] { waited = true; });
+        const auto timer = g.near().make_timer([&] { waited = true; });
         timer->arm(g.near().now() + 50 * kMillisecond);
         g.until([&] { return waited; });
         CHECK(near.stream->unsent() > 0);
-        CHECK(near.stream->handed() + near.stream->unsent() == much.size() + (200u << 16));
+        CHECK(near.stream->handed_over() + near.stream->unsent() == much.size() + (200u << 16));
         near.stream->abort();
-        far.stream->read(true);
+        far.stream->set_reading(true);
         g.until([&] { return far.over; });
         CHECK(far.got.size() < much.size() + (200u << 16));
     }
@@ -145,9 +145,9 @@
 TEST_CASE("timers come in their order, can be moved and taken back") {
     Ground g(GENERATE(true, false));
     std::vector<int> order;
-    const auto a = g.near().timer([&] { order.push_back(1); }),
-               b = g.near().timer([&] { order.push_back(2); }),
-               c = g.near().timer([&] { order.push_back(3); });
+    const auto a = g.near().make_timer([&] { order.push_back(1); }),
+               b = g.near().make_timer([&] { order.push_back(2); }),
+               c = g.near().make_timer([&] { order.push_back(3); });
     const Nanos now = g.near().now();
     a->arm(now + 30 * kMillisecond);
     b->arm(now + 10 * kMillisecond);
@@ -166,7 +166,7 @@
         "127.0.0.1:0",
         [&](std::unique_ptr<net::Stream> s) {
             served.stream = std::move(s);
-            loop.use(*served.stream, served);
+            loop.attach(*served.stream, served);
         },
         error);
     first.stream =
@@ -181,7 +181,7 @@
     second.stream = loop.dial(listener->address(), second);
     std::unique_ptr<net::Timer> step;
     Nanos begun = loop.now();
-    step = loop.timer([&] {
+    step = loop.make_timer([&] {
         if (loop.now() - begun > 100 * kMillisecond) setrlimit(RLIMIT_NOFILE, &before);
         if (served.stream || loop.now() - begun > 10 * kSecond) loop.stop();
         else step->arm(loop.now() + 5 * kMillisecond);
@@ -190,7 +190,7 @@
     loop.run();
     setrlimit(RLIMIT_NOFILE, &before);
     CHECK(second.over);
-    CHECK(second.how == net::CloseReason::out_of_files);
+    CHECK(second.how == net::CloseReason::out_of_descriptors);
     CHECK(first.up);
     CHECK(served.stream);
 }
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -13,13 +13,13 @@
 struct Lax final : ledger::Ledger {
     Lax(std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c, bool mute)
         : Ledger(std::move(g), t, c), mute_(mute) {}
-    ledger::Refusal may_launch(Nanos, const ledger::TaskRecord& r,
-                               const ledger::WorkerRecord&) const override {
-        return r.launches.size() < 4 ? ledger::Refusal::none : ledger::Refusal::too_many;
+    ledger::Refusal check_attempt(Nanos, const ledger::TaskRecord& r,
+                                  const ledger::WorkerRecord&) const override {
+        return r.attempts.size() < 4 ? ledger::Refusal::none : ledger::Refusal::too_many_attempts;
     }
     bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
-    bool give(Nanos now, ledger::TaskRecord& r, ledger::Answer a) override {
-        return !mute_ && Ledger::give(now, r, a);
+    bool record_answer(Nanos now, ledger::TaskRecord& r, ledger::Answer a) override {
+        return !mute_ && Ledger::record_answer(now, r, a);
     }
     bool mute_;
 };
@@ -29,11 +29,11 @@
 // Binds whatever comes at once, by its one bad habit.
 struct Rogue final : QuietPlanner {
     Rogue(server::PlacerServer& e, Does d) : edge(e), does(d) {}
-    void node(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) override {
+    void on_endpoint(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) override {
         if (known.size() <= n) known.resize(n + 1);
         known[n] = l;
     }
-    void round(Nanos) override {
+    void run_round(Nanos) override {
         if (known.empty()) return;
         for (const planner::TaskNumber c : std::exchange(taken, {})) {
             const auto n = static_cast<planner::WorkerNumber>(known.size());
@@ -41,10 +41,10 @@
             if (does == Does::crowds || does == Does::ignores_drains) to = 0;
             if (does == Does::floods_the_cold)
                 for (planner::WorkerNumber i = 0; i < n; ++i)
-                    if (known[i].started) to = i;
+                    if (known[i].started_at) to = i;
             if (does == Does::says_nothing) continue;
-            edge.bind(c, to, 60 * kSecond);
-            if (does == Does::binds_twice) edge.bind(c, (to + 1) % n, 60 * kSecond);
+            edge.place(c, to, 60 * kSecond);
+            if (does == Does::binds_twice) edge.place(c, (to + 1) % n, 60 * kSecond);
         }
     }
     server::PlacerServer& edge;
@@ -129,9 +129,9 @@
                                                {Does::crowds, Violation::spread},
                                                {Does::says_nothing, Violation::lost}}));
     const emulator::RunResult broken = play(does, true);
-    INFO(broken.verdict.line());
+    INFO(broken.verdict.summary());
     CHECK(broken.verdict.count(rule) > 0);
     const emulator::RunResult guarded = play(does, false);
-    INFO(guarded.verdict.line());
+    INFO(guarded.verdict.summary());
     CHECK(guarded.verdict.kept());
 }
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -43,16 +43,16 @@
 
     static bool same(const ledger::WorkerRecord& a, const ledger::WorkerRecord& b, FailureDomain p) {
         if (p == FailureDomain::all) return true;
-        if (p == FailureDomain::zone) return a.listed.zone == b.listed.zone;
-        if (p == FailureDomain::cell) return a.listed.cell == b.listed.cell;
-        return p == FailureDomain::machine && &a == &b;
+        if (p == FailureDomain::zone) return a.endpoint.zone == b.endpoint.zone;
+        if (p == FailureDomain::cell) return a.endpoint.cell == b.endpoint.cell;
+        return p == FailureDomain::worker && &a == &b;
     }
     // Dealt one by one: the k-th of the half goes to the placer whose place in the circle it falls to.
     int tokens(const ledger::WorkerRecord& n, Nanos now, Nanos turn) const {
         if (now - turn * cold.window < std::min(50 * kMillisecond, cold.window / 8)) return 0;
-        const int half = static_cast<int>(cold.always_borne / 2);
+        const int half = static_cast<int>(cold.guaranteed_attempts / 2);
         const auto offset = static_cast<Nanos>(stable_hash(n.name) % 1'000'003);
-        const Nanos mine = (cold.me + turn + offset) % cold.placers;
+        const Nanos mine = (cold.placer_index + turn + offset) % cold.placers;
         int out = 0;
         for (int k = 1; k <= half; ++k) out += (k * cold.placers + half - 1) / half - 1 == mine;
         return out;
@@ -61,26 +61,27 @@
                     bool drains) const {
         if (c.answer || now >= c.until || static_cast<int>(c.launches.size()) >= most) return false;
         if (!listed || drains) return false;
-        if (c.group->kind >= 0 && c.group->kind != n.listed.kind) return false;
+        if (c.group->worker_kind >= 0 && c.group->worker_kind != n.endpoint.kind) return false;
         for (const PlainLaunch& l : c.launches)
             if (!l.ended) return false;
         for (const PlainLaunch& l : c.launches) {
             if (l.proven) continue;
             if (c.group->effect == Effect::side_effecting) return false;
-            if (c.group->effect == Effect::fingerprinted &&
-                (!same(*l.node, n, c.group->repeats_dropped_by) || now - l.sent >= c.group->repeat_window))
+            if (c.group->effect == Effect::keyed && (!same(*l.node, n, c.group->deduplicated_by) ||
+                                                     now - l.sent >= c.group->deduplication_window))
                 return false;
             break;  // the first that may have run sets scope and window
         }
-        if (c.group->spread != FailureDomain::none) {
+        if (c.group->spread_domain != FailureDomain::none) {
             int there = 0;
             for (const auto& [number, other] : all)
                 for (const PlainLaunch& l : other.launches)
                     there += !l.ended && other.service == c.service &&
-                             other.group->spread != FailureDomain::none && same(*l.node, n, c.group->spread);
-            if (there >= c.group->most) return false;
+                             other.group->spread_domain != FailureDomain::none &&
+                             same(*l.node, n, c.group->spread_domain);
+            if (there >= c.group->max_per_domain) return false;
         }
-        if (n.listed.started > 0 && now - n.listed.started < cold.warm_after) {
+        if (n.endpoint.started_at > 0 && now - n.endpoint.started_at < cold.warm_up_time) {
             const Nanos turn = now / cold.window;
             int in_turn = 0;
             if (const auto it = young.find(&n); it != young.end())
@@ -93,8 +94,8 @@
         for (const PlainLaunch& l : c.launches) {
             if (c.group->effect == Effect::idempotent) break;
             if (!l.ended) return false;
-            if (!l.proven && !(c.group->effect == Effect::fingerprinted &&
-                               c.group->repeats_dropped_by == FailureDomain::all))
+            if (!l.proven &&
+                !(c.group->effect == Effect::keyed && c.group->deduplicated_by == FailureDomain::all))
                 return false;
         }
         return true;
@@ -104,7 +105,7 @@
 QueueGroup group(Effect e) {
     QueueGroup g;
     g.effect = e;
-    g.repeat_window = 3 * kSecond;
+    g.deduplication_window = 3 * kSecond;
     return g;
 }
 EndpointState serving(int zone = 0, int cell = 0) {
@@ -113,7 +114,7 @@
 ResourceRequest asking(int group = 0, Nanos left = 5 * kSecond) {
     ResourceRequest a;
     a.cores = a.memory = 1;
-    a.group = group;
+    a.queue_group = group;
     a.time_left = left;
     return a;
 }
@@ -125,17 +126,17 @@
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     std::vector<QueueGroup> groups;
-    for (const Effect e : {Effect::idempotent, Effect::fingerprinted, Effect::side_effecting}) {
+    for (const Effect e : {Effect::idempotent, Effect::keyed, Effect::side_effecting}) {
         QueueGroup g = group(e);
         const FailureDomain scopes[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
-                                        FailureDomain::machine};
-        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::machine, FailureDomain::cell,
+                                        FailureDomain::worker};
+        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::worker, FailureDomain::cell,
                                          FailureDomain::zone};
-        g.repeats_dropped_by = scopes[roll(4)];
-        g.repeat_window = (1 + roll(4)) * kSecond;
-        g.spread = spreads[roll(4)];
-        g.most = 1 + roll(4);
-        g.kind = roll(6) ? -1 : 0;
+        g.deduplicated_by = scopes[roll(4)];
+        g.deduplication_window = (1 + roll(4)) * kSecond;
+        g.spread_domain = spreads[roll(4)];
+        g.max_per_domain = 1 + roll(4);
+        g.worker_kind = roll(6) ? -1 : 0;
         groups.push_back(g);
     }
     SlowStartSettings cold{0.2, 8 * kSecond, 2, kSecond, static_cast<double>(roll(20)), 1 + roll(4), 0};
@@ -147,11 +148,11 @@
     std::map<ledger::WorkerRecord*, bool> said, listed_draining, listed;
     Nanos now = 1000 * kSecond;
     for (int i = 0; i < 6; ++i) {
-        ledger::WorkerRecord& n = led.meet("n" + std::to_string(i));
+        ledger::WorkerRecord& n = led.add_worker("n" + std::to_string(i));
         EndpointState l = serving(i / 4, i / 2);
         l.kind = i % 2;
-        l.started = roll(2) ? 0 : now - roll(10) * kSecond;
-        led.listed(now, n, l);
+        l.started_at = roll(2) ? 0 : now - roll(10) * kSecond;
+        led.on_endpoint(now, n, l);
         listed[&n] = true;
         nodes.push_back(&n);
     }
@@ -161,9 +162,9 @@
         const int what = roll(12);
         if (what < 3) {
             const int g = roll(3);
-            ledger::TaskRecord& r = led.take(now, "c", static_cast<std::uint64_t>(g * 10 + roll(2)),
-                                             asking(g, (1 + roll(5)) * kSecond));
-            plain.all[r.number] = {&groups[static_cast<std::size_t>(g)], r.service, r.until, {}, 0};
+            ledger::TaskRecord& r = led.create_task(now, "c", static_cast<std::uint64_t>(g * 10 + roll(2)),
+                                                    asking(g, (1 + roll(5)) * kSecond));
+            plain.all[r.number] = {&groups[static_cast<std::size_t>(g)], r.service, r.deadline, {}, 0};
             open.push_back(r.number);
             continue;
         }
@@ -171,75 +172,75 @@
             ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
             const int how = roll(5);
             if (how == 0) {
-                led.said(now, n, true);
+                led.on_drain_announced(now, n, true);
                 said[&n] = true;
             } else if (how == 1) {
-                led.gone(now, n);
+                led.on_removed(now, n);
                 listed[&n] = false;
                 listed_draining[&n] = true;
             } else {
-                EndpointState l = n.listed;
-                l.stage = roll(3) ? EndpointPhase::serving : EndpointPhase::draining;
-                if (roll(3) == 0) l.started = now;
-                if (listed[&n] && l.started > n.listed.started) {
+                EndpointState l = n.endpoint;
+                l.phase = roll(3) ? EndpointPhase::serving : EndpointPhase::draining;
+                if (roll(3) == 0) l.started_at = now;
+                if (listed[&n] && l.started_at > n.endpoint.started_at) {
                     said[&n] = false;
                     plain.young[&n].clear();
                 }
-                led.listed(now, n, l);
+                led.on_endpoint(now, n, l);
                 listed[&n] = true;
-                listed_draining[&n] = l.stage != EndpointPhase::serving;
+                listed_draining[&n] = l.phase != EndpointPhase::serving;
             }
             continue;
         }
         if (open.empty()) continue;
         const std::uint64_t number = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
-        ledger::TaskRecord& r = *led.find(number);
+        ledger::TaskRecord& r = *led.find_task(number);
         PlainContainer& c = plain.all[number];
         if (what < 8) {
             ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
             const bool allowed = plain.may_launch(now, c, n, listed[&n], said[&n] || listed_draining[&n]);
-            INFO(ledger::to_string(led.may_launch(now, r, n)));
-            REQUIRE((led.may_launch(now, r, n) == Refusal::none) == allowed);
+            INFO(ledger::to_string(led.check_attempt(now, r, n)));
+            REQUIRE((led.check_attempt(now, r, n) == Refusal::none) == allowed);
             Refusal why{};
-            ledger::Attempt* l = led.launch(now, r, n, roll(3000) * kMillisecond, why);
+            ledger::Attempt* l = led.start_attempt(now, r, n, roll(3000) * kMillisecond, why);
             REQUIRE((l != nullptr) == allowed);
             if (!l) continue;
-            REQUIRE(l->until <= r.until);
+            REQUIRE(l->deadline <= r.deadline);
             c.launches.push_back({&n, now});
-            if (n.listed.started > 0 && now - n.listed.started < cold.warm_after)
+            if (n.endpoint.started_at > 0 && now - n.endpoint.started_at < cold.warm_up_time)
                 plain.young[&n].push_back(now);
-        } else if (what < 11 && !r.launches.empty()) {
+        } else if (what < 11 && !r.attempts.empty()) {
             // Anything may be said of any launch, late, twice and crossing.
-            const auto i = static_cast<std::size_t>(roll(static_cast<int>(r.launches.size())));
-            ledger::Attempt& l = r.launches[i];
+            const auto i = static_cast<std::size_t>(roll(static_cast<int>(r.attempts.size())));
+            ledger::Attempt& l = r.attempts[i];
             PlainLaunch& p = c.launches[i];
             if (roll(3) == 0) {
                 const bool counts = !p.ended && !p.yes && !c.answer;
-                REQUIRE(led.accepted(now, l) == counts);
+                REQUIRE(led.on_accepted(now, l) == counts);
                 if (counts) {
                     p.yes = true;
                     c.answer = 'p';
                 }
             } else {
                 const auto how = static_cast<AttemptOutcome>(roll(9));
-                REQUIRE(led.ended(now, l, how) == !p.ended);
+                REQUIRE(led.on_ended(now, l, how) == !p.ended);
                 if (!p.ended) {
                     p.ended = true;
                     p.proven =
-                        !p.yes && (how == AttemptOutcome::refused || how == AttemptOutcome::unconnected ||
-                                   how == AttemptOutcome::unsent);
+                        !p.yes && (how == AttemptOutcome::rejected || how == AttemptOutcome::connect_failed ||
+                                   how == AttemptOutcome::not_sent);
                 }
             }
         } else {
-            const Answer a = roll(3) == 0 ? Answer::withdrawn : roll(2) ? Answer::deferred : Answer::killed;
-            const bool allowed = !c.answer && (a != Answer::deferred || Plain::may_defer(c));
-            REQUIRE(led.may_defer(r) == Plain::may_defer(c));
-            REQUIRE(led.give(now, r, a) == allowed);
-            if (allowed) c.answer = a == Answer::withdrawn ? 'w' : a == Answer::deferred ? 'd' : 'k';
+            const Answer a = roll(3) == 0 ? Answer::cancelled : roll(2) ? Answer::rejected : Answer::failed;
+            const bool allowed = !c.answer && (a != Answer::rejected || Plain::may_defer(c));
+            REQUIRE(led.may_reject(r) == Plain::may_defer(c));
+            REQUIRE(led.record_answer(now, r, a) == allowed);
+            if (allowed) c.answer = a == Answer::cancelled ? 'w' : a == Answer::rejected ? 'd' : 'k';
         }
-        REQUIRE(r.over == c.is_over());
-        if (r.over && roll(2)) {
-            led.forget(r);
+        REQUIRE(r.closed == c.is_over());
+        if (r.closed && roll(2)) {
+            led.erase_task(r);
             plain.all.erase(number);
             std::erase(open, number);
         }
@@ -248,71 +249,71 @@
 
 TEST_CASE("a yes counts once, and not after the answer, after the launch's end, or from an earlier launch") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::WorkerRecord& n = led.meet("n");
-    led.listed(0, n, serving());
+    ledger::WorkerRecord& n = led.add_worker("n");
+    led.on_endpoint(0, n, serving());
     Refusal why{};
-    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
-    ledger::Attempt* first = led.launch(0, r, n, kSecond, why);
-    led.ended(kSecond, *first, AttemptOutcome::timed_out);
-    ledger::Attempt* second = led.launch(kSecond, r, n, kSecond, why);
-    CHECK_FALSE(led.accepted(kSecond, *first));
-    CHECK(led.tally().late_yes == 1);
-    CHECK(led.accepted(kSecond, *second));
-    CHECK_FALSE(led.accepted(kSecond, *second));
-    CHECK(led.tally().placed == 1);
+    ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
+    ledger::Attempt* first = led.start_attempt(0, r, n, kSecond, why);
+    led.on_ended(kSecond, *first, AttemptOutcome::timed_out);
+    ledger::Attempt* second = led.start_attempt(kSecond, r, n, kSecond, why);
+    CHECK_FALSE(led.on_accepted(kSecond, *first));
+    CHECK(led.statistics().late_accepts == 1);
+    CHECK(led.on_accepted(kSecond, *second));
+    CHECK_FALSE(led.on_accepted(kSecond, *second));
+    CHECK(led.statistics().accepted == 1);
 
-    ledger::TaskRecord& late = led.take(0, "d", 1, asking());
-    ledger::Attempt* l = led.launch(0, late, n, kSecond, why);
-    REQUIRE(led.give(0, late, Answer::killed));
-    CHECK_FALSE(led.accepted(kSecond, *l));
-    CHECK_FALSE(late.over);
-    CHECK(led.ended(kSecond, *l, AttemptOutcome::served));
-    CHECK(late.over);
+    ledger::TaskRecord& late = led.create_task(0, "d", 1, asking());
+    ledger::Attempt* l = led.start_attempt(0, late, n, kSecond, why);
+    REQUIRE(led.record_answer(0, late, Answer::failed));
+    CHECK_FALSE(led.on_accepted(kSecond, *l));
+    CHECK_FALSE(late.closed);
+    CHECK(led.on_ended(kSecond, *l, AttemptOutcome::completed));
+    CHECK(late.closed);
 }
 
 TEST_CASE("what the node says of its drain stands against a list that says it serves, until it starts anew") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::WorkerRecord& n = led.meet("n");
-    led.listed(0, n, serving());
-    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
-    led.said(1, n, true);
-    led.listed(2, n, serving());
-    CHECK(led.may_launch(2, r, n) == Refusal::draining);
-    CHECK(n.drain_heard == 1);
+    ledger::WorkerRecord& n = led.add_worker("n");
+    led.on_endpoint(0, n, serving());
+    ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
+    led.on_drain_announced(1, n, true);
+    led.on_endpoint(2, n, serving());
+    CHECK(led.check_attempt(2, r, n) == Refusal::draining);
+    CHECK(n.drain_known_at == 1);
     EndpointState anew = serving();
-    anew.started = 3;
-    led.listed(4, n, anew);
-    CHECK(led.may_launch(4, r, n) == Refusal::none);
+    anew.started_at = 3;
+    led.on_endpoint(4, n, anew);
+    CHECK(led.check_attempt(4, r, n) == Refusal::none);
 }
 
 TEST_CASE("a launch written but not handed over is not sent once the drain is heard or the answer given") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
-    ledger::WorkerRecord& n = led.meet("n");
-    led.listed(0, n, serving());
+    ledger::WorkerRecord& n = led.add_worker("n");
+    led.on_endpoint(0, n, serving());
     Refusal why{};
-    ledger::TaskRecord& r = led.take(0, "c", 1, asking());
-    ledger::Attempt* l = led.launch(0, r, n, kSecond, why);
+    ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
+    ledger::Attempt* l = led.start_attempt(0, r, n, kSecond, why);
     CHECK(led.may_still_send(0, *l));
     CHECK_FALSE(led.may_still_send(kSecond, *l));  // its time is up
-    led.said(1, n, true);
+    led.on_drain_announced(1, n, true);
     CHECK_FALSE(led.may_still_send(2, *l));
-    led.said(3, n, false);
+    led.on_drain_announced(3, n, false);
     CHECK(led.may_still_send(3, *l));
-    led.give(3, r, Answer::withdrawn);
+    led.record_answer(3, r, Answer::cancelled);
     CHECK_FALSE(led.may_still_send(3, *l));
 }
 
 TEST_CASE("a repeat that waited for its connection past the window is not sent any more") {
-    ledger::Ledger led({group(Effect::fingerprinted)}, {4, true}, {});
-    ledger::WorkerRecord& n = led.meet("n");
-    led.listed(kSecond, n, serving());
-    ledger::TaskRecord& r = led.take(kSecond, "c", 1, asking(0, 20 * kSecond));
+    ledger::Ledger led({group(Effect::keyed)}, {4, true}, {});
+    ledger::WorkerRecord& n = led.add_worker("n");
+    led.on_endpoint(kSecond, n, serving());
+    ledger::TaskRecord& r = led.create_task(kSecond, "c", 1, asking(0, 20 * kSecond));
     ledger::Refusal why{};
-    ledger::Attempt* first = led.launch(kSecond, r, n, kSecond, why);
+    ledger::Attempt* first = led.start_attempt(kSecond, r, n, kSecond, why);
     REQUIRE(first);
     CHECK(led.may_still_send(kSecond, *first));
-    led.ended(2 * kSecond, *first, AttemptOutcome::reset);
-    ledger::Attempt* second = led.launch(4 * kSecond - kMillisecond, r, n, 5 * kSecond, why);
+    led.on_ended(2 * kSecond, *first, AttemptOutcome::reset);
+    ledger::Attempt* second = led.start_attempt(4 * kSecond - kMillisecond, r, n, 5 * kSecond, why);
     REQUIRE(second);
     CHECK(led.may_still_send(4 * kSecond - kMillisecond, *second));
     CHECK(!led.may_still_send(4 * kSecond, *second));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -94,12 +94,12 @@
     t.fleet.broken(t.now, t.fleet.meet("a"));
     t.up("a", 2, 300 * kMillisecond);
     CHECK(t.of("a") == WorkerState::serving);
-    CHECK(t.fleet.meet("a").told.started == t.now - 300 * kMillisecond);
+    CHECK(t.fleet.meet("a").told.started_at == t.now - 300 * kMillisecond);
     // The list comes with the same start, told by another clock: it is one start, not a third life.
-    const Nanos before = t.fleet.meet("a").told.started;
+    const Nanos before = t.fleet.meet("a").told.started_at;
     t.list({{"a", t.at(EndpointPhase::serving, before + 200 * kMillisecond)}}, false);
     t.up("a", 2, t.now - before + 100 * kMillisecond);
-    CHECK(t.fleet.meet("a").told.started == before + 200 * kMillisecond);
+    CHECK(t.fleet.meet("a").told.started_at == before + 200 * kMillisecond);
     CHECK(t.fleet.counts().lives == 1);
 }
 
@@ -109,7 +109,7 @@
     t.up("a");
     t.list({{"a", t.at(EndpointPhase::gone)}}, false);
     CHECK(t.of("a") == WorkerState::leaving);
-    CHECK(t.fleet.meet("a").told.stage == EndpointPhase::gone);
+    CHECK(t.fleet.meet("a").told.phase == EndpointPhase::gone);
     CHECK(t.door.draining.contains("a"));
     t.fleet.broken(t.now, t.fleet.meet("a"));
     CHECK(t.of("a") == WorkerState::gone);
@@ -194,7 +194,7 @@
     Stage1 t;
     t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}, {"b", t.at()}}, true, 3600 * kSecond);
     CHECK(t.of("a") == WorkerState::unconfirmed);
-    CHECK(t.fleet.meet("a").told.stage == EndpointPhase::draining);
+    CHECK(t.fleet.meet("a").told.phase == EndpointPhase::draining);
     t.fleet.greeted(t.now, t.fleet.meet("a"), 1, 0, false, free_of(1.5));
     CHECK(t.of("a") == WorkerState::serving);
     CHECK(t.fleet.meet("a").told.free_cores == 1.5);
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -122,12 +122,13 @@
     const auto kinds = config::worker_kinds(d.root());
     CHECK((kinds.size() == 2 && kinds[0].cores == 24 && kinds[1].cores == 48));
     const auto groups = config::queue_groups(d.root(), 2);
-    CHECK((groups[0].terms.kind == 1 && groups[0].terms.spread == FailureDomain::machine &&
-           groups[0].terms.most == 2));
-    CHECK_FALSE(config::worker_acceptance(d.root()).notes_pressure);
+    CHECK((groups[0].queue_group.worker_kind == 1 &&
+           groups[0].queue_group.spread_domain == FailureDomain::worker &&
+           groups[0].queue_group.max_per_domain == 2));
+    CHECK_FALSE(config::worker_acceptance(d.root()).reports_pressure);
     const worker_connection::ConnectionSettings links = config::connection_settings(d.root());
     CHECK((links.drain_grace == 250 * kMillisecond && links.silent_after == 1500 * kMillisecond));
-    CHECK(c.left.empty());
+    CHECK(c.left_behind.empty());
     const std::string replaced = joined(c.replaced);
     CHECK(replaced.find("old.toml:12: machine_kind.std.cores: 16 -> 24") != std::string::npos);
     CHECK(replaced.find("machine_kind.big: new") != std::string::npos);
@@ -140,7 +141,7 @@
         of(kOld + "\n[[queue_group]]\nname = \"batch\"\neffect = \"idempotent\"\nstart_target_ms = 5000\n",
            with(kShape, "free_means = \"not_asked_for\"\n", ""));
     REQUIRE(c.problems.empty());
-    const std::string left = joined(c.left);
+    const std::string left = joined(c.left_behind);
     CHECK(left.find("old.toml:28: queue_group.batch: the shape has none of this name") != std::string::npos);
     CHECK(left.find("old.toml:22: acceptance.free_means = 'not_in_use'") != std::string::npos);
     CHECK(c.text.find("batch") == std::string::npos);
--- a/tests/placement_rules_test.cpp
+++ b/tests/placement_rules_test.cpp
@@ -27,17 +27,17 @@
     Nanos told_before = 0;
 
     bool same(const Worker& a, const Worker& b, FailureDomain p) const {
-        return p == FailureDomain::all || (p == FailureDomain::zone && a.listed.zone == b.listed.zone) ||
-               (p == FailureDomain::cell && a.listed.cell == b.listed.cell) ||
-               (p == FailureDomain::machine && &a == &b);
+        return p == FailureDomain::all || (p == FailureDomain::zone && a.endpoint.zone == b.endpoint.zone) ||
+               (p == FailureDomain::cell && a.endpoint.cell == b.endpoint.cell) ||
+               (p == FailureDomain::worker && &a == &b);
     }
     void check_bind(const Seen& s) {
-        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->asked.group)];
+        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->request.queue_group)];
         REQUIRE_FALSE(answers.contains(s.container));
-        REQUIRE(s.machine->listed.stage == EndpointPhase::serving);
-        REQUIRE((g.kind < 0 || g.kind == s.machine->listed.kind));
-        REQUIRE(t.now < s.container->until);
-        REQUIRE(s.time_out <= s.container->until - t.now);
+        REQUIRE(s.machine->endpoint.phase == EndpointPhase::serving);
+        REQUIRE((g.worker_kind < 0 || g.worker_kind == s.machine->endpoint.kind));
+        REQUIRE(t.now < s.container->deadline);
+        REQUIRE(s.time_out <= s.container->deadline - t.now);
         auto& mine = launches[s.container];
         REQUIRE(mine.size() < 4);
         const Launch* first = nullptr;
@@ -47,37 +47,37 @@
         }
         if (first) {
             REQUIRE(g.effect != Effect::side_effecting);
-            if (g.effect == Effect::fingerprinted) {
-                REQUIRE(same(*first->machine, *s.machine, g.repeats_dropped_by));
-                REQUIRE(t.now - first->sent < g.repeat_window);
+            if (g.effect == Effect::keyed) {
+                REQUIRE(same(*first->machine, *s.machine, g.deduplicated_by));
+                REQUIRE(t.now - first->sent < g.deduplication_window);
             }
         }
         mine.push_back({s.machine, t.now});
-        if (g.spread != FailureDomain::none) {
+        if (g.spread_domain != FailureDomain::none) {
             int there = 0;
             for (const auto& [c, all] : launches)
                 for (const Launch& l : all)
-                    there +=
-                        l.out && c->service == s.container->service && same(*l.machine, *s.machine, g.spread);
-            REQUIRE(there <= g.most);
+                    there += l.out && c->service == s.container->service &&
+                             same(*l.machine, *s.machine, g.spread_domain);
+            REQUIRE(there <= g.max_per_domain);
         }
-        if (s.machine->listed.started && t.now - s.machine->listed.started < cold.warm_after) {
+        if (s.machine->endpoint.started_at && t.now - s.machine->endpoint.started_at < cold.warm_up_time) {
             auto& binds = young[s.machine];
             binds.push_back(t.now);
             int lately = 0;
             for (const Nanos at : binds) lately += t.now - at < cold.window;
-            REQUIRE(lately <= 2 * std::ceil(std::floor(cold.always_borne / 2) / cold.placers));
+            REQUIRE(lately <= 2 * std::ceil(std::floor(cold.guaranteed_attempts / 2) / cold.placers));
         }
     }
     void check_answer(const Seen& s) {
-        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->asked.group)];
+        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->request.queue_group)];
         REQUIRE(answers.emplace(s.container, s.what).second);
         REQUIRE(told_before <=
-                s.container->until);  // at the first moment it was told of after the queue timeout
+                s.container->deadline);  // at the first moment it was told of after the queue timeout
         if (s.what != 'd' || g.effect == Effect::idempotent) return;
         for (const Launch& l : launches[s.container])
-            REQUIRE((l.proven || (g.effect == Effect::fingerprinted &&
-                                  g.repeats_dropped_by == FailureDomain::all && !l.out)));
+            REQUIRE((l.proven ||
+                     (g.effect == Effect::keyed && g.deduplicated_by == FailureDomain::all && !l.out)));
     }
     void catch_up() {
         for (; read < t.seen.size(); ++read) {
@@ -95,30 +95,30 @@
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     std::vector<QueueGroup> groups;
-    for (const Effect e : {Effect::idempotent, Effect::fingerprinted, Effect::side_effecting}) {
+    for (const Effect e : {Effect::idempotent, Effect::keyed, Effect::side_effecting}) {
         const FailureDomain places[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
-                                        FailureDomain::machine};
-        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::machine, FailureDomain::cell,
+                                        FailureDomain::worker};
+        const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::worker, FailureDomain::cell,
                                          FailureDomain::zone};
         QueueGroup g = group(e, places[roll(4)], (1 + roll(4)) * kSecond);
-        g.spread = spreads[roll(4)];
-        g.most = 1 + roll(4);
-        g.kind = roll(5) - 4;
+        g.spread_domain = spreads[roll(4)];
+        g.max_per_domain = 1 + roll(4);
+        g.worker_kind = roll(5) - 4;
         groups.push_back(g);
     }
     SlowStartSettings cold = Stand::usual_cold();
-    cold.always_borne = roll(30);
+    cold.guaranteed_attempts = roll(30);
     Stand t(groups, cold);
     Model model{t, groups, cold, {}, {}, {}};
     std::vector<Service*> services;
-    for (int i = 0; i < 4; ++i) services.push_back(&t.placer.meet_service(1));
+    for (int i = 0; i < 4; ++i) services.push_back(&t.placer.add_service(1));
     for (int i = 0; i < 6; ++i) t.machine(i / 2, i / 4, roll(2) ? 0 : t.now - roll(12) * kSecond);
     std::vector<Task*> alive;
     for (int step = 0; step < 1500; ++step) {
         model.told_before = t.now;
         t.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;  // the clock may jump far
         for (Task* c : alive)  // the wire answers every launch by its time-out
-            if (c->out && !c->placed && t.now >= c->until) {
+            if (c->worker && !c->accepted && t.now >= c->deadline) {
                 model.launches[c].back().out = false;
                 t.end(*c, AttemptOutcome::timed_out);
                 model.catch_up();
@@ -131,28 +131,28 @@
         }
         if (roll(60) == 0) {
             Worker& m = *t.machines[static_cast<std::size_t>(roll(6))];
-            EndpointState l = m.listed;
-            l.stage = static_cast<EndpointPhase>(roll(3));
-            if (roll(2)) l.started = t.now, l.stage = EndpointPhase::serving;
+            EndpointState l = m.endpoint;
+            l.phase = static_cast<EndpointPhase>(roll(3));
+            if (roll(2)) l.started_at = t.now, l.phase = EndpointPhase::serving;
             l.free_cores = roll(40) - 24;
             t.entry(m, l);
         }
         if (!alive.empty() && roll(2) == 0) {
             Task& c = *alive[static_cast<std::size_t>(roll(static_cast<int>(alive.size())))];
-            if (c.out && !c.placed && roll(2)) c.accepted(t.now, c.launches - 1);
-            else if (c.out) {
+            if (c.worker && !c.accepted && roll(2)) c.on_accepted(t.now, c.attempts - 1);
+            else if (c.worker) {
                 const auto how = static_cast<AttemptOutcome>(roll(9));
                 Launch& l = model.launches[&c].back();
                 l.out = false;
-                l.proven = how == AttemptOutcome::refused || how == AttemptOutcome::unconnected ||
-                           how == AttemptOutcome::unsent;
-                t.end(c, how, static_cast<OutcomeReason>(roll(8)), c.placed || c.settled);
+                l.proven = how == AttemptOutcome::rejected || how == AttemptOutcome::connect_failed ||
+                           how == AttemptOutcome::not_sent;
+                t.end(c, how, static_cast<OutcomeReason>(roll(8)), c.accepted || c.settled);
                 model.catch_up();
                 if (c.settled) model.answers.emplace(&c, 'e');
             }
             model.catch_up();
         }
-        t.placer.round(t.now);
+        t.placer.run_round(t.now);
         model.catch_up();
     }
     for (int i = 0; i < 500; ++i) {
@@ -160,5 +160,5 @@
         t.pass(20 * kMillisecond);
         model.catch_up();
     }
-    for (Task* c : alive) CHECK((c->settled || c->out));  // none is held for ever
+    for (Task* c : alive) CHECK((c->settled || c->worker));  // none is held for ever
 }
--- a/tests/placer_server_test.cpp
+++ b/tests/placer_server_test.cpp
@@ -5,12 +5,12 @@
 #include "support/server_rig.h"
 
 using namespace whinpost;
-using ToOwner = v1::ToOwner;
+using ToOwner = v1::ToClient;
 
 namespace {
 
 std::size_t finals(const OwnerPeer& o) {
-    return o.count(&ToOwner::has_placed) + o.count(&ToOwner::has_deferred) + o.count(&ToOwner::has_killed);
+    return o.count(&ToOwner::has_placed) + o.count(&ToOwner::has_rejected) + o.count(&ToOwner::has_failed);
 }
 
 }  // namespace
@@ -28,13 +28,13 @@
     t.run(3 * kSecond);
     REQUIRE(finals(o) == 1);
     CHECK(o.count(&ToOwner::has_placed) == 0);
-    CHECK(o.count(&ToOwner::has_deferred) == (group == std::string("free") ? 1 : 0));
-    n.yes(n.launches()[0].launch());
+    CHECK(o.count(&ToOwner::has_rejected) == (group == std::string("free") ? 1 : 0));
+    n.yes(n.launches()[0].attempt());
     t.run(kSecond);
     CHECK(finals(o) == 1);
     const bool harmless = group == std::string("free");
     CHECK(o.count(&ToOwner::has_found) == (harmless ? 0 : 1));
-    CHECK((n.now().count(&v1::ToNode::has_stop) > 0) == harmless);
+    CHECK((n.now().count(&v1::ToWorker::has_cancel_attempt) > 0) == harmless);
     CHECK((group != std::string("once") || n.launches().size() == 1));
 }
 
@@ -49,14 +49,14 @@
     // The module gives the silent launch up and tries the other.
     for (int i = 0; i < 300 && second.launches().empty(); ++i) t.run(10 * kMillisecond);
     REQUIRE(second.launches().size() == 1);
-    second.yes(second.launches()[0].launch());
-    second.yes(second.launches()[0].launch());
-    first.yes(first.launches()[0].launch());
+    second.yes(second.launches()[0].attempt());
+    second.yes(second.launches()[0].attempt());
+    first.yes(first.launches()[0].attempt());
     t.run(kSecond);
     CHECK(o.count(&ToOwner::has_placed) == 1);
     CHECK(finals(o) == 1);
-    REQUIRE(first.now().count(&v1::ToNode::has_stop) >= 1);
-    CHECK(second.now().count(&v1::ToNode::has_stop) == 0);
+    REQUIRE(first.now().count(&v1::ToWorker::has_cancel_attempt) >= 1);
+    CHECK(second.now().count(&v1::ToWorker::has_cancel_attempt) == 0);
 }
 
 TEST_CASE("a node cut in between says yes when it is back, and the container counts as placed there") {
@@ -66,7 +66,7 @@
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1, "once", 20 * kSecond));
     REQUIRE(n.launches().size() == 1);
-    n.holds = {n.launches()[0].launch()};
+    n.holds = {n.launches()[0].attempt()};
     n.now().stream->abort();
     n.now().stream.reset();
     t.run(2 * kSecond);  // it is dialled again and greets with what it holds
@@ -86,8 +86,8 @@
     n.now().stream.reset();
     t.run(5 * kSecond);
     REQUIRE(n.launches().size() == 2);
-    CHECK(n.launches()[1].launch() != n.launches()[0].launch());
-    n.yes(n.launches()[1].launch());
+    CHECK(n.launches()[1].attempt() != n.launches()[0].attempt());
+    n.yes(n.launches()[1].attempt());
     t.run(kSecond);
     CHECK(o.count(&ToOwner::has_placed) == 1);
     CHECK(finals(o) == 1);
@@ -116,16 +116,16 @@
         const auto launches = other.launches();
         if (i == 0) answered = 0;
         for (std::size_t k = 0; k < launches.size(); ++k)
-            if (k >= answered) other.yes(launches[k].launch());
+            if (k >= answered) other.yes(launches[k].attempt());
         answered = launches.size();
     }
     CHECK(finals(o) == 30);
     // The side-effecting ones that had been sent are never sent again.
     std::vector<std::string> at_n;
-    for (const v1::Launch& l : n.launches())
-        if (l.group() == 2) at_n.push_back(l.container());
-    for (const v1::Launch& l : other.launches())
-        CHECK(std::find(at_n.begin(), at_n.end(), l.container()) == at_n.end());
+    for (const v1::StartAttempt& l : n.launches())
+        if (l.queue_group() == 2) at_n.push_back(l.task());
+    for (const v1::StartAttempt& l : other.launches())
+        CHECK(std::find(at_n.begin(), at_n.end(), l.task()) == at_n.end());
     CHECK(t.placer->edge.counts().planner_faults == 0);
 }
 
@@ -135,16 +135,16 @@
     t.list({t.entry("n")});
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1));
-    n.yes(n.launches().at(0).launch());
+    n.yes(n.launches().at(0).attempt());
     t.run(100 * kMillisecond);
     t.kill(n);
     t.run(5 * kSecond);
-    CHECK(o.count(&ToOwner::has_over) == 0);  // cut off is not dead
+    CHECK(o.count(&ToOwner::has_ended) == 0);  // cut off is not dead
     n.incarnation = 2;
     t.stand(n);
     t.run(10 * kSecond);
-    REQUIRE(o.count(&ToOwner::has_over) == 1);
-    CHECK(o.all(&ToOwner::has_over)[0].over().how() == v1::Over::LOST);
+    REQUIRE(o.count(&ToOwner::has_ended) == 1);
+    CHECK(o.all(&ToOwner::has_ended)[0].ended().outcome() == v1::TaskEnded::LOST);
 }
 
 TEST_CASE(
@@ -159,7 +159,7 @@
     t.run(3 * kSecond);
     REQUIRE(good.launches().size() ==
             1);  // side-effecting: only since the first is proven never to have been sent
-    good.yes(good.launches()[0].launch());
+    good.yes(good.launches()[0].attempt());
     t.run(kSecond);
     CHECK(o.count(&ToOwner::has_placed) == 1);
 }
@@ -171,8 +171,8 @@
     t.list({t.entry("n")});
     t.run(kSecond);
     REQUIRE(!n.conns.empty());
-    REQUIRE(n.conns[0]->count(&v1::ToNode::has_error) == 1);
-    CHECK(n.conns[0]->all(&v1::ToNode::has_error)[0].error().text().find("hello.name") == 0);
+    REQUIRE(n.conns[0]->count(&v1::ToWorker::has_error) == 1);
+    CHECK(n.conns[0]->all(&v1::ToWorker::has_error)[0].error().text().find("hello.name") == 0);
 }
 
 TEST_CASE(
@@ -183,13 +183,13 @@
     t.list({t.entry("n")});
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1, "free", 5 * kSecond));
-    n.yes(n.launches().at(0).launch());
-    t.list({t.entry("n", 0, 0, v1::Entry::DRAINING)}, false);
+    n.yes(n.launches().at(0).attempt());
+    t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     t.list({t.entry("n")}, true, 1);  // from before the drain
     CHECK(t.placer->edge.counts().old_lists == 1);
     t.ask(o, t.offer(2));
     CHECK(n.launches().size() == 1);
-    t.list({t.entry("n", 0, 0, v1::Entry::DRAINING), t.entry("n")}, false);
+    t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING), t.entry("n")}, false);
     t.ask(o, t.offer(3));
     CHECK(n.launches().size() == 1);
     t.list({t.entry("n")}, false);
@@ -200,12 +200,12 @@
     t.list({});
     t.ask(o, t.offer(4));
     CHECK(n.launches().size() == before);
-    CHECK(o.count(&ToOwner::has_over) == 0);
-    v1::FromNode m;
-    m.mutable_ended()->set_launch(n.launches()[0].launch());
+    CHECK(o.count(&ToOwner::has_ended) == 0);
+    v1::FromWorker m;
+    m.mutable_ended()->set_attempt(n.launches()[0].attempt());
     n.now().say(m);
     t.run(kSecond);
-    CHECK(o.count(&ToOwner::has_over) == 1);
+    CHECK(o.count(&ToOwner::has_ended) == 1);
 }
 
 TEST_CASE(
@@ -219,7 +219,7 @@
     t.world.cut("10.0.0.1", "n", true);  // what is sent stands on the way
     for (std::uint64_t i = 1; i <= 5; ++i) t.ask(o, t.offer(i, "free", 8 * kSecond));
     CHECK(n.launches().empty());
-    t.list({t.entry("n", 0, 0, v1::Entry::DRAINING)}, false);
+    t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     t.run(3 * kSecond);
     CHECK(t.placer->edge.link("n")->counts().drain_cuts == 1);
     t.world.cut("10.0.0.1", "n", false);
@@ -231,8 +231,8 @@
     Rig t;
     OwnerPeer& o = t.owner();
     for (std::uint64_t i = 1; i <= 200; ++i) {
-        v1::FromOwner m;
-        *m.mutable_offer() = t.offer(i, "free", 60 * kSecond);
+        v1::FromClient m;
+        *m.mutable_submit() = t.offer(i, "free", 60 * kSecond);
         o.say(m);
     }
     t.run(100 * kMillisecond);
@@ -242,7 +242,7 @@
     t.run(kSecond);
     CHECK(t.placer->edge.held() == 0);
     CHECK(t.placer->intake.waiting() == 0);
-    CHECK(t.placer->planner.open() == 0);
+    CHECK(t.placer->planner.open_tasks() == 0);
 }
 
 TEST_CASE("half a message for ever, and an owner that never reads, hold up nobody else") {
@@ -251,16 +251,16 @@
     t.list({t.entry("n")});
     OwnerPeer &half = t.owner("half"), &deaf = t.owner("deaf"), &good = t.owner("good");
     half.stream->write(std::string("\0\0\1\0\x12\x05", 6));
-    deaf.stream->read(false);
+    deaf.stream->set_reading(false);
     for (std::uint64_t i = 1; i <= 6000; ++i) {
-        v1::FromOwner m;
-        *m.mutable_offer() = t.offer(i, "free", kSecond);
+        v1::FromClient m;
+        *m.mutable_submit() = t.offer(i, "free", kSecond);
         deaf.say(m);
     }
     t.run(kSecond);
     t.ask(good, t.offer(1));
     t.run(kSecond);
-    CHECK(good.count(&ToOwner::has_taken) == 1);
+    CHECK(good.count(&ToOwner::has_received) == 1);
     CHECK_FALSE(half.over);
     CHECK(n.now().stream);
 }
@@ -269,16 +269,16 @@
     Rig t("[intake]\nwaiting = 100\nwaiting_an_owner = 1000\n");
     OwnerPeer &flood = t.owner("flood"), &other = t.owner("other");
     for (std::uint64_t i = 1; i <= 500; ++i) {
-        v1::FromOwner m;
-        *m.mutable_offer() = t.offer(i, i % 2 ? "free" : "once", 60 * kSecond);
+        v1::FromClient m;
+        *m.mutable_submit() = t.offer(i, i % 2 ? "free" : "once", 60 * kSecond);
         flood.say(m);
     }
     t.run(100 * kMillisecond);
-    CHECK(flood.count(&ToOwner::has_taken) + flood.count(&ToOwner::has_deferred) == 500);
-    CHECK(flood.count(&ToOwner::has_taken) < 80);
-    CHECK(flood.all(&ToOwner::has_deferred).back().deferred().why().find("intake.waiting") == 0);
+    CHECK(flood.count(&ToOwner::has_received) + flood.count(&ToOwner::has_rejected) == 500);
+    CHECK(flood.count(&ToOwner::has_received) < 80);
+    CHECK(flood.all(&ToOwner::has_rejected).back().rejected().reason().find("intake.waiting") == 0);
     for (std::uint64_t i = 1; i <= 20; ++i) t.ask(other, t.offer(i, "free", 60 * kSecond));
-    CHECK(other.count(&ToOwner::has_taken) >= 16);
+    CHECK(other.count(&ToOwner::has_received) >= 16);
 }
 
 TEST_CASE("a placer killed with launches out learns from owners what runs, and looks after it") {
@@ -287,7 +287,7 @@
     t.list({t.entry("n")});
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1));
-    n.yes(n.launches().at(0).launch());
+    n.yes(n.launches().at(0).attempt());
     t.run(kSecond);
     REQUIRE(o.count(&ToOwner::has_placed) == 1);
     t.kill();
@@ -297,22 +297,23 @@
     t.run(100 * kMillisecond);
     t.list({t.entry("n")});
     OwnerPeer& again = t.owner();
-    v1::FromOwner m;
-    *m.mutable_hand_over()->mutable_offer() = t.offer(1);
-    m.mutable_hand_over()->set_node("n");
+    v1::FromClient m;
+    *m.mutable_hand_over()->mutable_submit() = t.offer(1);
+    m.mutable_hand_over()->set_worker("n");
     again.say(m);
-    *m.mutable_hand_over()->mutable_offer() = t.offer(2);
-    m.mutable_hand_over()->set_node("nowhere");
+    *m.mutable_hand_over()->mutable_submit() = t.offer(2);
+    m.mutable_hand_over()->set_worker("nowhere");
     again.say(m);
     t.run(kSecond);
-    REQUIRE(n.now().count(&v1::ToNode::has_adopt) == 1);
-    CHECK(again.count(&ToOwner::has_over) == 0);  // no list that is young enough says that it is lost
+    REQUIRE(n.now().count(&v1::ToWorker::has_adopt_attempt) == 1);
+    CHECK(again.count(&ToOwner::has_ended) == 0);  // no list that is young enough says that it is lost
     t.list({t.entry("n")});
-    CHECK(again.count(&ToOwner::has_over) == 1);  // the one on a node that no list names
-    n.end(n.now().all(&v1::ToNode::has_adopt)[0].adopt().launch(), v1::Ended::SERVED);
+    CHECK(again.count(&ToOwner::has_ended) == 1);  // the one on a node that no list names
+    n.end(n.now().all(&v1::ToWorker::has_adopt_attempt)[0].adopt_attempt().attempt(),
+          v1::AttemptEnded::COMPLETED);
     t.run(kSecond);
-    CHECK(again.count(&ToOwner::has_over) == 2);
-    CHECK(again.all(&ToOwner::has_over)[1].over().how() == v1::Over::SERVED);
+    CHECK(again.count(&ToOwner::has_ended) == 2);
+    CHECK(again.all(&ToOwner::has_ended)[1].ended().outcome() == v1::TaskEnded::COMPLETED);
 }
 
 TEST_CASE("a planner that says nothing: every container is answered by the ledger in time, and honestly") {
@@ -324,29 +325,29 @@
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1, "once"));
     t.ask(o, t.offer(2, "once"));
-    t.placer->edge.bind(silent.taken.at(1), 0, 60 * kSecond);
+    t.placer->edge.place(silent.taken.at(1), 0, 60 * kSecond);
     t.run(100 * kMillisecond);
     REQUIRE(n.launches().size() == 1);
     const Nanos begun = t.world.now();
     while (finals(o) < 2 && t.world.now() < begun + 5 * kSecond) t.run(kMillisecond);
     CHECK(t.world.now() - begun < 2 * kSecond);  // before its owner gives up
-    REQUIRE(o.count(&ToOwner::has_deferred) == 1);
-    CHECK(o.all(&ToOwner::has_deferred)[0].deferred().id() == 1);
-    CHECK(o.count(&ToOwner::has_killed) == 1);
-    CHECK(t.placer->ledger->tally().answered_by_clock == 2);
+    REQUIRE(o.count(&ToOwner::has_rejected) == 1);
+    CHECK(o.all(&ToOwner::has_rejected)[0].rejected().id() == 1);
+    CHECK(o.count(&ToOwner::has_failed) == 1);
+    CHECK(t.placer->ledger->statistics().answered_by_deadline == 2);
 
     SECTION("and one that asks for what breaks a rule is refused, and counted") {
         t.ask(o, t.offer(3, "once"));
         const auto c = silent.taken.at(2);
-        t.placer->edge.bind(c, 0, 60 * kSecond);
-        t.placer->edge.bind(c, 0, 60 * kSecond);
-        t.placer->edge.bind(c, 99, 60 * kSecond);
-        t.placer->edge.bind(12345, 0, 60 * kSecond);
-        t.placer->edge.defer(c, 0);
+        t.placer->edge.place(c, 0, 60 * kSecond);
+        t.placer->edge.place(c, 0, 60 * kSecond);
+        t.placer->edge.place(c, 99, 60 * kSecond);
+        t.placer->edge.place(12345, 0, 60 * kSecond);
+        t.placer->edge.reject(c, 0);
         t.run(100 * kMillisecond);
         CHECK(n.launches().size() == 2);
         CHECK(t.placer->edge.counts().planner_faults == 4);
-        CHECK(o.count(&ToOwner::has_deferred) == 1);
+        CHECK(o.count(&ToOwner::has_rejected) == 1);
     }
 }
 
@@ -359,10 +360,10 @@
     bool done = false;
     t.placer->edge.close([&done] { done = true; });
     t.ask(o, t.offer(2));
-    CHECK(o.count(&ToOwner::has_deferred) == 1);
-    CHECK(o.all(&ToOwner::has_deferred)[0].deferred().why() == "the placer is closing");
+    CHECK(o.count(&ToOwner::has_rejected) == 1);
+    CHECK(o.all(&ToOwner::has_rejected)[0].rejected().reason() == "the placer is closing");
     CHECK_FALSE(done);
-    n.yes(n.launches().at(0).launch());
+    n.yes(n.launches().at(0).attempt());
     t.run(100 * kMillisecond);
     CHECK(done);
     CHECK(finals(o) == 2);
@@ -377,20 +378,20 @@
     struct Case {
         std::string bytes, says;
     };
-    v1::FromOwner version, twice, field, unknown_group;
+    v1::FromClient version, twice, field, unknown_group;
     Rig::greet(*version.mutable_hello(), "x", 1);
     version.mutable_hello()->set_version(9);
-    const auto framed = [](const v1::FromOwner& m) {
+    const auto framed = [](const v1::FromClient& m) {
         std::string out;
         net::encode_frame(out, m);
         return out;
     };
-    v1::FromOwner hello;
+    v1::FromClient hello;
     Rig::greet(*hello.mutable_hello(), "x", 1);
-    *field.mutable_offer() = t.offer(1);
-    field.mutable_offer()->set_cores(-1);
-    *unknown_group.mutable_offer() = t.offer(1, "nosuch");
-    *twice.mutable_offer() = t.offer(1);
+    *field.mutable_submit() = t.offer(1);
+    field.mutable_submit()->set_cores(-1);
+    *unknown_group.mutable_submit() = t.offer(1, "nosuch");
+    *twice.mutable_submit() = t.offer(1);
     const std::vector<Case> cases = {
         {framed(version), "version 9 is not spoken here, only 1"},
         {framed(field), "the first message must be a hello"},
@@ -415,15 +416,15 @@
         n.yes(987654321);
         t.run(kSecond);
         REQUIRE(n.conns.size() == 2);
-        CHECK(n.conns[0]->count(&v1::ToNode::has_error) == 1);
+        CHECK(n.conns[0]->count(&v1::ToWorker::has_error) == 1);
         CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
     }
     SECTION("a list with a field out of range is refused whole, and the view that stands is kept") {
-        v1::Entry wrong = t.entry("m");
+        v1::Endpoint wrong = t.entry("m");
         wrong.set_kind(7);
-        t.list({t.entry("n", 0, 0, v1::Entry::DRAINING), wrong}, false);
-        CHECK(t.lists[0]->count(&v1::ToList::has_error) == 1);
-        CHECK_FALSE(t.placer->ledger->find("n")->drains());
+        t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING), wrong}, false);
+        CHECK(t.lists[0]->count(&v1::ToDiscovery::has_error) == 1);
+        CHECK_FALSE(t.placer->ledger->find_worker("n")->is_draining());
         t.run(kSecond);
         CHECK(t.lists.size() == 2);  // it is connected again
     }
@@ -440,7 +441,7 @@
     n.now().stream.reset();
     t.run(2 * kSecond);
     t.ask(o, t.offer(1));
-    CHECK(o.count(&ToOwner::has_taken) == 1);
+    CHECK(o.count(&ToOwner::has_received) == 1);
     t.placer_host->files(100);
     t.run(8 * kSecond);
     CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
@@ -453,23 +454,23 @@
                    "address = \"10.0.0.9:1\"\nmode = \"on_request\"");
     t.raise();
     t.run(100 * kMillisecond);
-    REQUIRE(t.lists.back()->count(&v1::ToList::has_fetch) == 1);
+    REQUIRE(t.lists.back()->count(&v1::ToDiscovery::has_fetch_snapshot) == 1);
     Rig::NodeAt& n = t.node("n");
     t.list({t.entry("n")});
-    CHECK(t.lists.back()->count(&v1::ToList::has_follow) == 1);
-    v1::FromList failed;
+    CHECK(t.lists.back()->count(&v1::ToDiscovery::has_watch) == 1);
+    v1::FromDiscovery failed;
     failed.mutable_failed()->set_text("too busy");
     t.lists.back()->say(failed);
     t.run(5 * kSecond);
     std::size_t follows = 0;  // the calls that nobody answers have their connection given up
-    for (const auto& l : t.lists) follows += l->count(&v1::ToList::has_follow);
+    for (const auto& l : t.lists) follows += l->count(&v1::ToDiscovery::has_watch);
     CHECK(follows >= 3);
     CHECK(n.conns.size() == 1);
 }
 
 TEST_CASE("a whole list that names none of what answers is asked for again, and work goes on meanwhile") {
     Rig t;
-    std::vector<v1::Entry> all;
+    std::vector<v1::Endpoint> all;
     for (const char* name : {"a", "b", "c"}) {
         t.node(name);
         all.push_back(t.entry(name));
@@ -478,7 +479,7 @@
     OwnerPeer& o = t.owner();
     t.run(100 * kMillisecond);
     t.list({});
-    CHECK(t.lists.back()->count(&v1::ToList::has_fetch) == 1);
+    CHECK(t.lists.back()->count(&v1::ToDiscovery::has_fetch_snapshot) == 1);
     const auto launches = [&t] {
         std::size_t sum = 0;
         for (const auto& n : t.nodes) sum += n->launches().size();
@@ -506,17 +507,17 @@
     t.run(20 * kMillisecond);
     t.list({t.entry("n")});
     t.run(100 * kMillisecond);
-    v1::FromList failed;
+    v1::FromDiscovery failed;
     failed.mutable_failed()->set_text("busy");
     t.lists.back()->say(failed);
     t.run(20 * kMillisecond);
     const auto asked = [&t] {
         std::size_t sum = 0;
-        for (const auto& l : t.lists) sum += l->count(&v1::ToList::has_follow);
+        for (const auto& l : t.lists) sum += l->count(&v1::ToDiscovery::has_watch);
         return sum;
     };
     const std::size_t before = asked();
-    v1::FromNode m;
+    v1::FromWorker m;
     m.mutable_draining();
     n.now().say(m);
     t.run(3 * kSecond);
@@ -526,13 +527,13 @@
 TEST_CASE("a list that is an hour old names what is no more: nothing is launched at it") {
     Rig t;
     Rig::NodeAt& n = t.node("there");
-    v1::FromList m;
+    v1::FromDiscovery m;
     t.run(10 * kMillisecond);
-    m.mutable_entries()->set_whole(true);
-    m.mutable_entries()->set_number(1);
-    m.mutable_entries()->set_age(3600 * kSecond);
+    m.mutable_update()->set_is_snapshot(true);
+    m.mutable_update()->set_sequence(1);
+    m.mutable_update()->set_age(3600 * kSecond);
     for (const char* name : {"there", "gone1", "gone2", "gone3"})
-        *m.mutable_entries()->add_entries() = t.entry(name);
+        *m.mutable_update()->add_endpoints() = t.entry(name);
     t.lists.back()->say(m);
     OwnerPeer& o = t.owner();
     t.run(300 * kMillisecond);
@@ -578,15 +579,15 @@
     CHECK(at > 78 * kSecond);
     CHECK(at < 77 * kSecond + (t.world.now() - greeted) + 2 * kSecond + 100 * kMillisecond);
     // A word of the node's sets it anew; one without a clock takes it away.
-    v1::FromNode m;
-    m.mutable_received()->set_launches(1);
-    m.mutable_received()->set_clock(5 * kSecond);
+    v1::FromWorker m;
+    m.mutable_attempts_read()->set_attempts(1);
+    m.mutable_attempts_read()->set_clock(5 * kSecond);
     n.now().say(m);
     t.run(10 * kMillisecond);
     t.ask(o, t.offer(2, "once", 2 * kSecond));
     REQUIRE(n.launches().size() == 2);
     CHECK(n.launches()[1].not_after() < 8 * kSecond);
-    m.mutable_received()->set_clock(0);
+    m.mutable_attempts_read()->set_clock(0);
     n.now().say(m);
     t.run(10 * kMillisecond);
     t.ask(o, t.offer(3, "once", 2 * kSecond));
@@ -600,37 +601,37 @@
     Rig::NodeAt& n = t.node("n");
     OwnerPeer& o = t.owner();
     const auto hand = [&](std::uint64_t id, const std::string& node) {
-        v1::FromOwner m;
-        *m.mutable_hand_over()->mutable_offer() = t.offer(id, "once");
-        m.mutable_hand_over()->set_node(node);
+        v1::FromClient m;
+        *m.mutable_hand_over()->mutable_submit() = t.offer(id, "once");
+        m.mutable_hand_over()->set_worker(node);
         o.say(m);
     };
     hand(1, "n");
     hand(2, "n");
     hand(3, "elsewhere");
-    v1::FromOwner away;
-    away.mutable_withdraw()->set_id(2);
+    v1::FromClient away;
+    away.mutable_cancel()->set_id(2);
     o.say(away);
     t.run(30 * kSecond);  // the list service is down all the while
-    CHECK(o.count(&ToOwner::has_over) == 0);
+    CHECK(o.count(&ToOwner::has_ended) == 0);
     CHECK(t.placer->edge.regain().waiting() == 3);
-    v1::FromOwner same;
-    *same.mutable_offer() = t.offer(1);
+    v1::FromClient same;
+    *same.mutable_submit() = t.offer(1);
     t.list({t.entry("n")});
     t.run(200 * kMillisecond);
     // Its node was asked after both; the one that nobody wants is stopped, and a young list leaves the third
     // out.
-    CHECK(n.now().count(&v1::ToNode::has_adopt) >= 1);
-    CHECK(n.now().count(&v1::ToNode::has_stop) == 1);
-    REQUIRE(o.count(&ToOwner::has_over) == 1);
-    CHECK(o.all(&ToOwner::has_over)[0].over().id() == 3);
-    CHECK(o.all(&ToOwner::has_over)[0].over().how() == v1::Over::LOST);
+    CHECK(n.now().count(&v1::ToWorker::has_adopt_attempt) >= 1);
+    CHECK(n.now().count(&v1::ToWorker::has_cancel_attempt) == 1);
+    REQUIRE(o.count(&ToOwner::has_ended) == 1);
+    CHECK(o.all(&ToOwner::has_ended)[0].ended().id() == 3);
+    CHECK(o.all(&ToOwner::has_ended)[0].ended().outcome() == v1::TaskEnded::LOST);
     // One more that no list names yet: a younger list is asked for.
-    const std::size_t asked = t.lists.back()->count(&v1::ToList::has_fetch);
+    const std::size_t asked = t.lists.back()->count(&v1::ToDiscovery::has_fetch_snapshot);
     hand(4, "new");
     t.run(kSecond);
-    CHECK(t.lists.back()->count(&v1::ToList::has_fetch) > asked);
-    CHECK(o.count(&ToOwner::has_over) == 1);
+    CHECK(t.lists.back()->count(&v1::ToDiscovery::has_fetch_snapshot) > asked);
+    CHECK(o.count(&ToOwner::has_ended) == 1);
     // An owner that leaves takes it along.
     o.stream.reset();
     t.run(100 * kMillisecond);
@@ -643,16 +644,16 @@
     t.list({t.entry("n")});
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1, "free", 20 * kSecond));
-    const std::uint64_t launch = n.launches().at(0).launch();
+    const std::uint64_t launch = n.launches().at(0).attempt();
     n.yes(launch);
     t.run(100 * kMillisecond);
     n.holds = {launch};
     n.now().stream.reset();  // the connection breaks; the node lives
     t.run(10 * kMillisecond);
-    v1::FromOwner away;
-    away.mutable_withdraw()->set_id(1);
+    v1::FromClient away;
+    away.mutable_cancel()->set_id(1);
     o.say(away);
     t.run(3 * kSecond);
     REQUIRE(n.conns.size() == 2);
-    CHECK(n.now().count(&v1::ToNode::has_stop) >= 1);
+    CHECK(n.now().count(&v1::ToWorker::has_cancel_attempt) >= 1);
 }
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -27,7 +27,7 @@
 }
 std::string_view wrong_with(const Message& m) {
     QueueGroup g;
-    g.effect = Effect::fingerprinted;
+    g.effect = Effect::keyed;
     static platform::PlacementRequest out;
     return platform::parse_placement_request(m, {"batch"}, {g}, {16, 32}, out);
 }
@@ -113,10 +113,10 @@
     discovery::EventStreamParser r;
     std::vector<std::string> got;
     for (const char c : bytes)
-        REQUIRE(r.read(std::string_view(&c, 1), [&](std::string_view data) { got.emplace_back(data); }));
+        REQUIRE(r.feed(std::string_view(&c, 1), [&](std::string_view data) { got.emplace_back(data); }));
     CHECK(got == std::vector<std::string>{"{\"a\":1}"});
-    CHECK(!discovery::EventStreamParser().read("HTTP/1.1 503 No\r\n\r\n", [](std::string_view) {}));
-    CHECK(!discovery::EventStreamParser().read("\x01\x02 noise", [](std::string_view) {}));
+    CHECK(!discovery::EventStreamParser().feed("HTTP/1.1 503 No\r\n\r\n", [](std::string_view) {}));
+    CHECK(!discovery::EventStreamParser().feed("\x01\x02 noise", [](std::string_view) {}));
 }
 
 TEST_CASE("entries keep apart what an event says and what it leaves out") {
@@ -128,14 +128,14 @@
             "free":[1.5,-2]},{"host":"s-3","site":"nowhere"},{"no":1}]}})",
         {"west", "east"}, {"std"}, wrong, odd);
     REQUIRE(e);
-    CHECK(e->number == 41);
-    REQUIRE(e->hosts.size() == 2);
+    CHECK(e->sequence == 41);
+    REQUIRE(e->endpoints.size() == 2);
     CHECK(odd == 2);
-    CHECK(e->hosts[0].stage == EndpointPhase::draining);
-    CHECK(!e->hosts[0].free_cores);
-    CHECK(e->hosts[1].zone == 1);
-    CHECK(e->hosts[1].started == 5 * kMillisecond);
-    CHECK(e->hosts[1].free_memory == -2);
+    CHECK(e->endpoints[0].phase == EndpointPhase::draining);
+    CHECK(!e->endpoints[0].free_cores);
+    CHECK(e->endpoints[1].zone == 1);
+    CHECK(e->endpoints[1].started_at == 5 * kMillisecond);
+    CHECK(e->endpoints[1].free_memory == -2);
     CHECK(!discovery::parse_watch_event("{\"offset\":", {}, {}, wrong, odd));
 }
 
@@ -151,8 +151,8 @@
     CHECK(b.settings().text("classes.count") == "1");
     CHECK(b.settings().text("classes.0.name") == "x");
     CHECK(b.settings().list("zones").size() == 2);
-    CHECK(b.settings().truth("limits.probes"));
-    CHECK(b.settings().micros("limits.dial_timeout_us") == 250 * kMillisecond);
+    CHECK(b.settings().boolean("limits.probes"));
+    CHECK(b.settings().duration("limits.dial_timeout_us") == 250 * kMillisecond);
     CHECK_THROWS_WITH(b.settings().text("nothing.here"), "f.json: nothing.here is missing");
     CHECK_THROWS_WITH(platform::BootstrapConfig::parse("{", "f.json"), "f.json: not a JSON object");
     CHECK_THROWS_WITH(platform::BootstrapConfig::parse(R"({"listen":"x:1"})", "f.json"),
--- a/tests/platform_server_test.cpp
+++ b/tests/platform_server_test.cpp
@@ -59,7 +59,7 @@
     REQUIRE(t.o.all(MessageType::release).size() == 1);
     CHECK(t.o.all(MessageType::release)[0].cause == platform_codec::kOk);
     CHECK(t.front.tasks() == 0);
-    CHECK(t.ledger.open() == 0);
+    CHECK(t.ledger.open_tasks() == 0);
 }
 
 TEST_CASE("a late yes of a launch given up: cut where a repeat may stand elsewhere, else left") {
@@ -84,11 +84,11 @@
     t.front.plan_with(quiet);
     t.ask(t.o, 7, "free", 5000);
     REQUIRE(quiet.taken.size() == 1);
-    t.front.bind(quiet.taken[0], 0, 500 * kMillisecond);
+    t.front.place(quiet.taken[0], 0, 500 * kMillisecond);
     t.run(kSecond);
     REQUIRE(t.h.launches().size() == 1);
     CHECK(t.h.count(MessageType::release, 7) == 1);  // given up
-    t.front.bind(quiet.taken[0], 0, 500 * kMillisecond);
+    t.front.place(quiet.taken[0], 0, 500 * kMillisecond);
     t.run(50 * kMillisecond);
     REQUIRE(t.h.launches().size() == 2);
     REQUIRE(t.h.conns.size() == 2);
@@ -129,7 +129,7 @@
     QuietPlanner quiet;
     t.front.plan_with(quiet);
     for (std::uint64_t id = 1; id <= 3; ++id) t.ask(t.o, id);
-    for (const auto n : quiet.taken) t.front.bind(n, 0, 2 * kSecond);
+    for (const auto n : quiet.taken) t.front.place(n, 0, 2 * kSecond);
     t.run(50 * kMillisecond);
     REQUIRE(t.h.conns.size() == 3);
     for (const auto& c : t.h.conns) CHECK(c->all(MessageType::set_up).size() == 1);
@@ -143,10 +143,10 @@
               t.h.count(MessageType::release, 3) ==
           1);
     for (const auto n : quiet.taken)
-        t.front.bind(n, 0, 2 * kSecond);  // those that are out: refused by the ledger
+        t.front.place(n, 0, 2 * kSecond);  // those that are out: refused by the ledger
     t.run(50 * kMillisecond);
     CHECK(t.h.count(MessageType::set_up, broken) == 2);
-    CHECK(t.ledger.tally().refused_to_planner == 2);
+    CHECK(t.ledger.statistics().refused_to_planner == 2);
 }
 
 TEST_CASE("what may not be repeated is not cut when its connection breaks") {
@@ -221,7 +221,7 @@
     t.run(20 * kMillisecond);
     CHECK(t.o.count(MessageType::answer, 1) == 0);
     CHECK(t.front.tasks() == 0);
-    CHECK(t.planner.open() == 0);
+    CHECK(t.planner.open_tasks() == 0);
 }
 
 TEST_CASE("a refused connection proves that nothing ran, a reset proves nothing") {
@@ -345,7 +345,7 @@
     CHECK(t.h.count(MessageType::release, 1) == 1);
     CHECK(answers(t.o, 1) == 0);
     CHECK(t.front.tasks() == 0);
-    CHECK(t.planner.open() == 0);
+    CHECK(t.planner.open_tasks() == 0);
 }
 
 TEST_CASE("what runs already is taken over, also before its host is listed, and once only") {
@@ -427,7 +427,7 @@
 TEST_CASE("a client that reads nothing holds bounded memory") {
     One t;
     Line& deaf = t.owner(2);
-    deaf.stream->read(false);
+    deaf.stream->set_reading(false);
     for (int i = 0; i < 40; ++i) {
         deaf.raw(health_checks(200));
         t.run(5 * kMillisecond);
@@ -441,13 +441,13 @@
     constexpr std::size_t kAsked = 14'000;  // their refusals are over what a connection holds
     struct AllAtOnce : QuietPlanner {
         explicit AllAtOnce(platform::PlatformServer& f) : front(f) {}
-        void round(Nanos) override {
+        void run_round(Nanos) override {
             if (taken.size() < kAsked) return;
             in_round = true;
-            for (std::size_t i = 0; i < kAsked - 50; ++i) front.defer(taken[i], kSecond * 1'000'000'000);
+            for (std::size_t i = 0; i < kAsked - 50; ++i) front.reject(taken[i], kSecond * 1'000'000'000);
             in_round = false;
         }
-        void withdrawn(Nanos, planner::TaskNumber) override {
+        void cancel(Nanos, planner::TaskNumber) override {
             ++gone;
             within += in_round;
         }
@@ -459,7 +459,7 @@
     AllAtOnce planner(t.front);
     t.front.plan_with(planner);
     Line& o = t.owner();
-    o.stream->read(false);
+    o.stream->set_reading(false);
     Message m;
     m.type = MessageType::set_up;
     m.group = "free";
@@ -486,7 +486,7 @@
     QuietPlanner quiet;
     t.front.plan_with(quiet);
     t.ask(t.o, 1);
-    t.front.bind(quiet.taken[0], 0, 60 * kSecond);
+    t.front.place(quiet.taken[0], 0, 60 * kSecond);
     t.run(20 * kMillisecond);
     REQUIRE(t.h.conns.size() == 1);
     // Further launches go on connections of their own, up to ten.
@@ -504,10 +504,10 @@
         m.name = name;
         t.o.say(m);
         t.run(kMillisecond);
-        t.front.bind(quiet.taken.back(), 0, 60 * kSecond);
+        t.front.place(quiet.taken.back(), 0, 60 * kSecond);
         t.run(kMillisecond);
         for (const auto& c : t.h.conns)
-            if (c->stream) c->stream->read(false);
+            if (c->stream) c->stream->set_reading(false);
     }
     REQUIRE(quiet.taken.size() == 1 + kLaunches);
     REQUIRE(t.h.conns.size() == 10);
@@ -520,7 +520,7 @@
     t.run(100 * kMillisecond);
     CHECK(t.front.tasks() == 0);
     for (const auto& c : t.h.conns)
-        if (c->stream) c->stream->read(true);
+        if (c->stream) c->stream->set_reading(true);
     t.run(kSecond);
     // The kernels hold 256 kB of each connection; one more message may be in parts, one was read before.
     const std::size_t most = (256u << 10) / whole + 2;
@@ -637,7 +637,7 @@
         const std::vector<std::size_t> before = checked;
         // Each connection is used again long before it counts as idle.
         for (const Nanos end = t.world.now() + 4 * kSecond; t.world.now() < end;) {
-            for (planner::WorkerNumber n = 0; n < kHosts; ++n) t.front.probe(n);
+            for (planner::WorkerNumber n = 0; n < kHosts; ++n) t.front.check_health(n);
             t.run(5 * kMillisecond);
             CHECK(t.front.connections() <= 40);
             answer_checks();
@@ -654,7 +654,7 @@
     Line& deaf = t.owner(2);
     t.ask(deaf, 7);
     REQUIRE(t.h.launches().size() == 1);
-    deaf.stream->read(false);
+    deaf.stream->set_reading(false);
     deaf.raw(health_checks(60'000));
     // No sweep, which comes every 100 ms, is needed for it.
     for (int i = 0; i < 90 && t.front.tasks(); ++i) t.run(kMillisecond);
--- a/tests/platform_sockets_test.cpp
+++ b/tests/platform_sockets_test.cpp
@@ -46,7 +46,7 @@
     t.turns(3);
     o.raw(bytes.substr(bytes.size() / 2));
     t.until([&] { return t.planner.taken.size() == 1; });
-    t.front->defer(t.planner.taken[0], 0);
+    t.front->reject(t.planner.taken[0], 0);
     see_out(t, {&o}, done);
     CHECK(o.count(MessageType::release, 7) == 1);
     CHECK(o.ended);
@@ -65,7 +65,7 @@
     t.front->close([&] { done = true; });
     t.turns(3);
     // In one pass of the loop, after it has asked the kernel what there is and before it looks round.
-    auto between = t.loop.timer([&] {
+    auto between = t.loop.make_timer([&] {
         if (!accepted) o = t.owner();
         o.raw(SocketRig::set_up(7));
     });
@@ -87,7 +87,7 @@
         if (o.open()) o.plain(MessageType::progress, 7);
     });
     t.stand_still(kPastTaking);
-    t.front->defer(t.planner.taken[0], 0);
+    t.front->reject(t.planner.taken[0], 0);
     see_out(t, {&o}, done);
     refused_then_gone(t, o);
 }
@@ -107,7 +107,7 @@
     host.lines.back()->release(7, platform_codec::kOk);
     t.until([&] { return done; });
     CHECK(t.planner.endings.empty());
-    CHECK(t.ledger.open() == 1);
+    CHECK(t.ledger.open_tasks() == 1);
 }
 
 // ---------------------------------------------------------------- clients that go
@@ -124,7 +124,7 @@
     host.lines.back()->release(7, platform_codec::kFull);
     o.close();
     t.until([&] { return t.front->tasks() == 0; });
-    t.front->bind(n, 0, kSecond);
+    t.front->place(n, 0, kSecond);
     t.turns(20);
     host.take();
     CHECK(host.count(MessageType::set_up, 7) == 1);
@@ -138,7 +138,7 @@
     Plug o = t.owner();
     o.raw(SocketRig::set_up(7));
     t.until([&] { return t.planner.taken.size() == 1; });
-    t.front->bind(t.planner.taken[0], 0, 10 * kSecond);
+    t.front->place(t.planner.taken[0], 0, 10 * kSecond);
     t.turns(5);
     o.close();
     t.until([&] { return t.front->tasks() == 0; });
@@ -185,7 +185,7 @@
     t.until([&] { return t.planner.endings.size() == 1; });
     other.release(7, platform_codec::kGivenUp);
     t.until([&] { return t.front->tasks() == 0; });
-    t.front->bind(n, 0, kSecond);
+    t.front->place(n, 0, kSecond);
     t.turns(20);
     host.take();
     CHECK(host.count(MessageType::set_up, 7) == 1);
@@ -244,7 +244,7 @@
         o.take();
         return o.count(MessageType::release, 7) == 1;
     });
-    t.front->bind(t.planner.taken[0], 0, kSecond);
+    t.front->place(t.planner.taken[0], 0, kSecond);
     t.turns(20);
     host.take();
     CHECK(host.count(MessageType::set_up, 7) == 0);
@@ -285,7 +285,7 @@
     SocketRig t;
     Ear host;
     t.known({SocketRig::entry("h", host.address())}, true);
-    t.front->probe(0);  // so that a connection is up
+    t.front->check_health(0);  // so that a connection is up
     t.until([&] { return t.front->connections() == 1 && (host.take(), host.bytes() > 0); });
     Plug o = t.owner();
     const int how = GENERATE(0, 1, 2);
@@ -303,12 +303,12 @@
     if (how == 1) o.close();
     t.until([&] { return t.planner.taken.size() == 1; });
     // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
-    auto busy = t.loop.timer([&] {
+    auto busy = t.loop.make_timer([&] {
         if (how == 2) {
             o.plain(MessageType::release, 7, platform_codec::kGivenUp);
             t.stand_still(80 * kMillisecond);
         }
-        t.front->bind(t.planner.taken[0], 0, 10 * kSecond);
+        t.front->place(t.planner.taken[0], 0, 10 * kSecond);
     });
     busy->arm(t.loop.now());
     t.until([&] { return t.front->tasks() == 0; });
@@ -334,7 +334,7 @@
     t.stand_still(kAway * kMillisecond);
     t.turns(1);  // a new connection is accepted in one pass and read in the next
     t.until([&] { return t.planner.taken.size() == 1; });
-    t.front->bind(t.planner.taken[0], 0, kWait * kMillisecond);
+    t.front->place(t.planner.taken[0], 0, kWait * kMillisecond);
     t.until([&] {
         host.take();
         return host.count(MessageType::set_up, 7) == 1;
@@ -454,10 +454,10 @@
     o.raw(SocketRig::set_up(8, "once"));
     t.until([&] { return t.planner.taken.size() == 2; });
     host.lines.back()->close();
-    t.front->bind(t.planner.taken[1], 0, 10 * kSecond);
+    t.front->place(t.planner.taken[1], 0, 10 * kSecond);
     t.until([&] { return !t.planner.endings.empty(); });
-    CHECK(t.planner.endings[0] != AttemptOutcome::served);
-    t.front->defer(t.planner.taken[1], 0);
+    CHECK(t.planner.endings[0] != AttemptOutcome::completed);
+    t.front->reject(t.planner.taken[1], 0);
     t.until([&] {
         o.take();
         return o.count(MessageType::release, 8) == 1;
@@ -479,7 +479,7 @@
         t.until([&] { return t.front->tasks() == 1; });
         o.release(7, platform_codec::kCancelled);
         t.until([&] { return t.front->tasks() == 0; });
-    } else t.front->probe(0);
+    } else t.front->check_health(0);
     t.turns(5);
     t.known({SocketRig::entry("h", gone.address(), "left"), SocketRig::entry("heir", gone.address())});
     // The line moves on: from here on it is the heir who accepts.
@@ -501,7 +501,7 @@
     SocketRig t;
     Ear host;
     t.known({SocketRig::entry("h", host.address())}, true);
-    t.front->probe(0);
+    t.front->check_health(0);
     t.until([&] {
         host.take();
         return host.lines.size() == 1 && !host.lines[0]->got.empty();
@@ -569,7 +569,7 @@
     };
     std::uint32_t next = 0;
     t.until([&] {
-        t.front->probe(next++ % 60);
+        t.front->check_health(next++ % 60);
         return heard_by_all();
     });
     std::vector<Plug> idle;
@@ -648,11 +648,11 @@
     o.raw(SocketRig::set_up(8));
     t.until([&] { return t.planner.taken.size() == 2; });
     t.known({SocketRig::entry("o", other.address())}, true);
-    t.front->bind(t.planner.taken[1], 0, kSecond);
+    t.front->place(t.planner.taken[1], 0, kSecond);
     t.turns(20);
     host.take();
     CHECK(host.count(MessageType::set_up, 8) == 0);
-    CHECK(t.ledger.tally().refused_to_planner == 1);
+    CHECK(t.ledger.statistics().refused_to_planner == 1);
     // What stands there still has its last words.
     host.lines.back()->release(7, platform_codec::kOk);
     t.until([&] {
--- a/tests/recovery_queue_test.cpp
+++ b/tests/recovery_queue_test.cpp
@@ -18,10 +18,10 @@
     void found(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = true; }
     void lost(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = false; }
     void list_again(Nanos) override { ++asked; }
-    void wake(Nanos at) override { wake_at = at; }
+    void wake_at(Nanos at) override { next_run = at; }
     std::map<int, bool> ended;  // by container: found?
     int asked = 0;
-    Nanos wake_at = 0;
+    Nanos next_run = 0;
 };
 
 }  // namespace
@@ -49,17 +49,17 @@
     const Nanos t = 1000 * kSecond;
     r.listed(t, t, true);
     r.wait(t + kSecond, "a", &one);
-    r.turn(door.wake_at);
+    r.turn(door.next_run);
     CHECK(door.asked == 1);
     r.listed(t + 2 * kSecond, t, true);                 // an old view
     r.listed(t + 2 * kSecond, t + 2 * kSecond, false);  // only changes
     CHECK(door.ended.empty());
-    r.turn(door.wake_at);
+    r.turn(door.next_run);
     CHECK(door.asked == 2);
     SECTION("a younger one without it") {
         r.listed(t + 3 * kSecond, t + 3 * kSecond, true);
         CHECK(door.ended == std::map<int, bool>{{1, false}});
-        r.turn(door.wake_at);
+        r.turn(door.next_run);
         CHECK(door.asked == 2);  // nothing waits: nothing is asked
     }
     SECTION("always old ones are believed in the end") {
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -43,14 +43,14 @@
         [&](emulator::ScenarioRun& day, const emulator::RunResult& out, std::uint64_t digest) {
             const simulation::RunReport found(day, out);
             c.kept = out.verdict.kept();
-            c.met = found.met();
-            c.waiting = out.still_waiting;
-            for (const emulator::QueueGroupCounts& g : out.counts) c.placed += g.placed;
+            c.met = found.expectations_met();
+            c.waiting = out.pending;
+            for (const emulator::QueueGroupCounts& g : out.counts) c.placed += g.accepted;
             c.digest = digest;
-            c.checked = found.checked();
+            c.checked = found.expectations();
             c.told = found.table();
-            for (const emulator::Violation& b : out.verdict.breaches)
-                c.told += "\n" + emulator::describe(day.seen(), b, day.began());
+            for (const emulator::Violation& b : out.verdict.violations)
+                c.told += "\n" + emulator::describe(day.events(), b, day.started_at());
         });
     return c;
 }
@@ -182,9 +182,9 @@
     simulation::load_scenario("zone-cut", problem);
     CHECK(problem.empty());
     w.scenario = "drain-waves";
-    w.nodes = 5;  // the waves are for twelve
+    w.workers = 5;  // the waves are for twelve
     CHECK(simulation::run_rehearsal(w, to, err) == 2);
-    w.nodes = 0;
+    w.workers = 0;
     w.planner = "oracle";
     CHECK(simulation::run_rehearsal(w, to, err) == 2);
     w.planner = "whinpost";
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -37,18 +37,19 @@
 std::unique_ptr<Stand> fleet_of(int machines, bool room) {
     auto t = std::make_unique<Stand>();
     for (int i = 0; i < machines; ++i) {
-        Worker& m = t->placer.meet_machine(static_cast<std::uint64_t>(i));
+        Worker& m = t->placer.add_worker(static_cast<std::uint64_t>(i));
         t->machines.push_back(&m);
-        t->placer.list_entry(t->now, m, {0, 0, 0, room ? 16.0 : -24.0, 32, EndpointPhase::serving, 0});
+        t->placer.update_endpoint(t->now, m, {0, 0, 0, room ? 16.0 : -24.0, 32, EndpointPhase::serving, 0});
     }
-    t->placer.list_done(t->now, true);
+    t->placer.on_watch_event_done(t->now, true);
     return t;
 }
 std::size_t considered(const Stand& t) {
     std::uint64_t latest = 0;
-    for (const Worker* m : t.machines) latest = std::max(latest, m->seen_in);
-    return static_cast<std::size_t>(std::count_if(
-        t.machines.begin(), t.machines.end(), [latest](const Worker* m) { return m->seen_in == latest; }));
+    for (const Worker* m : t.machines) latest = std::max(latest, m->considered_in);
+    return static_cast<std::size_t>(
+        std::count_if(t.machines.begin(), t.machines.end(),
+                      [latest](const Worker* m) { return m->considered_in == latest; }));
 }
 
 }  // namespace
@@ -103,7 +104,7 @@
 TEST_CASE("a decision considers no more machines at 14,000 than at 400") {
     const auto at = [](int machines) {
         const auto t = fleet_of(machines, true);
-        t->bound(t->placer.meet_service(1));
+        t->bound(t->placer.add_service(1));
         REQUIRE(t->count('b') == 1);
         return considered(*t);
     };
@@ -113,7 +114,7 @@
 
 TEST_CASE("where no machine has room, a decision considers each once and all asks are answered in time") {
     const auto t = fleet_of(14'000, false);
-    for (int i = 0; i < 5; ++i) t->take(t->placer.meet_service(static_cast<std::uint64_t>(i)));
+    for (int i = 0; i < 5; ++i) t->take(t->placer.add_service(static_cast<std::uint64_t>(i)));
     t->pass(200 * kMillisecond, 50 * kMillisecond);
     CHECK(considered(*t) == 14'000);
     t->pass(4 * kSecond, 500 * kMillisecond);
@@ -126,9 +127,9 @@
     "are") {
     const auto looks_at = [](int machines) {
         const auto t = fleet_of(machines, false);
-        for (std::uint64_t i = 0; i < 20; ++i) t->take(t->placer.meet_service(i));
+        for (std::uint64_t i = 0; i < 20; ++i) t->take(t->placer.add_service(i));
         t->pass(2 * kSecond, 20 * kMillisecond);
-        return t->machines[0]->seen_in;  // the number of the latest look at the whole fleet
+        return t->machines[0]->considered_in;  // the number of the latest look at the whole fleet
     };
     CHECK(looks_at(14'000) <= 80);
     CHECK(looks_at(400) > 500);
@@ -137,36 +138,36 @@
 TEST_CASE(
     "the first room that comes free in a full large fleet is found by what waits, within a quarter second") {
     const auto t = fleet_of(3000, false);
-    Task& c = t->take(t->placer.meet_service(1));
+    Task& c = t->take(t->placer.add_service(1));
     t->pass(kSecond);
     REQUIRE(t->count('b') == 0);
     t->entry(*t->machines[1234], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     t->pass(300 * kMillisecond);
-    CHECK(c.out == t->machines[1234]);
+    CHECK(c.worker == t->machines[1234]);
 }
 
 TEST_CASE("a container that may go nowhere for reasons of its own closes no large fleet to others") {
     const auto t = fleet_of(3000, false);
     t->entry(*t->machines[7], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
-    Task& refused = t->take(t->placer.meet_service(1));
+    Task& refused = t->take(t->placer.add_service(1));
     t->pass(100 * kMillisecond);
-    REQUIRE(refused.out == t->machines[7]);
-    t->end(refused, AttemptOutcome::refused);  // by the only one that has room
+    REQUIRE(refused.worker == t->machines[7]);
+    t->end(refused, AttemptOutcome::rejected);  // by the only one that has room
     t->pass(60 * kMillisecond, 60 * kMillisecond);
-    Task& other = t->take(t->placer.meet_service(2));
+    Task& other = t->take(t->placer.add_service(2));
     t->pass(120 * kMillisecond);
-    CHECK(other.out == t->machines[7]);
+    CHECK(other.worker == t->machines[7]);
 }
 
 TEST_CASE("machines that come back, in one event or several, are chosen again; all gone leaves none") {
     auto t = fleet_of(40, true);
     const auto tell = [&t](EndpointPhase stage, std::size_t from, std::size_t to) {
         for (std::size_t i = from; i < to; ++i)
-            t->placer.list_entry(t->now, *t->machines[i], {0, 0, 0, 16, 32, stage, 0});
-        t->placer.list_done(t->now, false);
+            t->placer.update_endpoint(t->now, *t->machines[i], {0, 0, 0, 16, 32, stage, 0});
+        t->placer.on_watch_event_done(t->now, false);
     };
     tell(EndpointPhase::gone, 0, 40);
-    t->bound(t->placer.meet_service(1));
+    t->bound(t->placer.add_service(1));
     CHECK(t->count('b') == 0);
     tell(EndpointPhase::serving, 7, 8);
     t->pass(200 * kMillisecond);
@@ -174,7 +175,7 @@
     CHECK(t->seen.back().machine == t->machines[7]);
     tell(EndpointPhase::draining, 7, 8);
     tell(EndpointPhase::serving, 8, 9);
-    t->bound(t->placer.meet_service(2));
+    t->bound(t->placer.add_service(2));
     REQUIRE(t->count('b') == 2);
     CHECK(t->seen.back().machine == t->machines[8]);
 }
@@ -190,14 +191,14 @@
         bit_by_bit->entry(*bit_by_bit->machines[i], {0, 0, 0, 16, 32, stage[i], 0});
     }
     for (std::size_t i = 0; i < 60; ++i)
-        once->placer.list_entry(once->now, *once->machines[i], {0, 0, 0, 16, 32, stage[i], 0});
-    once->placer.list_done(once->now, true);
+        once->placer.update_endpoint(once->now, *once->machines[i], {0, 0, 0, 16, 32, stage[i], 0});
+    once->placer.on_watch_event_done(once->now, true);
     for (std::uint64_t mark = 0; mark < 30; ++mark) {
-        const Worker* a = once->bound(once->placer.meet_service(mark)).out;
-        const Worker* b = bit_by_bit->bound(bit_by_bit->placer.meet_service(mark)).out;
+        const Worker* a = once->bound(once->placer.add_service(mark)).worker;
+        const Worker* b = bit_by_bit->bound(bit_by_bit->placer.add_service(mark)).worker;
         REQUIRE(a);
         REQUIRE(b);
-        CHECK(a->mark == b->mark);
+        CHECK(a->name_hash == b->name_hash);
     }
 }
 
--- a/tests/scenario_run_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -19,8 +19,8 @@
 // What broke, with the record of each container.
 std::string told(const emulator::RunResult& out, const emulator::ScenarioRun& day) {
     std::string all;
-    for (const emulator::Violation& b : out.verdict.breaches)
-        all += emulator::describe(day.seen(), b, day.began());
+    for (const emulator::Violation& b : out.verdict.violations)
+        all += emulator::describe(day.events(), b, day.started_at());
     return all;
 }
 
@@ -43,7 +43,7 @@
         all += told(out, day);
         INFO(all);
         CHECK(out.verdict.kept());
-        CHECK(out.still_waiting == 0);
+        CHECK(out.pending == 0);
     }
 }
 
@@ -60,8 +60,8 @@
         UNSCOPED_INFO(told(out, day));
         INFO(day.table(out));
         CHECK(out.verdict.kept());
-        CHECK(out.still_waiting == 0);
-        CHECK(out.counts[0].placed > 2000);
+        CHECK(out.pending == 0);
+        CHECK(out.counts[0].accepted > 2000);
         digest = world.digest();
     }
     CHECK(digests[0] == digests[1]);
@@ -88,6 +88,6 @@
     all += told(out, day);
     INFO(all);
     CHECK(out.verdict.kept());
-    CHECK(out.still_waiting == 0);
-    CHECK(out.counts[0].placed > 2000);
+    CHECK(out.pending == 0);
+    CHECK(out.counts[0].accepted > 2000);
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -32,28 +32,28 @@
 struct Sender {
     Sender(SlowStartSettings terms, Nanos now)
         : cold(terms), stand({QueueGroup{}}, terms), ledger({QueueGroup{}}, {4, true}, terms),
-          node(&ledger.meet(kServer)) {
+          node(&ledger.add_worker(kServer)) {
         stand.now = now;
-        Worker& m = stand.placer.meet_machine(stable_hash(kServer));
+        Worker& m = stand.placer.add_worker(stable_hash(kServer));
         stand.machines.push_back(&m);
         const EndpointState listed{0, 0, 0, 16, 32, EndpointPhase::serving, kStart};
         stand.entry(m, listed);
-        ledger.listed(now, *node, listed);
-        stand.placer.begin(now);
+        ledger.on_endpoint(now, *node, listed);
+        stand.placer.start(now);
     }
     void ask(int count) {
-        for (int i = 0; i < count; ++i) stand.take(stand.placer.meet_service(1), 0, 0.001);
+        for (int i = 0; i < count; ++i) stand.take(stand.placer.add_service(1), 0, 0.001);
     }
     // Binds, as far as the ledger allows it; each attempt leaves once its dial is through.
     void round(Nanos now, const std::function<Nanos()>& dial) {
         stand.now = now;
         const std::size_t before = stand.seen.size();
-        stand.placer.round(now);
+        stand.placer.run_round(now);
         for (std::size_t i = before; i < stand.seen.size(); ++i) {
             if (stand.seen[i].what != 'b') continue;
             ledger::Refusal why{};
-            ledger::TaskRecord& r = ledger.take(now, "c", 1, stand.seen[i].container->asked);
-            if (ledger::Attempt* l = ledger.launch(now, r, *node, kSecond, why))
+            ledger::TaskRecord& r = ledger.create_task(now, "c", 1, stand.seen[i].container->request);
+            if (ledger::Attempt* l = ledger.start_attempt(now, r, *node, kSecond, why))
                 waiting.push_back({l, stand.seen[i].container, now + dial()});
             else over.push_back(stand.seen[i].container);
         }
@@ -65,13 +65,14 @@
             if (now < w.up) return false;
             const bool leaves = ledger.may_still_send(now, *w.attempt);
             sent += leaves;
-            if (!leaves) ledger.ended(now, *w.attempt, AttemptOutcome::unsent);
+            if (!leaves) ledger.on_ended(now, *w.attempt, AttemptOutcome::not_sent);
             over.push_back(w.container);
             return true;
         });
         // The server answers at once that it is done, so that the module's own limits bind nothing.
         for (Task* c : std::exchange(over, {}))
-            c->ended(now, c->launches - 1, AttemptOutcome::served, OutcomeReason::untold, true, {});
+            c->on_attempt_ended(now, c->attempts - 1, AttemptOutcome::completed, OutcomeReason::unspecified,
+                                true, {});
         return sent;
     }
     struct Waiting {
@@ -109,7 +110,7 @@
         const bool first_turn = now < kStart + kWindow;
         const bool rush = now % kWindow == (first_turn ? kWindow - kStep : 0);
         for (auto& s : all) {
-            if (restarts && roll(200) == 0) s = start(s->cold.me, now);
+            if (restarts && roll(200) == 0) s = start(s->cold.placer_index, now);
             if (rush) s->ask(share);
             s->round(now, [&] { return late_dials && first_turn ? roll(1000) * kMillisecond : 0; });
             for (int n = s->write(now); n > 0; --n)
@@ -132,18 +133,18 @@
     "an attempt that waited past the end of its turn, or for a server before its restart, is not sent") {
     const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
     ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-    ledger::WorkerRecord& n = l.meet(kServer);
-    l.listed(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
+    ledger::WorkerRecord& n = l.add_worker(kServer);
+    l.on_endpoint(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
     ResourceRequest asked;
     asked.time_left = 10 * kSecond;
     ledger::Refusal why{};
     const Nanos sent = kStart + kWindow / 2;
-    ledger::Attempt* attempt = l.launch(sent, l.take(sent, "a", 1, asked), n, 5 * kSecond, why);
+    ledger::Attempt* attempt = l.start_attempt(sent, l.create_task(sent, "a", 1, asked), n, 5 * kSecond, why);
     REQUIRE(attempt);
     CHECK(l.may_still_send(kStart + kWindow - 1, *attempt));
     CHECK_FALSE(l.may_still_send(kStart + kWindow, *attempt));
     CHECK(l.may_still_send(sent + 1, *attempt));
-    l.listed(sent + 2, n, {0, 0, 0, 16, 32, EndpointPhase::serving, sent + 1});
+    l.on_endpoint(sent + 2, n, {0, 0, 0, 16, 32, EndpointPhase::serving, sent + 1});
     CHECK_FALSE(l.may_still_send(sent + 3, *attempt));
 }
 
@@ -158,8 +159,8 @@
     for (int i = 0; i < placers; ++i) {
         const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i};
         ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-        ledger::WorkerRecord& n = l.meet(kServer);
-        l.listed(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
+        ledger::WorkerRecord& n = l.add_worker(kServer);
+        l.on_endpoint(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
         ResourceRequest asked;
         asked.time_left = 60 * kSecond;
         const Nanos first = late_dials ? kStart + kWindow - kStep : kStart;
@@ -167,9 +168,10 @@
             if (late_dials && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
             for (bool refused = false; !refused;) {
                 ledger::Refusal why{};
-                const ledger::Attempt* attempt = l.launch(now, l.take(now, "c", 1, asked), n, kSecond, why);
+                const ledger::Attempt* attempt =
+                    l.start_attempt(now, l.create_task(now, "c", 1, asked), n, kSecond, why);
                 refused = !attempt;
-                if (refused) CHECK(why == ledger::Refusal::cold);
+                if (refused) CHECK(why == ledger::Refusal::no_admission_token);
                 if (refused) continue;
                 const bool waits = late_dials && now < kStart + kWindow;
                 const Nanos up = now + (waits ? static_cast<Nanos>(chance() % 1000) * kMillisecond : 0);
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -16,8 +16,8 @@
 
 // One end of a connection, by hand.
 struct Line : net::StreamHandler, Speaker {
-    std::size_t received(std::string_view in) override { return hear(in); }
-    void closed(net::CloseReason) override {
+    std::size_t on_received(std::string_view in) override { return hear(in); }
+    void on_closed(net::CloseReason) override {
         over = true;
         stream.reset();
     }
@@ -49,11 +49,11 @@
         Line& last() { return *conns.back(); }
     };
     struct BusLine : net::StreamHandler {
-        std::size_t received(std::string_view in) override {
+        std::size_t on_received(std::string_view in) override {
             asked += in;
             return in.size();
         }
-        void closed(net::CloseReason) override { stream.reset(); }
+        void on_closed(net::CloseReason) override { stream.reset(); }
         std::unique_ptr<net::Stream> stream;
         std::string asked;
     };
@@ -75,14 +75,14 @@
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
         for (QueueGroup& g : out) {
-            g.start_target = 800 * kMillisecond;
-            g.start_worth_s = 10;
-            g.calm = 0.8;
-            g.fade = 0.25;
+            g.start_objective = 800 * kMillisecond;
+            g.start_value_s = 10;
+            g.full_service_utilization = 0.8;
+            g.degradation_range = 0.25;
         }
-        out[1].effect = Effect::fingerprinted;
-        out[1].repeats_dropped_by = FailureDomain::cell;
-        out[1].repeat_window = 5 * kSecond;
+        out[1].effect = Effect::keyed;
+        out[1].deduplicated_by = FailureDomain::cell;
+        out[1].deduplication_window = 5 * kSecond;
         out[2].effect = Effect::side_effecting;
         return out;
     }
@@ -97,7 +97,7 @@
                 buses.push_back(std::make_unique<BusLine>());
                 net::Stream& stream = *s;
                 buses.back()->stream = std::move(s);
-                bus_process.use(stream, *buses.back());
+                bus_process.attach(stream, *buses.back());
                 tell_raw("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
             },
             error));
@@ -148,7 +148,7 @@
                 h.conns.push_back(std::make_unique<Line>());
                 net::Stream& stream = *s;
                 h.conns.back()->stream = std::move(s);
-                h.process->use(stream, *h.conns.back());
+                h.process->attach(stream, *h.conns.back());
             },
             error);
         must(h.listener != nullptr);
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -155,13 +155,13 @@
 
 struct SocketRig {
     struct Planner : QuietPlanner {
-        void withdrawn(Nanos, planner::TaskNumber) override { ++gone; }
-        void heard(Nanos, planner::WorkerNumber, const LoadReport&) override { ++reports; }
-        void ended(Nanos, planner::TaskNumber, int, AttemptOutcome how, OutcomeReason, bool,
-                   const LoadReport&) override {
+        void cancel(Nanos, planner::TaskNumber) override { ++gone; }
+        void on_load_report(Nanos, planner::WorkerNumber, const LoadReport&) override { ++reports; }
+        void on_attempt_ended(Nanos, planner::TaskNumber, int, AttemptOutcome how, OutcomeReason, bool,
+                              const LoadReport&) override {
             endings.push_back(how);
         }
-        void round(Nanos) override {
+        void run_round(Nanos) override {
             if (in_round) in_round();
         }
         int gone = 0, reports = 0;
@@ -181,14 +181,14 @@
     }
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
-        out[1].effect = Effect::fingerprinted;
-        out[1].repeats_dropped_by = FailureDomain::cell;
-        out[1].repeat_window = 5 * kSecond;
+        out[1].effect = Effect::keyed;
+        out[1].deduplicated_by = FailureDomain::cell;
+        out[1].deduplication_window = 5 * kSecond;
         out[2].effect = Effect::side_effecting;
         return out;
     }
 
-    void turn() { loop.pass(false); }
+    void turn() { loop.run_once(false); }
     void turns(int n) {
         while (n-- > 0) turn();
     }
@@ -231,7 +231,7 @@
         const std::size_t before = planner.taken.size();
         o.raw(set_up(id, group));
         until([&] { return planner.taken.size() == before + 1; });
-        front->bind(planner.taken.back(), 0, 10 * kSecond);
+        front->place(planner.taken.back(), 0, 10 * kSecond);
         until([&] {
             host.take();
             return host.count(MessageType::set_up, id) == 1;
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -15,7 +15,7 @@
 // One end of a stream, by hand. What came is kept.
 template <class In, class Out>
 struct Peer : net::StreamHandler {
-    std::size_t received(std::string_view bytes) override {
+    std::size_t on_received(std::string_view bytes) override {
         bool too_long = false;
         return net::decode_frames(bytes, 1 << 20, too_long, [this](std::string_view f) {
             In m;
@@ -23,7 +23,7 @@
             return true;
         });
     }
-    void closed(net::CloseReason how) override {
+    void on_closed(net::CloseReason how) override {
         over = true;
         ended = how;
         stream.reset();
@@ -51,9 +51,9 @@
     net::CloseReason ended{};
 };
 
-using OwnerPeer = Peer<v1::ToOwner, v1::FromOwner>;
-using NodePeer = Peer<v1::ToNode, v1::FromNode>;
-using ListPeer = Peer<v1::ToList, v1::FromList>;
+using OwnerPeer = Peer<v1::ToClient, v1::FromClient>;
+using NodePeer = Peer<v1::ToWorker, v1::FromWorker>;
+using ListPeer = Peer<v1::ToDiscovery, v1::FromDiscovery>;
 
 struct Rig {
     explicit Rig(const std::string& more = "", std::uint64_t seed = 1) : world(seed) {
@@ -64,8 +64,8 @@
                 lists.push_back(std::make_unique<ListPeer>());
                 net::Stream& stream = *s;
                 lists.back()->stream = std::move(s);
-                list_host->use(stream, *lists.back());
-                v1::FromList hello;
+                list_host->attach(stream, *lists.back());
+                v1::FromDiscovery hello;
                 greet(*hello.mutable_hello(), "list", 1);
                 lists.back()->say(hello);
             },
@@ -125,25 +125,25 @@
     void run(Nanos by) { world.run_until(world.now() + by); }
 
     // ---- the list
-    v1::Entry entry(const std::string& node, int zone = 0, int cell = 0,
-                    v1::Entry::Stage stage = v1::Entry::SERVING, Nanos up_for = 0) const {
-        v1::Entry e;
-        e.set_node(node);
+    v1::Endpoint entry(const std::string& node, int zone = 0, int cell = 0,
+                       v1::Endpoint::Phase stage = v1::Endpoint::SERVING, Nanos up_for = 0) const {
+        v1::Endpoint e;
+        e.set_worker(node);
         e.set_address(node + ":1");
         e.set_zone(static_cast<std::uint32_t>(zone));
         e.set_cell(static_cast<std::uint32_t>(cell));
         e.set_free_cores(16);
         e.set_free_memory(32);
-        e.set_stage(stage);
-        e.set_up_for(up_for);
+        e.set_phase(stage);
+        e.set_uptime(up_for);
         return e;
     }
-    void list(const std::vector<v1::Entry>& entries, bool whole = true, std::uint64_t number = 0) {
+    void list(const std::vector<v1::Endpoint>& entries, bool whole = true, std::uint64_t number = 0) {
         if (lists.empty()) run(10 * kMillisecond);
-        v1::FromList m;
-        m.mutable_entries()->set_whole(whole);
-        m.mutable_entries()->set_number(number ? number : ++list_number);
-        for (const v1::Entry& e : entries) *m.mutable_entries()->add_entries() = e;
+        v1::FromDiscovery m;
+        m.mutable_update()->set_is_snapshot(whole);
+        m.mutable_update()->set_sequence(number ? number : ++list_number);
+        for (const v1::Endpoint& e : entries) *m.mutable_update()->add_endpoints() = e;
         lists.back()->say(m);
         run(5 * kMillisecond);
     }
@@ -160,22 +160,22 @@
         std::unique_ptr<net::Listener> listener;
 
         NodePeer& now() { return *conns.back(); }
-        std::vector<v1::Launch> launches() const {
-            std::vector<v1::Launch> out;
+        std::vector<v1::StartAttempt> launches() const {
+            std::vector<v1::StartAttempt> out;
             for (const auto& c : conns)
-                for (const v1::ToNode& m : c->got)
-                    if (m.has_launch()) out.push_back(m.launch());
+                for (const v1::ToWorker& m : c->got)
+                    if (m.has_start_attempt()) out.push_back(m.start_attempt());
             return out;
         }
         void yes(std::uint64_t launch) {
-            v1::FromNode m;
-            m.mutable_accepted()->set_launch(launch);
+            v1::FromWorker m;
+            m.mutable_accepted()->set_attempt(launch);
             now().say(m);
         }
-        void end(std::uint64_t launch, v1::Ended::How how, v1::Reason why = v1::UNTOLD) {
-            v1::FromNode m;
-            m.mutable_ended()->set_launch(launch);
-            m.mutable_ended()->set_how(how);
+        void end(std::uint64_t launch, v1::AttemptEnded::Outcome how, v1::Reason why = v1::UNSPECIFIED) {
+            v1::FromWorker m;
+            m.mutable_ended()->set_attempt(launch);
+            m.mutable_ended()->set_outcome(how);
             m.mutable_ended()->set_reason(why);
             now().say(m);
         }
@@ -196,17 +196,17 @@
                 n.conns.push_back(std::make_unique<NodePeer>());
                 net::Stream& stream = *s;
                 n.now().stream = std::move(s);
-                n.host->use(stream, n.now());
-                if (n.mute) return stream.read(false);
-                v1::FromNode m;
+                n.host->attach(stream, n.now());
+                if (n.mute) return stream.set_reading(false);
+                v1::FromWorker m;
                 greet(*m.mutable_hello(), n.name, n.incarnation);
                 n.now().say(m);
-                m.mutable_holding()->set_remembers(60 * kSecond);
-                m.mutable_holding()->set_up_for(n.up_for);
-                m.mutable_holding()->set_clock(n.clock);
+                m.mutable_state()->set_remembers_for(60 * kSecond);
+                m.mutable_state()->set_uptime(n.up_for);
+                m.mutable_state()->set_clock(n.clock);
                 for (const std::uint64_t l : n.holds) {
-                    v1::Held* h = m.mutable_holding()->add_held();
-                    h->set_launch(l);
+                    v1::HeldAttempt* h = m.mutable_state()->add_attempts();
+                    h->set_attempt(l);
                     h->set_accepted(true);
                 }
                 n.now().say(m);
@@ -228,27 +228,27 @@
         o.stream = host.dial("10.0.0.1:7400", o);
         run(5 * kMillisecond);
         if (hello) {
-            v1::FromOwner m;
+            v1::FromClient m;
             greet(*m.mutable_hello(), name, 1);
             o.say(m);
         }
         return o;
     }
-    v1::Offer offer(std::uint64_t id, const std::string& group = "free",
-                    Nanos time_left = 2 * kSecond) const {
-        v1::Offer o;
+    v1::SubmitTask offer(std::uint64_t id, const std::string& group = "free",
+                         Nanos time_left = 2 * kSecond) const {
+        v1::SubmitTask o;
         o.set_id(id);
-        o.set_container("c" + std::to_string(id));
+        o.set_task("c" + std::to_string(id));
         o.set_service("s");
-        o.set_group(group);
+        o.set_queue_group(group);
         o.set_cores(0.1);
         o.set_memory(0.1);
         o.set_time_left(time_left);
         return o;
     }
-    void ask(OwnerPeer& o, const v1::Offer& offer) {
-        v1::FromOwner m;
-        *m.mutable_offer() = offer;
+    void ask(OwnerPeer& o, const v1::SubmitTask& offer) {
+        v1::FromClient m;
+        *m.mutable_submit() = offer;
         o.say(m);
         run(50 * kMillisecond);
     }
--- a/tests/timer_wheel_test.cpp
+++ b/tests/timer_wheel_test.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 struct Probe : timer_wheel::Timer {
-    void due(Nanos now) override {
+    void on_deadline(Nanos now) override {
         ++fired;
         fired_at = now;
         if (again > 0) on->arm(*this, now + again);
@@ -55,10 +55,10 @@
             plain.erase(&t);
         } else {
             const Nanos jumps[] = {kMicrosecond, kMillisecond, 50 * kMillisecond, 3 * kSecond, 200 * kSecond};
-            const Nanos next = w.next();
+            const Nanos next = w.next_deadline();
             for (const auto& [p, tick] : plain) REQUIRE(next <= tick * TimerWheel::kTick);
             now += roll(jumps[roll(5)]) + 1;
-            w.turn(now);
+            w.run_timers(now);
             turned = std::max(turned, now / TimerWheel::kTick);
             for (auto it = plain.begin(); it != plain.end();) {
                 const bool due = it->second <= turned;
@@ -68,11 +68,11 @@
                     continue;
                 }
                 REQUIRE(it->first->fired_at == now);
-                REQUIRE(it->first->fired_at >= it->first->at());
+                REQUIRE(it->first->fired_at >= it->first->deadline());
                 it = plain.erase(it);
             }
         }
-        REQUIRE(w.armed() == plain.size());
+        REQUIRE(w.armed_timers() == plain.size());
     }
 }
 
@@ -83,9 +83,9 @@
     t.on = &w;
     t.again = 1;
     w.arm(t, kMillisecond);
-    w.turn(kMillisecond);
+    w.run_timers(kMillisecond);
     CHECK(t.fired == 1);
-    w.turn(2 * kMillisecond);
+    w.run_timers(2 * kMillisecond);
     CHECK(t.fired == 2);
 }
 
@@ -93,13 +93,13 @@
     TimerWheel w(0);
     auto victim = std::make_unique<Probe>();
     struct Killer : timer_wheel::Timer {
-        void due(Nanos) override { victim->reset(); }
+        void on_deadline(Nanos) override { victim->reset(); }
         std::unique_ptr<Probe>* victim;
     } killer;
     killer.victim = &victim;
     w.arm(killer, 5 * kMillisecond);
     w.arm(*victim, 5 * kMillisecond);
-    w.turn(kSecond);
+    w.run_timers(kSecond);
     CHECK(victim == nullptr);
-    CHECK(w.armed() == 0);
+    CHECK(w.armed_timers() == 0);
 }
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -20,7 +20,7 @@
 // The edge's side, with a socket whose kernel takes what it is let take.
 struct Bench : worker_connection::ConnectionHandler {
     explicit Bench(int at_once = 100, int a_second = 1000) : dialler(at_once, a_second) {
-        led.listed(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
+        led.on_endpoint(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
     }
     void dial(WorkerConnection&) override {
         ++dials;
@@ -44,7 +44,7 @@
     bool may_still_send(Nanos t, const ledger::Attempt& l) const override { return led.may_still_send(t, l); }
     void over(Nanos t, ledger::Attempt& l, AttemptOutcome how) override {
         told.push_back({&l, how});
-        led.ended(t, l, how);
+        led.on_ended(t, l, how);
     }
     void wake(WorkerConnection&, Nanos at) override { wake_at = at; }
     void down(Nanos, WorkerConnection&, bool was_up) override { downs.push_back(was_up); }
@@ -53,7 +53,7 @@
         ResourceRequest a;
         a.time_left = 60 * kSecond;
         Refusal why{};
-        return *led.launch(now, led.take(now, "c", 1, a), node, 50 * kSecond, why);
+        return *led.start_attempt(now, led.create_task(now, "c", 1, a), node, 50 * kSecond, why);
     }
     void up(WorkerConnection& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
         l.want(now, true);
@@ -67,7 +67,7 @@
 
     worker_connection::DialLimiter dialler;
     ledger::Ledger led{{QueueGroup{}}, {4, true}, {}};
-    ledger::WorkerRecord& node = led.meet("n");
+    ledger::WorkerRecord& node = led.add_worker("n");
     Nanos now = 1000 * kSecond, wake_at = 0;
     std::uint64_t bytes = 0, taken = 0;
     int dials = 0, drops = 0, asked = 0, asked_after = 0;
@@ -93,8 +93,8 @@
     b.taken = 1050;              // ten whole launches, and half of one
     l.broken(b.now, b.taken);
     REQUIRE(b.told.size() == 50);
-    for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::unsent);
-    for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->over);
+    for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::not_sent);
+    for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->ended);
     CHECK(l.counts().in_doubt == 10);
 }
 
@@ -105,7 +105,7 @@
     b.up(l);
     ledger::Attempt &held = b.launch(), &never = b.launch(), &yes = b.launch();
     for (ledger::Attempt* each : {&held, &never, &yes}) l.offer(b.now, *each);
-    b.led.accepted(b.now, yes);
+    b.led.on_accepted(b.now, yes);
     b.taken = b.bytes;
     l.broken(b.now, b.taken);
     CHECK(b.told.empty());
@@ -113,7 +113,7 @@
         b.up(l, 7, {held.number, yes.number});
         REQUIRE(b.told.size() == 1);
         CHECK(b.told[0].launch == &never);
-        CHECK(b.told[0].how == AttemptOutcome::unsent);
+        CHECK(b.told[0].how == AttemptOutcome::not_sent);
     }
     SECTION("the same, but gone for longer than it remembers") {
         b.now += 100 * kSecond;
@@ -124,7 +124,7 @@
     SECTION("the same, and a container that it accepted is there no more") {
         b.up(l, 7, {held.number});
         REQUIRE(b.told.size() == 2);
-        CHECK(b.told[0].how == AttemptOutcome::unsent);
+        CHECK(b.told[0].how == AttemptOutcome::not_sent);
         CHECK(b.told[1].how == AttemptOutcome::reset);
     }
     SECTION("another one at its address, under its name") {
@@ -149,11 +149,11 @@
     l.tick(b.now + 2 * kSecond);
     CHECK(b.drops == 1);
     REQUIRE(b.told.size() == 1);
-    CHECK(b.told[0].how == AttemptOutcome::unsent);
+    CHECK(b.told[0].how == AttemptOutcome::not_sent);
     // While it pauses, nothing is held for it.
     l.offer(b.now + 2 * kSecond, b.launch());
     REQUIRE(b.told.size() == 2);
-    CHECK(b.told[1].how == AttemptOutcome::unconnected);
+    CHECK(b.told[1].how == AttemptOutcome::connect_failed);
 }
 
 TEST_CASE("a connection that stays open and says nothing is asked for life once, then cut") {
@@ -182,7 +182,7 @@
     b.taken = 400;
     l.received(b.now, 3);
     CHECK(b.sent.size() == 45);
-    b.led.said(b.now, b.node, true);
+    b.led.on_drain_announced(b.now, b.node, true);
     l.drain_heard(b.now);
     CHECK(b.told.size() == 15);  // those that had not been written
     l.tick(b.now + 500 * kMillisecond);
@@ -249,9 +249,9 @@
     Nanos now = kSecond;
     for (std::size_t i = 0; i < 100; ++i) {
         numbers[i] = i;
-        links.push_back(std::make_unique<WorkerConnection>(wire, dialler, led.meet("n" + std::to_string(i)),
-                                                           worker_connection::ConnectionSettings{},
-                                                           i * 77 + 1));
+        links.push_back(
+            std::make_unique<WorkerConnection>(wire, dialler, led.add_worker("n" + std::to_string(i)),
+                                               worker_connection::ConnectionSettings{}, i * 77 + 1));
         links.back()->tag = &numbers[i];
         links.back()->want(now, true);
     }
@@ -304,6 +304,6 @@
     CHECK(l.take_back(*all[99]));
     l.broken(b.now, b.bytes);
     int unsent = 0;
-    for (const Told& t : b.told) unsent += t.how == AttemptOutcome::unsent;
+    for (const Told& t : b.told) unsent += t.how == AttemptOutcome::not_sent;
     CHECK(unsent == 24);
 }
