--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -101,9 +101,8 @@
     a.time_left = 5 * kSecond;
     for (std::int64_t i = 0; i < state.range(0); ++i) led.create_task(0, "waiting", 1, a);
     for (auto _ : state) {
-        ledger::Refusal why{};
         ledger::TaskRecord& r = led.create_task(0, "c", 1, a);
-        ledger::Attempt& l = *led.start_attempt(0, r, n, kSecond, why);
+        ledger::Attempt& l = **led.start_attempt(0, r, n, kSecond);
         led.on_accepted(0, l);
         led.on_running(0, l);
         led.on_ended(0, l, AttemptOutcome::completed);
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -163,9 +163,9 @@
     }
     void carry_out() {
         for (const auto& [n, to] : std::exchange(bound_, {})) {
-            ledger::Refusal why{};
             ledger::TaskRecord* r = ledger_.find_task(n);
-            ledger::Attempt* l = r ? ledger_.start_attempt(now_, *r, *nodes_[to], kSecond, why) : nullptr;
+            ledger::Attempt* l =
+                r ? ledger_.start_attempt(now_, *r, *nodes_[to], kSecond).value_or(nullptr) : nullptr;
             if (!l) {
                 planner_.on_attempt_ended(now_, n, 0, AttemptOutcome::not_sent, OutcomeReason::unspecified,
                                           false, {});
--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -6,71 +6,72 @@
 
 namespace whinpost::ledger {
 
-std::string_view to_string(Refusal r) {
-    switch (r) {
+std::string_view to_string(Refusal refusal) {
+    switch (refusal) {
         case Refusal::none:
             return "allowed";
         case Refusal::answered:
-            return "the owner has its final answer";
+            return "the client has its final answer";
         case Refusal::accepted:
-            return "a node holds it";
+            return "a worker has accepted it";
         case Refusal::attempt_in_flight:
-            return "a launch is out";
+            return "an attempt is in flight";
         case Refusal::too_many_attempts:
-            return "no launch is left";
+            return "no attempt is left";
         case Refusal::too_late:
-            return "the owner has given up";
+            return "the client's deadline has passed";
         case Refusal::unknown_worker:
-            return "the node is in no list";
+            return "the worker is in no endpoint list";
         case Refusal::draining:
-            return "the node drains";
+            return "the worker is draining";
         case Refusal::wrong_kind:
-            return "the node is of another kind";
+            return "the worker is of another kind";
         case Refusal::may_have_run:
-            return "an earlier launch may have run";
+            return "an earlier attempt may have run";
         case Refusal::outside_deduplication_domain:
-            return "the node would not drop the repeat";
+            return "the worker would not drop the repeat";
         case Refusal::past_deduplication_window:
             return "repeats are remembered no longer";
         case Refusal::spread:
-            return "the place holds its most of the service";
+            return "the failure domain has its maximum of the service";
         case Refusal::no_admission_token:
-            return "the node is cold and has its part";
+            return "the worker is in slow start and no token is left";
     }
     return "unknown";
 }
 
 namespace {
-bool proves_not_run(AttemptOutcome e) {
-    return e == AttemptOutcome::rejected || e == AttemptOutcome::connect_failed ||
-           e == AttemptOutcome::not_sent;
+bool proves_not_run(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connect_failed ||
+           outcome == AttemptOutcome::not_sent;
 }
-// Nodes may have forgotten the first launch that may have run, and would take its repeat for new.
-bool past_deduplication_window(Nanos now, const TaskRecord& r, const Attempt& first) {
-    return now - first.sent_at >= r.queue_group->deduplication_window;
+
+// Workers may have forgotten the first attempt that may have run, and would take its repeat for new.
+bool past_deduplication_window(Nanos now, const TaskRecord& task, const Attempt& first) {
+    return now - first.sent_at >= task.queue_group->deduplication_window;
 }
 }  // namespace
 
-bool same_domain(const WorkerRecord& a, const WorkerRecord& b, FailureDomain p) {
-    switch (p) {
+bool same_domain(const WorkerRecord& first, const WorkerRecord& second, FailureDomain domain) {
+    switch (domain) {
         case FailureDomain::none:
             return false;
         case FailureDomain::worker:
-            return &a == &b;
+            return &first == &second;
         case FailureDomain::cell:
-            return a.endpoint.cell == b.endpoint.cell;
+            return first.endpoint.cell == second.endpoint.cell;
         case FailureDomain::zone:
-            return a.endpoint.zone == b.endpoint.zone;
+            return first.endpoint.zone == second.endpoint.zone;
         case FailureDomain::all:
             return true;
     }
     return false;
 }
 
-Ledger::Ledger(std::vector<QueueGroup> groups, RetrySettings terms, SlowStartSettings cold)
-    : groups_(std::move(groups)), retry_(terms), slow_start_(cold) {}
+Ledger::Ledger(std::vector<QueueGroup> groups, RetrySettings retry, SlowStartSettings slow_start)
+    : groups_(std::move(groups)), retry_(retry), slow_start_(slow_start) {}
 
-// ---------------------------------------------------------------- nodes
+// ---------------------------------------------------------------- workers
 
 WorkerRecord& Ledger::add_worker(std::string_view name) {
     auto it = workers_.find(name);
@@ -87,67 +88,65 @@
     return it == workers_.end() ? nullptr : &it->second;
 }
 
-// The list may take back what the list said (a drain that was called off); the node alone takes back what it
-// said itself. So a list that was asked for before the drain and comes after it opens nothing.
-void Ledger::on_endpoint(Nanos now, WorkerRecord& n, const EndpointState& entry) {
-    if (n.is_listed && entry.started_at > n.endpoint.started_at) on_restarted(now, n);
-    n.endpoint = entry;
-    n.is_listed = entry.phase != EndpointPhase::gone;
-    if (entry.phase != EndpointPhase::serving && !n.is_draining()) n.drain_known_at = now;
-    n.drain_listed = entry.phase != EndpointPhase::serving;
+// An endpoint list may revoke a drain that an endpoint list announced (a drain that was called off); a drain
+// that the worker announced itself is revoked by the worker alone. So a list that was requested before the
+// drain and arrives after it does not make the worker eligible again.
+void Ledger::on_endpoint(Nanos now, WorkerRecord& worker, const EndpointState& entry) {
+    if (worker.is_listed && entry.started_at > worker.endpoint.started_at) on_restarted(now, worker);
+    worker.endpoint = entry;
+    worker.is_listed = entry.phase != EndpointPhase::gone;
+    if (entry.phase != EndpointPhase::serving && !worker.is_draining()) worker.drain_known_at = now;
+    worker.drain_listed = entry.phase != EndpointPhase::serving;
 }
 
-void Ledger::on_removed(Nanos now, WorkerRecord& n) {
-    n.is_listed = false;
-    n.endpoint.phase = EndpointPhase::gone;
-    if (!n.is_draining()) n.drain_known_at = now;
-    n.drain_listed = true;
+void Ledger::on_removed(Nanos now, WorkerRecord& worker) {
+    worker.is_listed = false;
+    worker.endpoint.phase = EndpointPhase::gone;
+    if (!worker.is_draining()) worker.drain_known_at = now;
+    worker.drain_listed = true;
 }
 
-void Ledger::on_drain_announced(Nanos now, WorkerRecord& n, bool drains) {
-    if (drains && !n.is_draining()) n.drain_known_at = now;
-    n.drain_announced = drains;
+void Ledger::on_drain_announced(Nanos now, WorkerRecord& worker, bool drains) {
+    if (drains && !worker.is_draining()) worker.drain_known_at = now;
+    worker.drain_announced = drains;
 }
 
-void Ledger::on_restarted(Nanos, WorkerRecord& n) {
-    n.drain_announced = false;
-    n.slow_start_sends.clear();
+void Ledger::on_restarted(Nanos, WorkerRecord& worker) {
+    worker.drain_announced = false;
+    worker.slow_start_sends.clear();
 }
 
-// ---------------------------------------------------------------- containers
-
-TaskRecord& Ledger::create_task(Nanos now, std::string_view container, std::uint64_t service,
-                                const ResourceRequest& asked) {
-    TaskRecord& r = tasks_[next_task_];
-    r.number = next_task_++;
-    r.key = container;
-    r.service = service;
-    r.queue_group_index = asked.queue_group;
-    r.queue_group = &groups_[static_cast<std::size_t>(asked.queue_group)];
-    r.request = asked;
-    r.submitted_at = now;
-    r.deadline = now + asked.time_left;
-    r.attempts.reserve(static_cast<std::size_t>(std::max(1, retry_.max_attempts)));
+// ---------------------------------------------------------------- tasks
+
+TaskRecord& Ledger::create_task(Nanos now, std::string_view key, std::uint64_t service,
+                                const ResourceRequest& request) {
+    TaskRecord& task = tasks_[next_task_];
+    task.number = next_task_++;
+    task.key = key;
+    task.service = service;
+    task.queue_group_index = request.queue_group;
+    task.queue_group = &groups_[static_cast<std::size_t>(request.queue_group)];
+    task.request = request;
+    task.submitted_at = now;
+    task.deadline = now + request.time_left;
+    task.attempts.reserve(static_cast<std::size_t>(std::max(1, retry_.max_attempts)));
     ++statistics_.submitted;
-    return r;
-}
-
-TaskRecord& Ledger::adopt_task(Nanos now, std::string_view container, std::uint64_t service,
-                               const ResourceRequest& asked, WorkerRecord& n) {
-    TaskRecord& r = create_task(now, container, service, asked);
-    Attempt& l = r.attempts.emplace_back();
-    l.number = next_attempt_++;
-    l.task = &r;
-    l.worker = &n;
-    l.sent_at = now;
-    l.deadline = now;
-    l.accepted = l.running = l.adopted = true;
-    r.in_flight = r.accepted_attempt = &l;
-    r.answer = Answer::placed;
-    ++n.tasks_held;
+    return task;
+}
+
+TaskRecord& Ledger::adopt_task(Nanos now, std::string_view key, std::uint64_t service,
+                               const ResourceRequest& request, WorkerRecord& worker) {
+    TaskRecord& task = create_task(now, key, service, request);
+    Attempt& attempt = add_attempt(task, worker);
+    attempt.sent_at = now;
+    attempt.deadline = now;
+    attempt.accepted = attempt.running = attempt.adopted = true;
+    task.accepted_attempt = &attempt;
+    task.answer = Answer::placed;
+    ++worker.tasks_held;
     ++statistics_.accepted;
-    count_task(r, n);
-    return r;
+    count_task(task, worker);
+    return task;
 }
 
 TaskRecord* Ledger::find_task(std::uint64_t number) {
@@ -155,202 +154,245 @@
     return it == tasks_.end() ? nullptr : &it->second;
 }
 
-void Ledger::erase_task(TaskRecord& r) {
-    if (r.in_flight) release_task(*r.in_flight);
-    tasks_.erase(r.number);
+void Ledger::erase_task(TaskRecord& task) {
+    if (task.in_flight) release_task(*task.in_flight);
+    tasks_.erase(task.number);
 }
 
 // ---------------------------------------------------------------- the rules
 
-const Attempt* Ledger::first_possible_run(const TaskRecord& r) const {
-    for (const Attempt& l : r.attempts)
-        if (!l.ended || l.may_have_run) return &l;
+const Attempt* Ledger::first_possible_run(const TaskRecord& task) const {
+    for (const Attempt& attempt : task.attempts)
+        if (!attempt.ended || attempt.may_have_run) return &attempt;
     return nullptr;
 }
 
-int Ledger::tasks_in_domain(std::uint64_t service, const WorkerRecord& n, FailureDomain p) const {
+int Ledger::tasks_in_domain(std::uint64_t service, const WorkerRecord& worker, FailureDomain domain) const {
     const auto it = spread_counts_.find(service);
     if (it == spread_counts_.end()) return 0;
     int count = 0;
-    for (const Standing& s : it->second)
-        if (same_domain(*s.worker, n, p)) count += s.count;
+    for (const WorkerTasks& entry : it->second)
+        if (same_domain(*entry.worker, worker, domain)) count += entry.count;
     return count;
 }
 
-bool Ledger::in_slow_start(Nanos now, const WorkerRecord& n) const {
-    return n.endpoint.started_at > 0 && now - n.endpoint.started_at < slow_start_.warm_up_time;
-}
-
-Refusal Ledger::check_attempt(Nanos now, const TaskRecord& r, const WorkerRecord& n) const {
-    if (r.accepted_attempt) return Refusal::accepted;
-    if (r.answer != Answer::none || r.closed) return Refusal::answered;
-    if (r.in_flight) return Refusal::attempt_in_flight;
-    if (static_cast<int>(r.attempts.size()) >= retry_.max_attempts) return Refusal::too_many_attempts;
-    if (now >= r.deadline) return Refusal::too_late;
-    if (!n.is_listed) return Refusal::unknown_worker;
-    if (n.is_draining()) return Refusal::draining;
-    if (r.queue_group->worker_kind >= 0 && n.endpoint.kind != r.queue_group->worker_kind)
-        return Refusal::wrong_kind;
-    if (const Attempt* first = first_possible_run(r)) {
-        if (r.queue_group->effect == Effect::side_effecting) return Refusal::may_have_run;
-        if (r.queue_group->effect == Effect::keyed) {
-            if (past_deduplication_window(now, r, *first)) return Refusal::past_deduplication_window;
-            if (!same_domain(*first->worker, n, r.queue_group->deduplicated_by))
+bool Ledger::same_window(Nanos first, Nanos second) const {
+    return first / slow_start_.window == second / slow_start_.window;
+}
+
+bool Ledger::in_slow_start(Nanos now, const WorkerRecord& worker) const {
+    return worker.endpoint.started_at > 0 && now - worker.endpoint.started_at < slow_start_.warm_up_time;
+}
+
+Refusal Ledger::check_task(Nanos now, const TaskRecord& task) const {
+    if (task.accepted_attempt) return Refusal::accepted;
+    if (task.answer != Answer::none || task.closed) return Refusal::answered;
+    if (task.in_flight) return Refusal::attempt_in_flight;
+    if (static_cast<int>(task.attempts.size()) >= retry_.max_attempts) return Refusal::too_many_attempts;
+    if (now >= task.deadline) return Refusal::too_late;
+    return Refusal::none;
+}
+
+Refusal Ledger::check_worker(const TaskRecord& task, const WorkerRecord& worker) const {
+    if (!worker.is_listed) return Refusal::unknown_worker;
+    if (worker.is_draining()) return Refusal::draining;
+    const int kind = task.queue_group->worker_kind;
+    if (kind >= 0 && worker.endpoint.kind != kind) return Refusal::wrong_kind;
+    return Refusal::none;
+}
+
+Refusal Ledger::check_retry(Nanos now, const TaskRecord& task, const WorkerRecord& worker) const {
+    const Attempt* first = first_possible_run(task);
+    if (!first) return Refusal::none;
+    switch (task.queue_group->effect) {
+        case Effect::idempotent:
+            return Refusal::none;
+        case Effect::side_effecting:
+            return Refusal::may_have_run;
+        case Effect::keyed:
+            if (past_deduplication_window(now, task, *first)) return Refusal::past_deduplication_window;
+            if (!same_domain(*first->worker, worker, task.queue_group->deduplicated_by))
                 return Refusal::outside_deduplication_domain;
-        }
-    }
-    if (r.queue_group->spread_domain != FailureDomain::none &&
-        tasks_in_domain(r.service, n, r.queue_group->spread_domain) >= r.queue_group->max_per_domain)
-        return Refusal::spread;
-    if (in_slow_start(now, n) && n.admission_tokens >= 0) {
-        if (n.admission_tokens == 0) return Refusal::no_admission_token;
-    } else if (in_slow_start(now, n)) {
-        // The placers share nothing, so that all keep to the same dealing is what bounds their sum.
-        std::int64_t in_turn = 0;
-        for (const Nanos at : n.slow_start_sends)
-            in_turn += at / slow_start_.window == now / slow_start_.window;
-        if (in_turn >= Scheduler::slow_start_tokens(slow_start_, n.name_hash, now))
-            return Refusal::no_admission_token;
+            return Refusal::none;
     }
     return Refusal::none;
 }
 
-Attempt* Ledger::start_attempt(Nanos now, TaskRecord& r, WorkerRecord& n, Nanos time_out, Refusal& why) {
-    why = check_attempt(now, r, n);
-    if (why != Refusal::none) {
-        ++statistics_.refused_to_planner;
-        return nullptr;
-    }
-    if (r.attempts.size() == r.attempts.capacity()) {
-        // Pointers to launches are held outside: the room made in take() is never outgrown. A test-only
-        // ledger that allows more than is stated meets this.
+Refusal Ledger::check_spread(const TaskRecord& task, const WorkerRecord& worker) const {
+    const FailureDomain domain = task.queue_group->spread_domain;
+    if (domain == FailureDomain::none) return Refusal::none;
+    const bool full = tasks_in_domain(task.service, worker, domain) >= task.queue_group->max_per_domain;
+    return full ? Refusal::spread : Refusal::none;
+}
+
+Refusal Ledger::check_slow_start(Nanos now, const WorkerRecord& worker) const {
+    if (!in_slow_start(now, worker)) return Refusal::none;
+    if (worker.admission_tokens >= 0)
+        return worker.admission_tokens == 0 ? Refusal::no_admission_token : Refusal::none;
+    // The worker issues no tokens. Placers exchange no messages, so that the sum of their attempts stays
+    // bounded only because each keeps to the same division of the worker's capacity.
+    std::int64_t sent_in_window = 0;
+    for (const Nanos sent_at : worker.slow_start_sends) sent_in_window += same_window(sent_at, now);
+    return sent_in_window >= Scheduler::slow_start_tokens(slow_start_, worker.name_hash, now)
+               ? Refusal::no_admission_token
+               : Refusal::none;
+}
+
+Refusal Ledger::check_attempt(Nanos now, const TaskRecord& task, const WorkerRecord& worker) const {
+    if (const Refusal refusal = check_task(now, task); refusal != Refusal::none) return refusal;
+    if (const Refusal refusal = check_worker(task, worker); refusal != Refusal::none) return refusal;
+    if (const Refusal refusal = check_retry(now, task, worker); refusal != Refusal::none) return refusal;
+    if (const Refusal refusal = check_spread(task, worker); refusal != Refusal::none) return refusal;
+    return check_slow_start(now, worker);
+}
+
+tl::expected<Attempt*, Refusal> Ledger::start_attempt(Nanos now, TaskRecord& task, WorkerRecord& worker,
+                                                      Nanos time_out) {
+    Refusal refusal = check_attempt(now, task, worker);
+    // Pointers to attempts are held outside, so the space that create_task() reserved is never outgrown. Only
+    // a test's ledger, whose check allows more attempts than are configured, gets here with it used up.
+    if (refusal == Refusal::none && task.attempts.size() == task.attempts.capacity())
+        refusal = Refusal::too_many_attempts;
+    if (refusal != Refusal::none) {
         ++statistics_.refused_to_planner;
-        why = Refusal::too_many_attempts;
-        return nullptr;
-    }
-    Attempt& l = r.attempts.emplace_back();
-    l.number = next_attempt_++;
-    l.task = &r;
-    l.worker = &n;
-    l.sent_at = now;
-    l.deadline = std::min(r.deadline, now + std::max<Nanos>(time_out, kMillisecond));
-    r.in_flight = &l;
-    ++n.attempts_in_flight;
-    if (in_slow_start(now, n)) {
-        while (!n.slow_start_sends.empty() &&
-               n.slow_start_sends.front() / slow_start_.window != now / slow_start_.window)
-            n.slow_start_sends.pop_front();
-        n.slow_start_sends.push_back(now);
+        return tl::unexpected(refusal);
     }
-    count_task(r, n);
-    return &l;
+    Attempt& attempt = add_attempt(task, worker);
+    attempt.sent_at = now;
+    attempt.deadline = std::min(task.deadline, now + std::max<Nanos>(time_out, kMillisecond));
+    ++worker.attempts_in_flight;
+    if (in_slow_start(now, worker)) record_slow_start_send(now, worker);
+    count_task(task, worker);
+    return &attempt;
 }
 
-bool Ledger::may_still_send(Nanos now, const Attempt& l) const {
-    // Guards against a repeat that was allowed, waited for its connection, and would come to its node after
-    // the time for which repeats are dropped there.
-    const TaskRecord& r = *l.task;
-    if (const Attempt* first = first_possible_run(r); first && first != &l &&
-                                                      r.queue_group->effect == Effect::keyed &&
-                                                      past_deduplication_window(now, r, *first))
-        return false;
-    // Guards against a server in slow start that is sent more than it bears: by an attempt that waited for
-    // its connection into another turn than its token was of, or that was meant for the server before its
-    // restart and took none.
-    if (in_slow_start(now, *l.worker) && l.worker->admission_tokens < 0 &&
-        (l.sent_at / slow_start_.window != now / slow_start_.window ||
-         l.sent_at < l.worker->endpoint.started_at))
-        return false;
-    return !l.ended && r.answer == Answer::none && now < l.deadline && !l.worker->is_draining() &&
-           l.worker->is_listed;
+Attempt& Ledger::add_attempt(TaskRecord& task, WorkerRecord& worker) {
+    Attempt& attempt = task.attempts.emplace_back();
+    attempt.number = next_attempt_++;
+    attempt.task = &task;
+    attempt.worker = &worker;
+    task.in_flight = &attempt;
+    return attempt;
 }
 
-// ---------------------------------------------------------------- what becomes of a launch
+void Ledger::record_slow_start_send(Nanos now, WorkerRecord& worker) {
+    std::deque<Nanos>& sends = worker.slow_start_sends;
+    while (!sends.empty() && !same_window(sends.front(), now)) sends.pop_front();
+    sends.push_back(now);
+}
+
+bool Ledger::may_still_send(Nanos now, const Attempt& attempt) const {
+    return !attempt.ended && attempt.task->answer == Answer::none && now < attempt.deadline &&
+           attempt.worker->is_listed && !attempt.worker->is_draining() && !repeat_expired(now, attempt) &&
+           !slow_start_window_passed(now, attempt);
+}
 
-// A yes binds only while the launch is the one that is out and the owner waits. A yes after that is a copy
-// nobody waits for: the caller has it stopped or tells the owner where it is.
-bool Ledger::on_accepted(Nanos, Attempt& l) {
-    if (l.accepted) return false;
-    TaskRecord& r = *l.task;
-    if (l.ended || r.in_flight != &l || r.answer != Answer::none) {
+// Guards against a repeat that was allowed, waited for its connection, and would reach its worker after the
+// time for which repeats are dropped there.
+bool Ledger::repeat_expired(Nanos now, const Attempt& attempt) const {
+    const TaskRecord& task = *attempt.task;
+    if (task.queue_group->effect != Effect::keyed) return false;
+    const Attempt* first = first_possible_run(task);
+    return first && first != &attempt && past_deduplication_window(now, task, *first);
+}
+
+// Guards against a worker in slow start that is sent more than it can take: by an attempt that waited for its
+// connection into a later window than the one whose token it used, or that was meant for the worker before
+// its restart and used none.
+bool Ledger::slow_start_window_passed(Nanos now, const Attempt& attempt) const {
+    const WorkerRecord& worker = *attempt.worker;
+    if (!in_slow_start(now, worker) || worker.admission_tokens >= 0) return false;
+    return !same_window(attempt.sent_at, now) || attempt.sent_at < worker.endpoint.started_at;
+}
+
+// ---------------------------------------------------------------- the course of an attempt
+
+// An acceptance counts only while the attempt is the one in flight and the client waits. A later one is of a
+// copy that nobody waits for: the caller cancels it or tells the client where it is.
+bool Ledger::on_accepted(Nanos, Attempt& attempt) {
+    if (attempt.accepted) return false;
+    TaskRecord& task = *attempt.task;
+    if (attempt.ended || task.in_flight != &attempt || task.answer != Answer::none) {
         ++statistics_.late_accepts;
         return false;
     }
-    l.accepted = true;
-    r.accepted_attempt = &l;
-    r.answer = Answer::placed;
+    attempt.accepted = true;
+    task.accepted_attempt = &attempt;
+    task.answer = Answer::placed;
     ++statistics_.accepted;
-    --l.worker->attempts_in_flight;
-    ++l.worker->tasks_held;
+    --attempt.worker->attempts_in_flight;
+    ++attempt.worker->tasks_held;
     return true;
 }
 
-bool Ledger::on_running(Nanos, Attempt& l) {
-    if (l.ended || l.running || !l.accepted) return false;
-    l.running = true;
+bool Ledger::on_running(Nanos, Attempt& attempt) {
+    if (attempt.ended || attempt.running || !attempt.accepted) return false;
+    attempt.running = true;
     return true;
 }
 
-// Counts it among what stands of its service, where a spread is stated; left() takes it out.
-void Ledger::count_task(const TaskRecord& r, WorkerRecord& n) {
-    if (r.queue_group->spread_domain == FailureDomain::none) return;
-    auto& at = spread_counts_[r.service];
-    const auto it = std::find_if(at.begin(), at.end(), [&n](const Standing& s) { return s.worker == &n; });
-    if (it == at.end()) at.push_back({&n, 1});
+// Counts the task among those of its service in the worker's failure domain, where a spread is configured;
+// release_task() takes it out again.
+void Ledger::count_task(const TaskRecord& task, WorkerRecord& worker) {
+    if (task.queue_group->spread_domain == FailureDomain::none) return;
+    auto& workers = spread_counts_[task.service];
+    const auto it = std::find_if(workers.begin(), workers.end(),
+                                 [&worker](const WorkerTasks& entry) { return entry.worker == &worker; });
+    if (it == workers.end()) workers.push_back({&worker, 1});
     else ++it->count;
 }
 
-void Ledger::release_task(Attempt& l) {
-    TaskRecord& r = *l.task;
-    if (l.accepted) --l.worker->tasks_held;
-    else --l.worker->attempts_in_flight;
-    if (r.queue_group->spread_domain == FailureDomain::none) return;
-    const auto it = spread_counts_.find(r.service);
+void Ledger::release_task(Attempt& attempt) {
+    TaskRecord& task = *attempt.task;
+    if (attempt.accepted) --attempt.worker->tasks_held;
+    else --attempt.worker->attempts_in_flight;
+    if (task.queue_group->spread_domain == FailureDomain::none) return;
+    const auto it = spread_counts_.find(task.service);
     if (it == spread_counts_.end()) return;
-    auto& at = it->second;
-    for (std::size_t i = 0; i < at.size(); ++i)
-        if (at[i].worker == l.worker) {
-            if (--at[i].count == 0) at.erase(at.begin() + static_cast<std::ptrdiff_t>(i));
-            break;
-        }
-    if (at.empty()) spread_counts_.erase(it);
-}
-
-bool Ledger::on_ended(Nanos, Attempt& l, AttemptOutcome how) {
-    if (l.ended) return false;
-    TaskRecord& r = *l.task;
-    release_task(l);
-    l.ended = true;
-    l.outcome = how;
-    l.may_have_run = l.accepted || !proves_not_run(how);
-    if (r.in_flight == &l) r.in_flight = nullptr;
-    if (r.accepted_attempt == &l) {
-        r.accepted_attempt = nullptr;
-        r.closed = true;  // a placed container's end closes it
+    auto& workers = it->second;
+    const auto entry = std::find_if(workers.begin(), workers.end(), [&attempt](const WorkerTasks& tasks) {
+        return tasks.worker == attempt.worker;
+    });
+    if (entry != workers.end() && --entry->count == 0) workers.erase(entry);
+    if (workers.empty()) spread_counts_.erase(it);
+}
+
+bool Ledger::on_ended(Nanos, Attempt& attempt, AttemptOutcome outcome) {
+    if (attempt.ended) return false;
+    TaskRecord& task = *attempt.task;
+    release_task(attempt);
+    attempt.ended = true;
+    attempt.outcome = outcome;
+    attempt.may_have_run = attempt.accepted || !proves_not_run(outcome);
+    if (task.in_flight == &attempt) task.in_flight = nullptr;
+    if (task.accepted_attempt == &attempt) {
+        task.accepted_attempt = nullptr;
+        task.closed = true;  // the end of a placed task closes it
     }
-    if (r.answer == Answer::rejected || r.answer == Answer::failed || r.answer == Answer::cancelled)
-        r.closed = true;
+    if (task.answer == Answer::rejected || task.answer == Answer::failed || task.answer == Answer::cancelled)
+        task.closed = true;
     return true;
 }
 
 // ---------------------------------------------------------------- answers
 
-// A deferral says that trying again is harmless.
-bool Ledger::may_reject(const TaskRecord& r) const {
-    if (r.queue_group->effect == Effect::idempotent) return true;
-    if (r.in_flight) return false;
-    if (!first_possible_run(r)) return true;
-    return r.queue_group->effect == Effect::keyed && r.queue_group->deduplicated_by == FailureDomain::all;
-}
-
-bool Ledger::record_answer(Nanos, TaskRecord& r, Answer a) {
-    if (r.answer != Answer::none || a == Answer::none || a == Answer::placed) return false;
-    if (a == Answer::rejected && !may_reject(r)) return false;
-    r.answer = a;
-    if (a == Answer::rejected) ++statistics_.rejected;
-    if (a == Answer::failed) ++statistics_.failed;
-    if (a == Answer::cancelled) ++statistics_.cancelled;
-    if (!r.in_flight) r.closed = true;
+// A rejection tells the client that a retry is harmless.
+bool Ledger::may_reject(const TaskRecord& task) const {
+    if (task.queue_group->effect == Effect::idempotent) return true;
+    if (task.in_flight) return false;
+    if (!first_possible_run(task)) return true;
+    return task.queue_group->effect == Effect::keyed &&
+           task.queue_group->deduplicated_by == FailureDomain::all;
+}
+
+bool Ledger::record_answer(Nanos, TaskRecord& task, Answer answer) {
+    if (task.answer != Answer::none || answer == Answer::none || answer == Answer::placed) return false;
+    if (answer == Answer::rejected && !may_reject(task)) return false;
+    task.answer = answer;
+    if (answer == Answer::rejected) ++statistics_.rejected;
+    if (answer == Answer::failed) ++statistics_.failed;
+    if (answer == Answer::cancelled) ++statistics_.cancelled;
+    if (!task.in_flight) task.closed = true;
     return true;
 }
 
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -510,12 +510,11 @@
     if (!t) return;
     const Nanos now = loop_.now();
     PooledWorker& host = *hosts_.at(to);
-    ledger::Refusal why = ledger::Refusal::none;
-    ledger::Attempt* l =
-        ledger_.start_attempt(now, *t->record, *known_.find(host.name())->second.node, time_out, why);
-    if (!l) {
+    const auto started =
+        ledger_.start_attempt(now, *t->record, *known_.find(host.name())->second.node, time_out);
+    if (!started) {
         log_(log::Level::warning, "bind_refused",
-             {{"task", t->name}, {"host", host.name()}, {"why", ledger::to_string(why)}});
+             {{"task", t->name}, {"host", host.name()}, {"why", ledger::to_string(started.error())}});
         later_.push_back([this, n] {
             planner_->on_attempt_ended(loop_.now(), n, 0, AttemptOutcome::not_sent,
                                        OutcomeReason::unspecified, false, {});
@@ -523,6 +522,7 @@
         });
         return;
     }
+    ledger::Attempt* l = *started;
     t->stood = false;
     wheel_.arm(t->launch_end, l->deadline);
     arm();
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -177,14 +177,6 @@
 
 void PlacerServer::touch() { round_by(loop_.now()); }
 
-void PlacerServer::run_later() {
-    while (!later_.empty()) {
-        const auto f = std::move(later_.front());
-        later_.pop_front();
-        f();
-    }
-}
-
 void PlacerServer::round() {
     round_at_ = 0;
     const Nanos now = loop_.now();
@@ -192,10 +184,10 @@
     ++counts_.rounds;
     if (!planning_) return;
     if (wake_at_ <= now) wake_at_ = 0;
-    run_later();
+    deferred_calls_.run_all();
     regain_.turn(now);
     planning_->run_round(now);
-    run_later();
+    deferred_calls_.run_all();
     taker_.waiting(now, static_cast<std::size_t>(std::max<std::int64_t>(0, intake_.waiting() - out_)));
     const Nanos took = loop_.now() - now;
     const bool idle = took > static_cast<Nanos>(binds_) * kBindTakes;
@@ -410,9 +402,9 @@
     };
     if (to >= nodes_->size()) return untaken("no such node");
     WorkerPeer& peer = nodes_->at(to);
-    ledger::Refusal why{};
-    ledger::Attempt* l = ledger_.start_attempt(now, *h->record, peer.node, time_out, why);
-    if (!l) return untaken(ledger::to_string(why));
+    const auto started = ledger_.start_attempt(now, *h->record, peer.node, time_out);
+    if (!started) return untaken(ledger::to_string(started.error()));
+    ledger::Attempt* l = *started;
     ++binds_;
     ++out_;
     taker_.spend(now, peer.cold);
--- a/src/server/placer_server.h
+++ b/src/server/placer_server.h
@@ -17,6 +17,7 @@
 #include "log/logger.h"
 #include "membership/membership.h"
 #include "net/stream.h"
+#include "planner/deferred_calls.h"
 #include "planner/planner.h"
 #include "recovery/recovery_queue.h"
 #include "slow_start/token_client.h"
@@ -157,10 +158,9 @@
     void round_by(Nanos at);
     void round();
     void later(std::function<void()> f) {
-        later_.push_back(std::move(f));
+        deferred_calls_.defer(std::move(f));
         touch();
     }
-    void run_later();
     void arm(timer_wheel::Timer&, Nanos at);
     void turn();
     void check_closed();
@@ -189,8 +189,8 @@
     bool view_changed_ = false, list_failing_ = false;
     std::unique_ptr<net::Timer> tick_, round_, close_timer_;
     Nanos tick_at_ = 0, round_at_ = 0, last_round_ = 0, wake_at_ = 0, pace_ = 0;
-    std::uint64_t binds_ = 0;  // in this round
-    std::deque<std::function<void()>> later_;
+    std::uint64_t binds_ = 0;                // in this round
+    planner::DeferredCalls deferred_calls_;  // run before and after each round
     std::unordered_map<std::uint64_t, std::unique_ptr<InFlightTask>>
         held_;  // by the ledger's number; walked in order only
     std::unordered_map<std::uint64_t, ledger::Attempt*> launches_;
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -201,8 +201,7 @@
             const bool allowed = plain.may_launch(now, c, n, listed[&n], said[&n] || listed_draining[&n]);
             INFO(ledger::to_string(led.check_attempt(now, r, n)));
             REQUIRE((led.check_attempt(now, r, n) == Refusal::none) == allowed);
-            Refusal why{};
-            ledger::Attempt* l = led.start_attempt(now, r, n, roll(3000) * kMillisecond, why);
+            ledger::Attempt* l = led.start_attempt(now, r, n, roll(3000) * kMillisecond).value_or(nullptr);
             REQUIRE((l != nullptr) == allowed);
             if (!l) continue;
             REQUIRE(l->deadline <= r.deadline);
@@ -251,11 +250,10 @@
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
-    Refusal why{};
     ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
-    ledger::Attempt* first = led.start_attempt(0, r, n, kSecond, why);
+    ledger::Attempt* first = led.start_attempt(0, r, n, kSecond).value_or(nullptr);
     led.on_ended(kSecond, *first, AttemptOutcome::timed_out);
-    ledger::Attempt* second = led.start_attempt(kSecond, r, n, kSecond, why);
+    ledger::Attempt* second = led.start_attempt(kSecond, r, n, kSecond).value_or(nullptr);
     CHECK_FALSE(led.on_accepted(kSecond, *first));
     CHECK(led.statistics().late_accepts == 1);
     CHECK(led.on_accepted(kSecond, *second));
@@ -263,7 +261,7 @@
     CHECK(led.statistics().accepted == 1);
 
     ledger::TaskRecord& late = led.create_task(0, "d", 1, asking());
-    ledger::Attempt* l = led.start_attempt(0, late, n, kSecond, why);
+    ledger::Attempt* l = led.start_attempt(0, late, n, kSecond).value_or(nullptr);
     REQUIRE(led.record_answer(0, late, Answer::failed));
     CHECK_FALSE(led.on_accepted(kSecond, *l));
     CHECK_FALSE(late.closed);
@@ -290,9 +288,8 @@
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
-    Refusal why{};
     ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
-    ledger::Attempt* l = led.start_attempt(0, r, n, kSecond, why);
+    ledger::Attempt* l = led.start_attempt(0, r, n, kSecond).value_or(nullptr);
     CHECK(led.may_still_send(0, *l));
     CHECK_FALSE(led.may_still_send(kSecond, *l));  // its time is up
     led.on_drain_announced(1, n, true);
@@ -308,12 +305,12 @@
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(kSecond, n, serving());
     ledger::TaskRecord& r = led.create_task(kSecond, "c", 1, asking(0, 20 * kSecond));
-    ledger::Refusal why{};
-    ledger::Attempt* first = led.start_attempt(kSecond, r, n, kSecond, why);
+    ledger::Attempt* first = led.start_attempt(kSecond, r, n, kSecond).value_or(nullptr);
     REQUIRE(first);
     CHECK(led.may_still_send(kSecond, *first));
     led.on_ended(2 * kSecond, *first, AttemptOutcome::reset);
-    ledger::Attempt* second = led.start_attempt(4 * kSecond - kMillisecond, r, n, 5 * kSecond, why);
+    ledger::Attempt* second =
+        led.start_attempt(4 * kSecond - kMillisecond, r, n, 5 * kSecond).value_or(nullptr);
     REQUIRE(second);
     CHECK(led.may_still_send(4 * kSecond - kMillisecond, *second));
     CHECK(!led.may_still_send(4 * kSecond, *second));
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -51,10 +51,9 @@
         stand.placer.run_round(now);
         for (std::size_t i = before; i < stand.seen.size(); ++i) {
             if (stand.seen[i].what != 'b') continue;
-            ledger::Refusal why{};
             ledger::TaskRecord& r = ledger.create_task(now, "c", 1, stand.seen[i].container->request);
-            if (ledger::Attempt* l = ledger.start_attempt(now, r, *node, kSecond, why))
-                waiting.push_back({l, stand.seen[i].container, now + dial()});
+            if (const auto attempt = ledger.start_attempt(now, r, *node, kSecond))
+                waiting.push_back({*attempt, stand.seen[i].container, now + dial()});
             else over.push_back(stand.seen[i].container);
         }
     }
@@ -137,9 +136,9 @@
     l.on_endpoint(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
     ResourceRequest asked;
     asked.time_left = 10 * kSecond;
-    ledger::Refusal why{};
     const Nanos sent = kStart + kWindow / 2;
-    ledger::Attempt* attempt = l.start_attempt(sent, l.create_task(sent, "a", 1, asked), n, 5 * kSecond, why);
+    ledger::Attempt* attempt =
+        l.start_attempt(sent, l.create_task(sent, "a", 1, asked), n, 5 * kSecond).value_or(nullptr);
     REQUIRE(attempt);
     CHECK(l.may_still_send(kStart + kWindow - 1, *attempt));
     CHECK_FALSE(l.may_still_send(kStart + kWindow, *attempt));
@@ -167,15 +166,13 @@
         for (Nanos now = first; now < kStart + kTurns * kWindow; now += kStep) {
             if (late_dials && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
             for (bool refused = false; !refused;) {
-                ledger::Refusal why{};
-                const ledger::Attempt* attempt =
-                    l.start_attempt(now, l.create_task(now, "c", 1, asked), n, kSecond, why);
+                const auto attempt = l.start_attempt(now, l.create_task(now, "c", 1, asked), n, kSecond);
                 refused = !attempt;
-                if (refused) CHECK(why == ledger::Refusal::no_admission_token);
+                if (refused) CHECK(attempt.error() == ledger::Refusal::no_admission_token);
                 if (refused) continue;
                 const bool waits = late_dials && now < kStart + kWindow;
                 const Nanos up = now + (waits ? static_cast<Nanos>(chance() % 1000) * kMillisecond : 0);
-                if (l.may_still_send(up, *attempt)) sent.push_back(up);
+                if (l.may_still_send(up, **attempt)) sent.push_back(up);
             }
         }
     }
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -52,8 +52,7 @@
     ledger::Attempt& launch() {
         ResourceRequest a;
         a.time_left = 60 * kSecond;
-        Refusal why{};
-        return *led.start_attempt(now, led.create_task(now, "c", 1, a), node, 50 * kSecond, why);
+        return **led.start_attempt(now, led.create_task(now, "c", 1, a), node, 50 * kSecond);
     }
     void up(WorkerConnection& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
         l.want(now, true);
