--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -44,23 +44,23 @@
     planner::LocalPlanner planner(
         front, told->seed(), settings::zone(settings), groups, kinds, settings::worker_acceptance(settings),
         cold, settings::discovery_settings(settings), launches, settings::prices(settings));
-    front.plan_with(planner);
-    for (const std::string& e : told->known()) front.bus().known(e);
+    front.set_planner(planner);
+    for (const std::string& e : told->known()) front.discovery_watch().apply_initial_event(e);
     // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
     loop.on_signal(SIGHUP, [&] {
         try {
-            front.bus().moved(platform::BootstrapConfig::read(path).bus());
+            front.discovery_watch().move_to(platform::BootstrapConfig::read(path).bus());
             log(log::Level::info, "read_again", {{"file", path}});
         } catch (const std::exception& e) {
             log(log::Level::error, "read_again_failed", {{"why", e.what()}});
         }
     });
-    const auto end = [&] { front.close([&loop] { loop.stop(); }); };
+    const auto end = [&] { front.drain([&loop] { loop.stop(); }); };
     loop.on_signal(SIGTERM, end);
     loop.on_signal(SIGINT, end);
     const std::string wrong = front.listen(listen);
     if (!wrong.empty()) throw platform::BootstrapError("GW_LISTEN: " + listen + ": " + wrong);
-    front.bus().follow(told->bus(), told->offset());
+    front.discovery_watch().follow(told->bus(), told->offset());
     told.reset();
     log(log::Level::info, "serving", {{"listen", listen}});
     loop.run();
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -58,28 +58,28 @@
         : host_count_(seed % 3 == 0 ? kManyHosts : kFewHosts),
           chance_(static_cast<std::ranlux24_base::result_type>(seed)),
           rig_(seed % 3 == 0 ? kFewDescriptors : kManyDescriptors),
-          random_planner_(rig_.front, static_cast<std::size_t>(host_count_), seed) {
-        if (seed % 5 == 0) rig_.front.plan_with(random_planner_);
+          random_planner_(rig_.server, static_cast<std::size_t>(host_count_), seed) {
+        if (seed % 5 == 0) rig_.server.set_planner(random_planner_);
     }
 
     std::uint64_t digest() {
         rig_.start();
         std::vector<std::string> entries;
         for (int i = 0; i < host_count_; ++i) {
-            hosts_.push_back(&rig_.host("h" + std::to_string(i)));
+            hosts_.push_back(&rig_.add_worker("h" + std::to_string(i)));
             states_.push_back("active");
             entries.push_back(entry(static_cast<std::size_t>(i)));
         }
-        rig_.tell(entries, true);
-        for (int i = 0; i < kClients; ++i) clients_.push_back(&rig_.owner(i + 1));
+        rig_.publish(entries, true);
+        for (int i = 0; i < kClients; ++i) clients_.push_back(&rig_.connect_client(i + 1));
         for (int step = 0; step < kSteps; ++step) {
             act();
-            if (step == kSteps * 9 / 10) rig_.front.close([] {});
+            if (step == kSteps * 9 / 10) rig_.server.drain([] {});
             rig_.run(kStep);
             digest_ = combine(digest_, rig_.world.digest());
-            digest_ = combine(digest_, rig_.front.tasks());
-            digest_ = combine(digest_, rig_.front.connections());
-            digest_ = combine(digest_, rig_.front.early());
+            digest_ = combine(digest_, rig_.server.task_count());
+            digest_ = combine(digest_, rig_.server.connection_count());
+            digest_ = combine(digest_, rig_.server.pending_recovery_count());
         }
         return digest_;
     }
@@ -115,43 +115,44 @@
         if (luck(20)) more += ";life:" + std::to_string(500 + roll(5000));
         if (luck(2)) more += ";bad";
         auto& client = *clients_[roll(clients_.size())];
-        client.raw(set_up_bytes(id, groups[roll(3)], static_cast<int>(200 + roll(4000)), more));
+        client.send_bytes(place_task_bytes(id, groups[roll(3)], static_cast<int>(200 + roll(4000)), more));
     }
 
     // Answers some of what a host has read, ends some of what runs there, and sends notes on it.
-    void host_speaks(PlatformRig::HostAt& host) {
-        for (auto& line : host.conns) {
-            if (line->over || !line->stream) continue;
+    void host_speaks(PlatformRig::FakeWorker& host) {
+        for (auto& line : host.connections) {
+            if (line->closed || !line->stream) continue;
             std::size_t& read = read_[line.get()];
-            for (; read < line->got.size(); ++read) host_hears(host, *line, line->got[read]);
+            for (; read < line->received.size(); ++read) host_hears(host, *line, line->received[read]);
         }
         auto& running = running_[host.name];
         for (std::size_t i = 0; i < running.size();) {
             if (!luck(4)) {
-                if (luck(5)) note(*host.conns.back(), running[i]);
+                if (luck(5)) note(*host.connections.back(), running[i]);
                 ++i;
                 continue;
             }
             const std::uint8_t causes[] = {platform_codec::kOk, platform_codec::kOk, platform_codec::kReset,
                                            platform_codec::kError};
-            host.last().release(running[i], causes[roll(4)], luck(20) ? "evicted" : "");
+            host.last_connection().release(running[i], causes[roll(4)], luck(20) ? "evicted" : "");
             running.erase(running.begin() + static_cast<std::ptrdiff_t>(i));
         }
     }
 
-    void host_hears(PlatformRig::HostAt& host, Line& line, const Line::Got& message) {
-        if (message.type == MessageType::test) {
+    void host_hears(PlatformRig::FakeWorker& host, TestClient& line,
+                    const TestClient::ReceivedMessage& message) {
+        if (message.type == MessageType::health_check) {
             Message reply;
-            reply.type = MessageType::tested;
+            reply.type = MessageType::health_check_reply;
             reply.task = message.task;
             reply.cause = luck(90) ? platform_codec::kPassed : platform_codec::kFailed;
             const std::string report = "x0:" + std::to_string(roll(16)) + ";x1:" + std::to_string(roll(32)) +
                                        ";busy:0." + std::to_string(roll(10));
-            if (luck(80)) reply.report = report;
-            line.say(reply);
+            if (luck(80)) reply.load_report = report;
+            line.send(reply);
             return;
         }
-        if (message.type != MessageType::set_up || luck(4)) return;
+        if (message.type != MessageType::place_task || luck(4)) return;
         const std::size_t kind = roll(20);
         if (kind == 0) return line.release(message.task, platform_codec::kFull, "no_cores");
         if (kind == 1) return line.release(message.task, platform_codec::kFull, "queue_full");
@@ -166,24 +167,24 @@
     }
 
     // It has run to its end before its answer was written: both in one message.
-    void answer_and_end(Line& line, std::uint64_t task) {
+    void answer_and_end(TestClient& line, std::uint64_t task) {
         Message m;
         m.type = MessageType::release;
         m.task = task;
         m.cause = platform_codec::kOk;
         m.description = "ran";
-        line.say(m);
+        line.send(m);
     }
 
-    void note(Line& line, std::uint64_t task) {
+    void note(TestClient& line, std::uint64_t task) {
         const char* kinds[] = {"runs", "cores", "memory", "served", "pressure"};
         const std::string figure = "0." + std::to_string(1 + roll(9));
         Message m;
         m.type = MessageType::note;
         m.task = task;
-        m.notes = kinds[roll(5)];
-        if (luck(95)) m.figure = figure;
-        line.say(m);
+        m.detail = kinds[roll(5)];
+        if (luck(95)) m.metric_value = figure;
+        line.send(m);
     }
 
     void client_releases() {
@@ -191,20 +192,20 @@
         if (luck(60))
             client.release(next_id_ - std::min<std::uint64_t>(next_id_, roll(12)), platform_codec::kOk);
         Message m;
-        m.type = luck(50) ? MessageType::test : MessageType::release_heard;
+        m.type = luck(50) ? MessageType::health_check : MessageType::release_ack;
         m.task = roll(next_id_);
         m.cause = 0;
-        client.say(m);
+        client.send(m);
     }
 
     void client_disturbs() {
         const std::size_t i = roll(clients_.size());
         auto& client = *clients_[i];
-        if (client.stream && luck(30)) client.raw(std::string("\x00\x40\x01half", 7));
-        else if (client.stream && luck(30)) client.raw("\xff\xff no message");
+        if (client.stream && luck(30)) client.send_bytes(std::string("\x00\x40\x01half", 7));
+        else if (client.stream && luck(30)) client.send_bytes("\xff\xff no message");
         else if (client.stream && luck(40)) client.stream->shutdown_write();
         else if (client.stream) client.stream->abort();
-        clients_[i] = &rig_.owner(static_cast<int>(i) + 1);
+        clients_[i] = &rig_.connect_client(static_cast<int>(i) + 1);
     }
 
     void list_changes() {
@@ -216,22 +217,22 @@
         if (whole)
             for (std::size_t k = 0; k < hosts_.size(); ++k)
                 if (k != i && luck(90)) entries.push_back(entry(k));
-        rig_.tell(entries, whole);
+        rig_.publish(entries, whole);
     }
 
     void discovery_disturbs() {
-        if (rig_.buses.empty() || !rig_.buses.back()->stream) return;
-        if (luck(50)) rig_.tell_raw("data: no event\n\n");
-        else if (luck(50)) rig_.buses.back()->stream->abort();
+        if (rig_.watches.empty() || !rig_.watches.back()->stream) return;
+        if (luck(50)) rig_.publish_bytes("data: no event\n\n");
+        else if (luck(50)) rig_.watches.back()->stream->abort();
         else rig_.comments = !rig_.comments;
     }
 
-    void host_disturbs(PlatformRig::HostAt& host) {
-        if (host.conns.empty()) return;
-        Line& line = *host.conns[roll(host.conns.size())];
-        if (!line.stream || line.over) return;
+    void host_disturbs(PlatformRig::FakeWorker& host) {
+        if (host.connections.empty()) return;
+        TestClient& line = *host.connections[roll(host.connections.size())];
+        if (!line.stream || line.closed) return;
         const std::size_t kind = roll(5);
-        if (kind == 0) line.raw("\xff\xff no message");
+        if (kind == 0) line.send_bytes("\xff\xff no message");
         else if (kind == 1) line.stream->abort();
         else if (kind == 2) rig_.world.stall(*host.process);
         else if (kind == 3)
@@ -244,10 +245,10 @@
     std::ranlux24_base chance_;
     PlatformRig rig_;
     RandomPlanner random_planner_;
-    std::vector<PlatformRig::HostAt*> hosts_;
-    std::vector<Line*> clients_;
+    std::vector<PlatformRig::FakeWorker*> hosts_;
+    std::vector<TestClient*> clients_;
     std::vector<std::string> states_;
-    std::map<const Line*, std::size_t> read_;
+    std::map<const TestClient*, std::size_t> read_;
     std::map<std::string, std::vector<std::uint64_t>> running_;
     std::uint64_t next_id_ = 1;
     std::uint64_t digest_ = 14695981039346656037u;
--- a/fuzz/platform_endpoint.cpp
+++ b/fuzz/platform_endpoint.cpp
@@ -46,15 +46,16 @@
     }
     PlatformRig t;
     t.start();
-    PlatformRig::HostAt& h = t.host("h");
-    t.tell({PlatformRig::entry(h)}, true);
-    Line& good = t.owner(1);
-    t.ask(good, 1);
-    Line& other = t.owner(2);
+    PlatformRig::FakeWorker& h = t.add_worker("h");
+    t.publish({PlatformRig::entry(h)}, true);
+    TestClient& good = t.connect_client(1);
+    t.request_placement(good, 1);
+    TestClient& other = t.connect_client(2);
     if (from == 0) send(other.stream.get(), bytes, t, other.stream);
-    if (from == 1 && !h.conns.empty()) send(h.conns[0]->stream.get(), bytes, t, h.conns[0]->stream);
-    if (from == 2) send(t.buses.back()->stream.get(), bytes, t, t.buses.back()->stream);
-    t.ask(good, 2);
+    if (from == 1 && !h.connections.empty())
+        send(h.connections[0]->stream.get(), bytes, t, h.connections[0]->stream);
+    if (from == 2) send(t.watches.back()->stream.get(), bytes, t, t.watches.back()->stream);
+    t.request_placement(good, 2);
     t.run(8 * kSecond);
     for (const std::uint64_t id : {1, 2})
         if (good.count(MessageType::answer, id) + good.count(MessageType::release, id) == 0) __builtin_trap();
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -35,19 +35,20 @@
 }  // namespace
 
 ClientConnection::ClientConnection(ClientServer& owners, std::unique_ptr<net::Stream> s, bool turned_away)
-    : owners_(owners), stream_(std::move(s)), peer_(host_of(stream_->peer())), since_(owners.loop_.now()),
-      used_(since_), unseen_at_accept_(owners.loop_.unseen_since()), turned_away_(turned_away),
-      ending_(turned_away) {
-    owners_.turned_away_ += turned_away_;
+    : server_(owners), stream_(std::move(s)), peer_(host_of(stream_->peer())),
+      connected_at_(owners.loop_.now()), last_used_(connected_at_),
+      unseen_since_at_accept_(owners.loop_.unseen_since()), rejected_(turned_away), ending_(turned_away) {
+    server_.rejected_count_ += rejected_;
 }
-ClientConnection::~ClientConnection() { owners_.turned_away_ -= turned_away_; }
+ClientConnection::~ClientConnection() { server_.rejected_count_ -= rejected_; }
 
 // Guards against a close that crosses the release: whoever says of releases that they were heard, and has not
 // said it of this one before its connection went, has not heard it.
-void ClientConnection::release(std::uint64_t id, std::uint8_t cause) {
-    if (unheard_.size() >= kMostUnheard) unheard_.erase(unheard_.begin());
-    unheard_.push_back({id, cause, owners_.loop_.now()});
-    refuse(id, cause);
+void ClientConnection::send_task_ended(std::uint64_t id, std::uint8_t cause) {
+    if (unacknowledged_releases_.size() >= kMostUnheard)
+        unacknowledged_releases_.erase(unacknowledged_releases_.begin());
+    unacknowledged_releases_.push_back({id, cause, server_.loop_.now()});
+    send_release(id, cause);
 }
 
 void ClientConnection::write(const Message& m) {
@@ -55,32 +56,32 @@
     std::string bytes;
     platform_codec::encode(bytes, m);
     stream_->write(bytes);
-    told_ = true;
-    used_ = owners_.loop_.now();
+    was_written_to_ = true;
+    last_used_ = server_.loop_.now();
     if (stream_->unsent() <= kMostUnsent) return;
     // It does not read. It is ended after the next round, not here: answers are given from within a round of
     // the planner, and what else is owed on this connection is to be told to the planner, which bears that
     // between its rounds only.
-    if (std::exchange(stuck_, true)) return;
+    if (std::exchange(stalled_, true)) return;
     stream_->set_reading(false);
-    owners_.user_.owner_stuck();
+    server_.handler_.on_client_stalled();
 }
 
-void ClientConnection::refuse(std::uint64_t id, std::uint8_t cause, Nanos stay_away) {
+void ClientConnection::send_release(std::uint64_t id, std::uint8_t cause, Nanos stay_away) {
     Message m;
     m.type = MessageType::release;
     m.task = id;
     m.cause = cause;
     const std::string ms = std::to_string(stay_away / kMillisecond);
-    if (stay_away > 0) m.stay_away = ms;
+    if (stay_away > 0) m.retry_after_ms = ms;
     write(m);
 }
 
 // Guards against attempts that begin after their client has closed or given up: its word of that may lie
 // behind more bytes than one read takes, or have come while the loop was busy.
-bool ClientConnection::may_have_gone() const {
+bool ClientConnection::may_have_disconnected() const {
     if (backlog_since_ || stream_->peer_closed()) return true;
-    return owners_.loop_.now() - owners_.loop_.polled_at() > kLoopAway && stream_->has_unread();
+    return server_.loop_.now() - server_.loop_.polled_at() > kLoopAway && stream_->has_unread();
 }
 
 // Guards against a close over bytes of the peer that were not read yet: the kernel would reset the
@@ -92,72 +93,73 @@
         ending_ = true;
         return;
     }
-    owners_.user_.owner_ends(*this);
+    server_.handler_.on_client_ending(*this);
     ended_ = true;
-    ended_at_ = owners_.loop_.now();
+    ended_at_ = server_.loop_.now();
     stream_->shutdown_write();
-    owners_.leave(*this);
+    server_.move_to_ended(*this);
 }
 
 // All whole messages that were read are gone through, also after one that ends the connection: a request that
 // was read is answered, and be it by a refusal.
 std::size_t ClientConnection::on_received(std::string_view in) {
     if (ended_) return in.size();
-    Nanos since = owners_.loop_.unseen_since();
-    if (!spoke_ && since <= since_) since = std::min(since, unseen_at_accept_);
+    Nanos since = server_.loop_.unseen_since();
+    if (!has_sent_ && since <= connected_at_) since = std::min(since, unseen_since_at_accept_);
     if (backlog_since_) since = std::min(since, backlog_since_);
     bool spoilt = false;
     reading_ = true;
     const std::size_t done = platform_codec::decode_all(in, spoilt, [this, since](const Message& m) {
-        heard(m, since);
+        on_message(m, since);
         return true;
     });
     reading_ = false;
     if (spoilt) {
-        owners_.log_(log::Level::debug, "owner_unreadable", {{"peer", peer_}});
+        server_.log_(log::Level::debug, "owner_unreadable", {{"peer", peer_}});
         stream_->set_reading(false);  // there may be no end of it
         ending_ = true;
     }
     backlog_since_ = in.size() >= net::kMaxReadSize && stream_->has_unread() ? since : 0;
-    half_since_ = done < in.size() ? (half_since_ ? half_since_ : owners_.loop_.now()) : 0;
-    if (ending_ && (spoilt || spoke_)) end();
+    partial_since_ = done < in.size() ? (partial_since_ ? partial_since_ : server_.loop_.now()) : 0;
+    if (ending_ && (spoilt || has_sent_)) end();
     return ended_ ? in.size() : done;
 }
 
-void ClientConnection::heard(const Message& m, Nanos since) {
-    used_ = owners_.loop_.now();
-    if (!std::exchange(spoke_, true)) owners_.user_.owner_came(*this);
-    if (owners_.log_.enabled(log::Level::debug))
-        owners_.log_(log::Level::debug, "owner_says",
+void ClientConnection::on_message(const Message& m, Nanos since) {
+    last_used_ = server_.loop_.now();
+    if (!std::exchange(has_sent_, true)) server_.handler_.on_client_identified(*this);
+    if (server_.log_.enabled(log::Level::debug))
+        server_.log_(log::Level::debug, "owner_says",
                      {{"peer", stream_->peer()},
                       {"type", static_cast<int>(m.type)},
                       {"task", m.task},
                       {"cause", m.cause ? static_cast<int>(*m.cause) : -1},
-                      {"class", m.group.value_or("-")},
-                      {"wait", m.wait.value_or("-")},
-                      {"name", m.name.value_or("-")},
-                      {"figures", m.figures.value_or("-")},
+                      {"class", m.queue_group.value_or("-")},
+                      {"wait", m.time_left_ms.value_or("-")},
+                      {"name", m.task_name.value_or("-")},
+                      {"figures", m.requirements.value_or("-")},
                       {"description", m.description ? static_cast<int>(m.description->size()) : -1}});
     switch (m.type) {
-        case MessageType::set_up:
-            if (ending_ || stuck_) refuse(m.task, platform_codec::kTryLater);
-            else owners_.user_.set_up(*this, m, since);
+        case MessageType::place_task:
+            if (ending_ || stalled_) send_release(m.task, platform_codec::kTryLater);
+            else server_.handler_.on_place_task(*this, m, since);
             break;
         case MessageType::release:
-            owners_.user_.released(*this, m.task);
+            server_.handler_.on_release(*this, m.task);
             break;
-        case MessageType::test: {
+        case MessageType::health_check: {
             Message r;
-            r.type = MessageType::tested;
+            r.type = MessageType::health_check_reply;
             r.task = m.task;
-            r.cause = owners_.user_.passes_tests() ? platform_codec::kPassed : platform_codec::kFailed;
+            r.cause = server_.handler_.is_healthy() ? platform_codec::kPassed : platform_codec::kFailed;
             write(r);
-            owners_.user_.tested();
+            server_.handler_.on_health_check();
             break;
         }
-        case MessageType::release_heard:
-            owners_.hears_ = true;
-            std::erase_if(unheard_, [&m](const UnacknowledgedRelease& u) { return u.id == m.task; });
+        case MessageType::release_ack:
+            server_.acknowledge_releases_ = true;
+            std::erase_if(unacknowledged_releases_,
+                          [&m](const UnacknowledgedRelease& u) { return u.id == m.task; });
             break;
         case MessageType::progress:
             break;
@@ -169,15 +171,15 @@
 // A client that closes its side may still read, so what it is owed is answered. One that has closed both
 // never sees that.
 void ClientConnection::on_closed(net::CloseReason why) {
-    closed_ = true;
+    peer_closed_ = true;
     if (why == net::CloseReason::by_peer && !ended_) return end();
     stream_->abort();  // its descriptor is free from now on
     if (std::exchange(ended_, true)) return;
-    owners_.leave(*this);
+    server_.move_to_ended(*this);
 }
 
 ClientServer::ClientServer(net::EventLoop& loop, const log::Logger& log, ClientHandler& user)
-    : loop_(loop), log_(log), user_(user) {}
+    : loop_(loop), log_(log), handler_(user) {}
 
 std::string ClientServer::listen(const std::string& address) {
     std::string error;
@@ -193,53 +195,58 @@
 // stands, whose end could then be told to nobody.
 void ClientServer::accept(std::unique_ptr<net::Stream> s) {
     const Nanos now = loop_.now();
-    const bool room = user_.room_for_owner() || show_out(now);
-    if (!room && !room_to_turn_away(now)) return s->abort();
+    const bool room = handler_.make_room_for_client() || evict(now);
+    if (!room && !make_room_to_reject(now)) return s->abort();
     ClientConnection& o =
-        *owners_.emplace_back(std::make_unique<ClientConnection>(*this, std::move(s), !room));
+        *clients_.emplace_back(std::make_unique<ClientConnection>(*this, std::move(s), !room));
     loop_.attach(*o.stream_, o);
 }
 
 // Guards against a reset over a first request that was written with the connection: where all have something
 // open, a few more are accepted to be refused.
-bool ClientServer::room_to_turn_away(Nanos now) {
-    if (turned_away_ < kMostTurnedAway || drop_one_that_left(true)) return true;
-    const auto silent = std::find_if(owners_.begin(), owners_.end(), [now](const auto& o) {
-        return o->turned_away_ && !o->spoke_ && now - o->since_ >= kJustCame && !o->stream_->has_unread();
+bool ClientServer::make_room_to_reject(Nanos now) {
+    if (rejected_count_ < kMostTurnedAway || drop_ended(true)) return true;
+    const auto silent = std::find_if(clients_.begin(), clients_.end(), [now](const auto& o) {
+        return o->rejected_ && !o->has_sent_ && now - o->connected_at_ >= kJustCame &&
+               !o->stream_->has_unread();
     });
-    if (silent == owners_.end()) return false;
+    if (silent == clients_.end()) return false;
     (*silent)->end();
-    std::erase_if(left_, [](const auto& o) { return o->turned_away_ && !o->spoke_; });
+    std::erase_if(ended_, [](const auto& o) { return o->rejected_ && !o->has_sent_; });
     return true;
 }
 
 // One that lingers for its client to close, with nothing on its way that a close would destroy.
-bool ClientServer::drop_one_that_left(bool turned_away) {
-    const auto quiet = std::find_if(left_.begin(), left_.end(), [turned_away](const auto& o) {
-        return o->turned_away_ == turned_away && (o->closed_ || !o->stream_->has_unread()) &&
+bool ClientServer::drop_ended(bool turned_away) {
+    const auto quiet = std::find_if(ended_.begin(), ended_.end(), [turned_away](const auto& o) {
+        return o->rejected_ == turned_away && (o->peer_closed_ || !o->stream_->has_unread()) &&
                o->stream_->unsent() == 0;
     });
-    if (quiet == left_.end()) return false;
-    left_.erase(quiet);
+    if (quiet == ended_.end()) return false;
+    ended_.erase(quiet);
     return true;
 }
 
 // Called by the listener alone, so that no connection that goes here is what is calling.
-bool ClientServer::show_out(Nanos now) {
-    if (drop_one_that_left(false)) return true;
+bool ClientServer::evict(Nanos now) {
+    if (drop_ended(false)) return true;
     std::vector<ClientConnection*> kept;
     for (int i = 0; i < kTriesToShowOut; ++i) {
         ClientConnection* out = nullptr;
         const auto may = [&kept](const ClientConnection& o) {
-            return !o.turned_away_ && std::find(kept.begin(), kept.end(), &o) == kept.end();
+            return !o.rejected_ && std::find(kept.begin(), kept.end(), &o) == kept.end();
         };
-        for (const auto& o : owners_)
-            if (!o->spoke_ && now - o->since_ >= kJustCame && may(*o) && (!out || o->since_ < out->since_))
+        for (const auto& o : clients_)
+            if (!o->has_sent_ && now - o->connected_at_ >= kJustCame && may(*o) &&
+                (!out || o->connected_at_ < out->connected_at_))
                 out = o.get();
         if (!out) {
-            const auto rank = [](const ClientConnection& o) { return std::pair(o.standing_ > 0, o.used_); };
-            for (const auto& o : owners_)
-                if (o->spoke_ && !o->open_ && may(*o) && (!out || rank(*o) < rank(*out))) out = o.get();
+            const auto rank = [](const ClientConnection& o) {
+                return std::pair(o.running_tasks_ > 0, o.last_used_);
+            };
+            for (const auto& o : clients_)
+                if (o->has_sent_ && !o->open_requests_ && may(*o) && (!out || rank(*o) < rank(*out)))
+                    out = o.get();
         }
         if (!out) return false;
         // Guards against a set-up that was written before this moment, and an answer not yet handed over: the
@@ -249,47 +256,48 @@
             continue;
         }
         out->end();
-        std::erase_if(left_, [out](const auto& p) { return p.get() == out; });
+        std::erase_if(ended_, [out](const auto& p) { return p.get() == out; });
         return true;
     }
     return false;
 }
 
-void ClientServer::leave(ClientConnection& o) {
+void ClientServer::move_to_ended(ClientConnection& o) {
     const auto it =
-        std::find_if(owners_.begin(), owners_.end(), [&o](const auto& p) { return p.get() == &o; });
-    if (it == owners_.end()) return;
-    left_.push_back(std::move(*it));  // it may be what is calling
-    owners_.erase(it);
-    user_.owner_left(o);
+        std::find_if(clients_.begin(), clients_.end(), [&o](const auto& p) { return p.get() == &o; });
+    if (it == clients_.end()) return;
+    ended_.push_back(std::move(*it));  // it may be what is calling
+    clients_.erase(it);
+    handler_.on_client_left(o);
 }
 
-ClientConnection* ClientServer::from(const std::string& peer) {
-    for (const auto& o : owners_)
-        if (!o->ended_ && !o->stuck_ && o->spoke_ && o->peer_ == peer) return o.get();
+ClientConnection* ClientServer::find_by_peer(const std::string& peer) {
+    for (const auto& o : clients_)
+        if (!o->ended_ && !o->stalled_ && o->has_sent_ && o->peer_ == peer) return o.get();
     return nullptr;
 }
 
-void ClientServer::look(Nanos now) {
-    std::erase_if(left_, [now](const auto& o) { return o->closed_ || now - o->ended_at_ > kLinger; });
+void ClientServer::sweep(Nanos now) {
+    std::erase_if(ended_, [now](const auto& o) { return o->peer_closed_ || now - o->ended_at_ > kLinger; });
     std::vector<ClientConnection*> out;
-    for (const auto& o : owners_) {
+    for (const auto& o : clients_) {
         // Words that call for no answer count for nothing: a release of what nobody knows, a container on a
         // host that no list names.
-        const Nanos late =
-            std::max(!o->told_ && !o->open_ && !o->standing_ ? now - o->since_ - kFirstWord : 0,
-                     o->half_since_ ? now - o->half_since_ - kHalfMessage : 0);
-        const bool turned_away_long = o->turned_away_ && now - o->since_ > kLinger;
+        const Nanos late = std::max(!o->was_written_to_ && !o->open_requests_ && !o->running_tasks_
+                                        ? now - o->connected_at_ - kFirstWord
+                                        : 0,
+                                    o->partial_since_ ? now - o->partial_since_ - kHalfMessage : 0);
+        const bool turned_away_long = o->rejected_ && now - o->connected_at_ > kLinger;
         if (turned_away_long || (late > 0 && (late > kUnreadFor || !o->stream_->has_unread())))
             out.push_back(o.get());
     }
     for (ClientConnection* o : out) o->end();
 }
 
-void ClientServer::end_stuck() {
+void ClientServer::end_stalled() {
     std::vector<ClientConnection*> out;
-    for (const auto& o : owners_)
-        if (o->stuck_) out.push_back(o.get());
+    for (const auto& o : clients_)
+        if (o->stalled_) out.push_back(o.get());
     for (ClientConnection* o : out) o->end();
 }
 
@@ -299,11 +307,11 @@
         listener_.reset();
     }
     std::vector<ClientConnection*> out;
-    for (const auto& o : owners_)
-        if (!o->open_ && !o->stream_->has_unread()) out.push_back(o.get());
+    for (const auto& o : clients_)
+        if (!o->open_requests_ && !o->stream_->has_unread()) out.push_back(o.get());
     for (ClientConnection* o : out) o->end();
-    look(now);
-    return now >= by || (owners_.empty() && left_.empty());
+    sweep(now);
+    return now >= by || (clients_.empty() && ended_.empty());
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/in_flight_task.h
+++ b/src/platform/in_flight_task.h
@@ -15,7 +15,7 @@
 class PlatformServer;
 
 struct InFlightTask {
-    explicit InFlightTask(PlatformServer& f) : deadline(f, *this), launch_end(f, *this) {}
+    explicit InFlightTask(PlatformServer& f) : deadline(f, *this), attempt_timeout(f, *this) {}
 
     struct Deadline final : timer_wheel::Timer {
         Deadline(PlatformServer& f, InFlightTask& t) : front(f), task(t) {}
@@ -32,16 +32,17 @@
 
     std::uint64_t id = 0;  // the owner's; passes on unchanged
     ledger::TaskRecord* record = nullptr;
-    ClientConnection* owner = nullptr;  // its connection, while that is open
-    std::string peer;                   // the owner's address, by which another connection of its is known
-    std::string group, name, key, description;  // of the set-up; let go once it stands
-    PooledWorker* host = nullptr;               // where a launch is out, or it stands
-    WorkerConnection* on = nullptr;  // the launch left on this one; null before, and once it stands
-    bool standing = false;
-    bool counted = false;  // among what stands for its owner's connection
-    bool stood = false;  // of the launch that is out: a note shows that it stands, though no answer has come
+    ClientConnection* client = nullptr;  // its connection, while that is open
+    std::string peer;                    // the owner's address, by which another connection of its is known
+    std::string queue_group, name, key, description;  // of the set-up; let go once it stands
+    PooledWorker* worker = nullptr;                   // where a launch is out, or it stands
+    WorkerConnection* connection = nullptr;  // the launch left on this one; null before, and once it stands
+    bool running = false;
+    bool counted_for_client = false;  // among what stands for its owner's connection
+    bool reported_running =
+        false;  // of the launch that is out: a note shows that it stands, though no answer has come
     Deadline deadline;
-    AttemptTimeout launch_end;
+    AttemptTimeout attempt_timeout;
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/placement_request.h
+++ b/src/platform/placement_request.h
@@ -10,9 +10,9 @@
 namespace whinpost::platform {
 
 struct PlacementRequest {
-    ResourceRequest asked;
-    std::string name, service, key;
-    std::string at;  // the host that holds it already; empty: it is to be placed
+    ResourceRequest resources;
+    std::string task_name, service, idempotency_key;
+    std::string running_on;  // the host that holds it already; empty: it is to be placed
 };
 
 // Empty where all holds, else what is wrong. `largest` is the size of the largest machine: no container can
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -39,8 +39,8 @@
 
 }  // namespace
 
-void InFlightTask::Deadline::on_deadline(Nanos now) { front.due(task, now); }
-void InFlightTask::AttemptTimeout::on_deadline(Nanos now) { front.launch_due(task, now); }
+void InFlightTask::Deadline::on_deadline(Nanos now) { front.on_answer_deadline(task, now); }
+void InFlightTask::AttemptTimeout::on_deadline(Nanos now) { front.on_attempt_timeout(task, now); }
 
 PlatformServer::PlatformServer(net::EventLoop& loop, const log::Logger& log, ledger::Ledger& ledger,
                                std::vector<std::string> group_names, std::vector<WorkerKind> kinds,
@@ -49,23 +49,26 @@
     : loop_(loop), log_(log), ledger_(ledger), group_names_(std::move(group_names)),
       kind_names_(std::move(kind_names)), zone_names_(std::move(zone_names)), kinds_(std::move(kinds)),
       largest_(largest_of(kinds_)), dial_timeout_(dial_timeout), idle_(idle), seed_(seed), wheel_(loop.now()),
-      budget_(descriptors), owners_(loop, log, *this), bus_(loop, log, *this, zone_names_, kind_names_, seed),
-      round_timer_(loop.make_timer([this] { round(); })), turn_timer_(loop.make_timer([this] { turn(); })),
-      look_timer_(loop.make_timer([this] { look(); })), wake_timer_(loop.make_timer([this] { round(); })) {
+      budget_(descriptors), clients_(loop, log, *this),
+      bus_(loop, log, *this, zone_names_, kind_names_, seed),
+      round_timer_(loop.make_timer([this] { run_round(); })),
+      turn_timer_(loop.make_timer([this] { run_timers(); })),
+      look_timer_(loop.make_timer([this] { sweep(); })),
+      wake_timer_(loop.make_timer([this] { run_round(); })) {
     look_timer_->arm(loop.now() + kLook);
 }
 PlatformServer::~PlatformServer() = default;
 
-void PlatformServer::plan_with(planner::Planner& p) { planner_ = &p; }
+void PlatformServer::set_planner(planner::Planner& p) { planner_ = &p; }
 
-std::size_t PlatformServer::connections() const { return owners_.size() + host_connections_; }
+std::size_t PlatformServer::connection_count() const { return clients_.size() + host_connections_; }
 
 // ---------------------------------------------------------------- descriptors
 
 // A host that finds no descriptor waits in line, and nobody passes it: else hosts that are used all the time
 // would keep theirs for good, and the others would never be reached.
-bool PlatformServer::room_for_host(PooledWorker& h) {
-    const bool free = budget_.host_fits(owners_.size(), host_connections_);
+bool PlatformServer::reserve_connection(PooledWorker& h) {
+    const bool free = budget_.host_fits(clients_.size(), host_connections_);
     if (!descriptor_queue_.others_first(h.number()) && (free || close_least_useful())) {
         ++host_connections_;
         return true;
@@ -74,9 +77,9 @@
     return false;
 }
 
-bool PlatformServer::room_for_owner() {
-    if (budget_.owner_fits(owners_.size(), host_connections_)) return true;
-    return budget_.hosts_make_room(owners_.size()) && close_least_useful();
+bool PlatformServer::make_room_for_client() {
+    if (budget_.owner_fits(clients_.size(), host_connections_)) return true;
+    return budget_.hosts_make_room(clients_.size()) && close_least_useful();
 }
 
 // Guards against more hosts than descriptors: the watch on the list, or a client, would find none. Hosts
@@ -85,10 +88,10 @@
     const Nanos now = loop_.now();
     WorkerConnection* out = nullptr;
     std::pair<bool, Nanos> least;
-    for (PooledWorker* h : hosts_) {
-        WorkerConnection* c = h->least_useful();
+    for (PooledWorker* h : workers_) {
+        WorkerConnection* c = h->longest_idle_connection();
         if (!c) continue;
-        const std::pair of(h->holds_standing(), c->idle_since());
+        const std::pair of(h->has_running_tasks(), c->idle_since());
         if ((of.first && now - of.second < kItsTurn) || (out && least <= of)) continue;
         out = c;
         least = of;
@@ -101,9 +104,9 @@
 // that carry nothing.
 WorkerConnection* PlatformServer::oldest_past_its_turn(Nanos now, bool closable) {
     WorkerConnection* out = nullptr;
-    for (PooledWorker* h : hosts_) {
-        WorkerConnection* c = h->oldest_up(now - kItsTurn);
-        if (!c || (closable ? !c->carries_nothing() : c->retired)) continue;
+    for (PooledWorker* h : workers_) {
+        WorkerConnection* c = h->oldest_connection(now - kItsTurn);
+        if (!c || (closable ? !c->is_empty() : c->retired)) continue;
         if (!out || c->up_since() < out->up_since()) out = c;
     }
     return out;
@@ -114,12 +117,12 @@
 // waits at most as many turns as there are hosts to each descriptor, and the time of an attempt.
 void PlatformServer::serve_descriptor_queue(Nanos now) {
     while (!descriptor_queue_.empty()) {
-        PooledWorker& h = *hosts_[descriptor_queue_.front()];
-        if (h.gone() || h.has_connection()) {
+        PooledWorker& h = *workers_[descriptor_queue_.front()];
+        if (h.is_gone() || h.has_connection()) {
             descriptor_queue_.pop();
             continue;
         }
-        if (!budget_.host_fits(owners_.size(), host_connections_)) {
+        if (!budget_.host_fits(clients_.size(), host_connections_)) {
             if (WorkerConnection* past = oldest_past_its_turn(now, true)) past->close();
             else if (!close_least_useful()) break;
         }
@@ -135,20 +138,20 @@
 
 // ---------------------------------------------------------------- rounds and timers
 
-void PlatformServer::round_soon() {
+void PlatformServer::schedule_round() {
     if (std::exchange(round_armed_, true)) return;
     round_timer_->arm(std::max(loop_.now(), last_round_ + kMillisecond));
 }
 
-void PlatformServer::round() {
+void PlatformServer::run_round() {
     round_armed_ = false;
     last_round_ = loop_.now();
     in_round_ = true;
     planner_->run_round(last_round_);
     in_round_ = false;
-    while (!later_.empty()) {
-        const auto f = std::move(later_.front());
-        later_.pop_front();
+    while (!deferred_calls_.empty()) {
+        const auto f = std::move(deferred_calls_.front());
+        deferred_calls_.pop_front();
         f();
     }
     dropped_.clear();
@@ -162,18 +165,19 @@
     if (const Nanos next = wheel_.next_deadline()) turn_timer_->arm(next);
     else turn_timer_->disarm();
 }
-void PlatformServer::turn() {
+void PlatformServer::run_timers() {
     wheel_.run_timers(loop_.now());
     arm();
 }
 
-void PlatformServer::look() {
+void PlatformServer::sweep() {
     const Nanos now = loop_.now();
-    owners_.look(now);
-    for (PooledWorker* h : hosts_) h->look(now);
+    clients_.sweep(now);
+    for (PooledWorker* h : workers_) h->sweep(now);
     serve_descriptor_queue(now);
-    while (!waiting_.empty() && now - waiting_.front().since > kEarly) waiting_.pop_front();
-    std::erase_if(words_, [now](const PendingRelease& w) { return now - w.since > kWordKept; });
+    while (!pending_recoveries_.empty() && now - pending_recoveries_.front().since > kEarly)
+        pending_recoveries_.pop_front();
+    std::erase_if(pending_releases_, [now](const PendingRelease& w) { return now - w.since > kWordKept; });
     if (closing_at_ && now >= closing_at_) wind_up(now);
     look_timer_->arm(now + (gone_by_ ? kLookLast : kLook));
 }
@@ -185,15 +189,15 @@
 void PlatformServer::wind_up(Nanos now) {
     if (!done_) return;
     for (const auto& [id, t] : by_id_)
-        if (!t->standing) return;
+        if (!t->running) return;
     if (!gone_by_) {
         gone_by_ = now + kDrain;
-        for (PooledWorker* h : hosts_) h->hush();
+        for (PooledWorker* h : workers_) h->stop_reading();
     }
-    if (owners_.drain(now, gone_by_)) std::exchange(done_, nullptr)();
+    if (clients_.drain(now, gone_by_)) std::exchange(done_, nullptr)();
 }
 
-void PlatformServer::close(std::function<void()> done) {
+void PlatformServer::drain(std::function<void()> done) {
     if (closing_at_) return;
     closing_at_ = loop_.now() + kStillTaken;
     done_ = std::move(done);
@@ -201,13 +205,13 @@
 
 // ---------------------------------------------------------------- the list
 
-void PlatformServer::told(const discovery::WatchEvent& e) {
+void PlatformServer::on_watch_event(const discovery::WatchEvent& e) {
     if (!e.has_endpoints) return;
     const Nanos now = loop_.now();
     std::vector<std::string_view> named;
     for (const discovery::EndpointUpdate& entry : e.endpoints) {
         named.push_back(entry.worker);
-        WorkerEntry& k = known_[entry.worker];
+        WorkerEntry& k = endpoints_[entry.worker];
         const Nanos started = k.listed.started_at;
         const bool was_there = k.there();
         if (entry.address) k.address = *entry.address;
@@ -222,40 +226,40 @@
         if (!k.host) {
             if (k.listed.phase == EndpointPhase::gone) continue;  // it was never here
             WorkerHandler& user = *this;
-            k.host = std::make_unique<PooledWorker>(entry.worker, static_cast<std::uint32_t>(hosts_.size()),
+            k.host = std::make_unique<PooledWorker>(entry.worker, static_cast<std::uint32_t>(workers_.size()),
                                                     loop_, log_, user, dial_timeout_, idle_, seed_);
-            hosts_.push_back(k.host.get());
-            k.host->most_connections(connections_to_one_);
+            workers_.push_back(k.host.get());
+            k.host->set_max_connections(connections_to_one_);
             k.node = &ledger_.add_worker(entry.worker);
         }
         hosts_there_ = hosts_there_ + k.there() - was_there;
-        k.host->listed(k.address, k.listed.phase);
+        k.host->update_endpoint(k.address, k.listed.phase);
         ledger_.on_endpoint(now, *k.node, k.listed);
         planner_->on_endpoint(now, k.host->number(), stable_hash(entry.worker), k.listed);
         // Guards against a machine that is back before anybody missed it: it answers, so it is not lost, and
         // knows nothing of what stood there.
-        if (k.listed.started_at > started) k.host->started_anew(k.listed.started_at);
+        if (k.listed.started_at > started) k.host->on_restarted(k.listed.started_at);
     }
     if (e.is_snapshot) {
         std::sort(named.begin(), named.end());
-        for (auto& [name, k] : known_)
+        for (auto& [name, k] : endpoints_)
             if (k.host && k.listed.phase != EndpointPhase::gone &&
                 !std::binary_search(named.begin(), named.end(), std::string_view(name))) {
                 k.listed.phase = EndpointPhase::gone;
                 --hosts_there_;
-                k.host->listed(k.address, EndpointPhase::gone);
+                k.host->update_endpoint(k.address, EndpointPhase::gone);
                 ledger_.on_removed(now, *k.node);
             }
     }
     share_connections();
     planner_->on_watch_event_done(now, e.is_snapshot);
     if (!std::exchange(begun_, true)) planner_->start(now);
-    for (std::size_t left = waiting_.size(); left > 0; --left) {
-        const PendingRecovery w = std::move(waiting_.front());
-        waiting_.pop_front();
-        if (!take_over(w.id, w.asked, nullptr, w.peer)) waiting_.push_back(w);
+    for (std::size_t left = pending_recoveries_.size(); left > 0; --left) {
+        const PendingRecovery w = std::move(pending_recoveries_.front());
+        pending_recoveries_.pop_front();
+        if (!adopt(w.id, w.asked, nullptr, w.peer)) pending_recoveries_.push_back(w);
     }
-    round_soon();
+    schedule_round();
 }
 
 // Costs a walk over all hosts only where their number changes each one's part, not for each event.
@@ -263,27 +267,27 @@
     const std::size_t hosts = std::max<std::size_t>(hosts_there_, 1);
     const std::size_t each = std::clamp<std::size_t>(budget_.for_hosts() / hosts, 1, kMostToOne);
     if (std::exchange(connections_to_one_, each) == each) return;
-    for (PooledWorker* h : hosts_) h->most_connections(each);
+    for (PooledWorker* h : workers_) h->set_max_connections(each);
 }
 
 // ---------------------------------------------------------------- owners
 
-InFlightTask& PlatformServer::make(std::uint64_t id, ledger::TaskRecord& r, ClientConnection* owner,
-                                   const std::string& peer) {
+InFlightTask& PlatformServer::create_task(std::uint64_t id, ledger::TaskRecord& r, ClientConnection* owner,
+                                          const std::string& peer) {
     auto task = std::make_unique<InFlightTask>(*this);
     InFlightTask& t = *task;
     t.id = id;
     t.record = &r;
-    t.owner = owner;
+    t.client = owner;
     t.peer = peer;
     tasks_[r.number] = std::move(task);
     by_id_[id] = &t;
     return t;
 }
 
-void PlatformServer::stands_for_owner(InFlightTask& t) {
-    if (!t.owner || std::exchange(t.counted, true)) return;
-    owners_.stands(*t.owner, 1);
+void PlatformServer::count_for_client(InFlightTask& t) {
+    if (!t.client || std::exchange(t.counted_for_client, true)) return;
+    clients_.add_running_tasks(*t.client, 1);
 }
 
 InFlightTask* PlatformServer::find(planner::TaskNumber n) {
@@ -291,182 +295,183 @@
     return it == tasks_.end() ? nullptr : it->second.get();
 }
 
-void PlatformServer::set_up(ClientConnection& from, const Message& m, Nanos since) {
+void PlatformServer::on_place_task(ClientConnection& from, const Message& m, Nanos since) {
     PlacementRequest s;
     const std::string_view wrong = parse_placement_request(m, group_names_, ledger_.groups(), largest_, s);
     if (!wrong.empty()) {
         log_(log::Level::debug, "set_up_wrong", {{"peer", from.peer()}, {"why", wrong}});
-        return from.refuse(m.task, platform_codec::kError);
+        return from.send_release(m.task, platform_codec::kError);
     }
-    if (!s.at.empty()) {
-        if (!take_over(m.task, s, &from, from.peer())) {
-            waiting_.push_back({m.task, s, from.peer(), loop_.now()});
-            if (waiting_.size() > kMostEarly) waiting_.pop_front();
+    if (!s.running_on.empty()) {
+        if (!adopt(m.task, s, &from, from.peer())) {
+            pending_recoveries_.push_back({m.task, s, from.peer(), loop_.now()});
+            if (pending_recoveries_.size() > kMostEarly) pending_recoveries_.pop_front();
         }
         return;
     }
     if (const auto it = by_id_.find(m.task); it != by_id_.end()) {
         log_(log::Level::debug, "set_up_open_id",
-             {{"peer", from.peer()}, {"same", it->second->owner == &from}});
+             {{"peer", from.peer()}, {"same", it->second->client == &from}});
         // Two under one number: an answer to either could be read as the other's.
-        if (it->second->owner == &from) return from.end();
-        return from.refuse(m.task, platform_codec::kError);
+        if (it->second->client == &from) return from.end();
+        return from.send_release(m.task, platform_codec::kError);
     }
     const Nanos now = loop_.now();
     // Its client counts from when it wrote it. What lay in the kernel while the loop was busy has less left.
-    s.asked.time_left -= std::max<Nanos>(0, now - since);
-    if (s.asked.time_left <= 0 || (closing_at_ && now >= closing_at_))
-        return from.refuse(m.task, platform_codec::kTryLater);
+    s.resources.time_left -= std::max<Nanos>(0, now - since);
+    if (s.resources.time_left <= 0 || (closing_at_ && now >= closing_at_))
+        return from.send_release(m.task, platform_codec::kTryLater);
     const std::uint64_t service = stable_hash(s.service);
-    ledger::TaskRecord& r = ledger_.create_task(now, s.name, service, s.asked);
-    InFlightTask& t = make(m.task, r, &from, from.peer());
-    owners_.opened(from);
-    t.group = *m.group;
-    t.name = s.name;
-    t.key = s.key;
+    ledger::TaskRecord& r = ledger_.create_task(now, s.task_name, service, s.resources);
+    InFlightTask& t = create_task(m.task, r, &from, from.peer());
+    clients_.add_open_request(from);
+    t.queue_group = *m.queue_group;
+    t.name = s.task_name;
+    t.key = s.idempotency_key;
     t.description = *m.description;
     wheel_.arm(t.deadline, r.deadline + kClockGrace);
     arm();
-    planner_->submit(now, r.number, service, s.asked);
-    round_soon();
+    planner_->submit(now, r.number, service, s.resources);
+    schedule_round();
 }
 
 // False where its host is not known yet.
-bool PlatformServer::take_over(std::uint64_t id, const PlacementRequest& s, ClientConnection* owner,
-                               const std::string& peer) {
+bool PlatformServer::adopt(std::uint64_t id, const PlacementRequest& s, ClientConnection* owner,
+                           const std::string& peer) {
     if (by_id_.contains(id)) return true;
-    if (const auto held = standing_.find(s.name); held != standing_.end()) {
+    if (const auto held = running_by_name_.find(s.task_name); held != running_by_name_.end()) {
         InFlightTask& t = *held->second;
         log_(log::Level::debug, "held_already",
-             {{"task", s.name}, {"same_host", t.host && t.host->name() == s.at}});
+             {{"task", s.task_name}, {"same_host", t.worker && t.worker->name() == s.running_on}});
         return true;
     }
-    const auto it = known_.find(s.at);
-    if (it == known_.end() || !it->second.host) return false;
+    const auto it = endpoints_.find(s.running_on);
+    if (it == endpoints_.end() || !it->second.host) return false;
     WorkerEntry& k = it->second;
     const Nanos now = loop_.now();
     const std::uint64_t service = stable_hash(s.service);
-    ledger::TaskRecord& r = ledger_.adopt_task(now, s.name, service, s.asked, *k.node);
-    InFlightTask& t = make(id, r, owner, peer);
-    t.name = s.name;
-    planner_->adopt(now, r.number, service, s.asked, k.host->number());
-    standing_[t.name] = &t;
-    stands_for_owner(t);
-    k.host->stands(t);
-    log_(log::Level::debug, "taken_over", {{"task", s.name}, {"host", s.at}});
-    if (std::uint8_t cause = 0; k.host->said_over(id, cause))
-        standing_ended(t, cause == platform_codec::kOk ? AttemptOutcome::completed : AttemptOutcome::reset,
-                       OutcomeReason::unspecified, cause, {});
-    round_soon();
+    ledger::TaskRecord& r = ledger_.adopt_task(now, s.task_name, service, s.resources, *k.node);
+    InFlightTask& t = create_task(id, r, owner, peer);
+    t.name = s.task_name;
+    planner_->adopt(now, r.number, service, s.resources, k.host->number());
+    running_by_name_[t.name] = &t;
+    count_for_client(t);
+    k.host->add_running(t);
+    log_(log::Level::debug, "taken_over", {{"task", s.task_name}, {"host", s.running_on}});
+    if (std::uint8_t cause = 0; k.host->find_ended_task(id, cause))
+        on_task_ended(t, cause == platform_codec::kOk ? AttemptOutcome::completed : AttemptOutcome::reset,
+                      OutcomeReason::unspecified, cause, {});
+    schedule_round();
     return true;
 }
 
-void PlatformServer::released(ClientConnection& from, std::uint64_t id) {
+void PlatformServer::on_release(ClientConnection& from, std::uint64_t id) {
     const auto it = by_id_.find(id);
     if (it == by_id_.end()) {
         log_(log::Level::debug, "release_unknown", {{"peer", from.peer()}, {"task", id}});
-        std::erase_if(waiting_, [id](const PendingRecovery& w) { return w.id == id; });
+        std::erase_if(pending_recoveries_, [id](const PendingRecovery& w) { return w.id == id; });
         return;
     }
     InFlightTask& t = *it->second;
-    if (!t.standing) {
+    if (!t.running) {
         // Nobody else's business. Its owner may say so on another connection: the one it asked on may be
         // broken, and we have not heard of that yet.
-        if (t.owner && t.owner->peer() == from.peer()) unanswered(t);
+        if (t.client && t.client->peer() == from.peer()) cancel_task(t);
         return;
     }
-    t.host->take_down(t, true);
-    end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+    t.worker->remove_running(t, true);
+    end_attempt(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
 }
 
 // Given up, or its connection broke: no answer is owed.
-void PlatformServer::unanswered(InFlightTask& t) {
+void PlatformServer::cancel_task(InFlightTask& t) {
     const Nanos now = loop_.now();
     if (t.record->answer != Answer::none) return;
     ledger_.record_answer(now, *t.record, Answer::cancelled);
-    if (t.owner) owners_.answered(*t.owner);
-    t.owner = nullptr;
+    if (t.client) clients_.remove_open_request(*t.client);
+    t.client = nullptr;
     planner_->cancel(now, t.record->number);
     if (t.record->in_flight) {
-        t.host->give_up(t);
-        end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
-    } else over(t);
+        t.worker->abandon_attempt(t);
+        end_attempt(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+    } else discard(t);
 }
 
-void PlatformServer::owner_came(ClientConnection& o) {
+void PlatformServer::on_client_identified(ClientConnection& o) {
     // It may be the one that releases wait for.
     std::deque<PendingRelease> kept;
-    for (PendingRelease& w : words_)
-        if (w.peer == o.peer()) o.release(w.id, w.cause);
+    for (PendingRelease& w : pending_releases_)
+        if (w.peer == o.peer()) o.send_task_ended(w.id, w.cause);
         else kept.push_back(std::move(w));
-    words_ = std::move(kept);
+    pending_releases_ = std::move(kept);
 }
 
-std::vector<InFlightTask*> PlatformServer::of(const ClientConnection& o) {
+std::vector<InFlightTask*> PlatformServer::tasks_of(const ClientConnection& o) {
     std::vector<InFlightTask*> out;
     for (const auto& [id, t] : by_id_)
-        if (t->owner == &o) out.push_back(t);
+        if (t->client == &o) out.push_back(t);
     std::sort(out.begin(), out.end(),
               [](InFlightTask* a, InFlightTask* b) { return a->record->number < b->record->number; });
     return out;
 }
 
-void PlatformServer::owner_left(ClientConnection& o) {
-    if (owners_.hears())
-        for (const ClientConnection::UnacknowledgedRelease& u : o.unheard()) {
-            if (ClientConnection* other = owners_.from(o.peer())) other->release(u.id, u.cause);
-            else words_.push_back({u.id, u.cause, o.peer(), u.since});
+void PlatformServer::on_client_left(ClientConnection& o) {
+    if (clients_.acknowledge_releases())
+        for (const ClientConnection::UnacknowledgedRelease& u : o.unacknowledged_releases()) {
+            if (ClientConnection* other = clients_.find_by_peer(o.peer()))
+                other->send_task_ended(u.id, u.cause);
+            else pending_releases_.push_back({u.id, u.cause, o.peer(), u.since});
         }
-    for (InFlightTask* t : of(o))
-        if (t->standing) {
-            t->owner = nullptr;
-            t->counted = false;
-        } else unanswered(*t);
+    for (InFlightTask* t : tasks_of(o))
+        if (t->running) {
+            t->client = nullptr;
+            t->counted_for_client = false;
+        } else cancel_task(*t);
 }
 
 // We close it: nothing that was taken on it may be lost.
-void PlatformServer::owner_ends(ClientConnection& o) {
-    for (InFlightTask* t : of(o)) {
-        if (t->standing || t->record->answer != Answer::none) continue;
+void PlatformServer::on_client_ending(ClientConnection& o) {
+    for (InFlightTask* t : tasks_of(o)) {
+        if (t->running || t->record->answer != Answer::none) continue;
         const planner::TaskNumber n = t->record->number;
         answer(*t, ledger_.honest_answer(*t->record), 0);
         planner_->cancel(loop_.now(), n);
     }
 }
 
-void PlatformServer::owner_stuck() {
-    later_.push_back([this] { owners_.end_stuck(); });
-    round_soon();
+void PlatformServer::on_client_stalled() {
+    deferred_calls_.push_back([this] { clients_.end_stalled(); });
+    schedule_round();
 }
 
-void PlatformServer::tested() {
-    if (!std::exchange(was_tested_, true)) log_(log::Level::info, "first_test", {{"passed", passes_tests()}});
+void PlatformServer::on_health_check() {
+    if (!std::exchange(was_tested_, true)) log_(log::Level::info, "first_test", {{"passed", is_healthy()}});
 }
 
 // ---------------------------------------------------------------- answers
 
-void PlatformServer::give(InFlightTask& t, Answer a, Nanos stay_away) {
+void PlatformServer::send_answer(InFlightTask& t, Answer a, Nanos stay_away) {
     ledger_.record_answer(loop_.now(), *t.record, a);
-    if (!t.owner) return;
-    owners_.answered(*t.owner);
-    t.owner->refuse(t.id, a == Answer::rejected ? platform_codec::kTryLater : platform_codec::kReset,
-                    stay_away);
-    t.owner = nullptr;
+    if (!t.client) return;
+    clients_.remove_open_request(*t.client);
+    t.client->send_release(t.id, a == Answer::rejected ? platform_codec::kTryLater : platform_codec::kReset,
+                           stay_away);
+    t.client = nullptr;
 }
 
 void PlatformServer::answer(InFlightTask& t, Answer a, Nanos stay_away) {
     if (t.record->answer != Answer::none) return;
     // What may have run is not to be deferred, whoever asks.
-    give(t, a == Answer::rejected ? ledger_.honest_answer(*t.record) : a, stay_away);
+    send_answer(t, a == Answer::rejected ? ledger_.honest_answer(*t.record) : a, stay_away);
     if (t.record->in_flight) {
-        t.host->give_up(t);
+        t.worker->abandon_attempt(t);
         if (in_round_)
-            later_.push_back([this, n = t.record->number] {
+            deferred_calls_.push_back([this, n = t.record->number] {
                 if (InFlightTask* still = find(n); still && still->record->in_flight)
-                    end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+                    end_attempt(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
             });
-        else end_launch(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
-    } else over(t);
+        else end_attempt(t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+    } else discard(t);
 }
 
 void PlatformServer::reject(planner::TaskNumber n, Nanos stay_away) {
@@ -477,30 +482,31 @@
 }
 
 // The clock's own answer, if the planner has said nothing in time.
-void PlatformServer::due(InFlightTask& t, Nanos now) {
+void PlatformServer::on_answer_deadline(InFlightTask& t, Nanos now) {
     if (t.record->answer != Answer::none) return;
     ++ledger_.statistics().answered_by_deadline;
     log_(log::Level::warning, "answered_by_clock", {{"task", t.name}});
     const planner::TaskNumber n = t.record->number;
     answer(t, ledger_.honest_answer(*t.record), 0);
     planner_->cancel(now, n);
-    round_soon();
+    schedule_round();
 }
 
-void PlatformServer::over(InFlightTask& t) {
+void PlatformServer::discard(InFlightTask& t) {
     t.deadline.disarm();
-    t.launch_end.disarm();
+    t.attempt_timeout.disarm();
     const auto it = tasks_.find(t.record->number);
     if (it == tasks_.end()) return;
-    if (std::exchange(t.counted, false) && t.owner) owners_.stands(*t.owner, -1);
-    if (const auto named = standing_.find(t.name); named != standing_.end() && named->second == &t)
-        standing_.erase(named);
+    if (std::exchange(t.counted_for_client, false) && t.client) clients_.add_running_tasks(*t.client, -1);
+    if (const auto named = running_by_name_.find(t.name);
+        named != running_by_name_.end() && named->second == &t)
+        running_by_name_.erase(named);
     by_id_.erase(t.id);
     dropped_.push_back(std::move(it->second));
     tasks_.erase(it);
     ledger_.erase_task(*t.record);
     t.record = nullptr;
-    round_soon();
+    schedule_round();
 }
 
 // ---------------------------------------------------------------- launches
@@ -509,56 +515,56 @@
     InFlightTask* t = find(n);
     if (!t) return;
     const Nanos now = loop_.now();
-    PooledWorker& host = *hosts_.at(to);
+    PooledWorker& host = *workers_.at(to);
     const auto started =
-        ledger_.start_attempt(now, *t->record, *known_.find(host.name())->second.node, time_out);
+        ledger_.start_attempt(now, *t->record, *endpoints_.find(host.name())->second.node, time_out);
     if (!started) {
         log_(log::Level::warning, "bind_refused",
              {{"task", t->name}, {"host", host.name()}, {"why", ledger::to_string(started.error())}});
-        later_.push_back([this, n] {
+        deferred_calls_.push_back([this, n] {
             planner_->on_attempt_ended(loop_.now(), n, 0, AttemptOutcome::not_sent,
                                        OutcomeReason::unspecified, false, {});
-            round_soon();
+            schedule_round();
         });
         return;
     }
     ledger::Attempt* l = *started;
-    t->stood = false;
-    wheel_.arm(t->launch_end, l->deadline);
+    t->reported_running = false;
+    wheel_.arm(t->attempt_timeout, l->deadline);
     arm();
     log_(log::Level::debug, "launch",
          {{"task", t->name},
           {"host", host.name()},
           {"number", t->record->attempts.size()},
           {"ms", time_out / kMillisecond}});
-    if (!host.launch(*t))
-        later_.push_back([this, n] {
+    if (!host.start_attempt(*t))
+        deferred_calls_.push_back([this, n] {
             if (InFlightTask* still = find(n);
-                still && still->record->in_flight && !still->standing && !still->on)
-                end_launch(*still, AttemptOutcome::not_sent, OutcomeReason::unspecified, {}, false);
+                still && still->record->in_flight && !still->running && !still->connection)
+                end_attempt(*still, AttemptOutcome::not_sent, OutcomeReason::unspecified, {}, false);
         });
 }
 
-bool PlatformServer::may_write(InFlightTask& t) {
-    return t.record->in_flight && !(t.owner && t.owner->may_have_gone()) &&
+bool PlatformServer::may_send(InFlightTask& t) {
+    return t.record->in_flight && !(t.client && t.client->may_have_disconnected()) &&
            ledger_.may_still_send(loop_.now(), *t.record->in_flight);
 }
 
-void PlatformServer::launch_due(InFlightTask& t, Nanos) {
-    if (!t.record->in_flight || t.standing) return;
-    t.host->give_up(t);
-    end_launch(t, AttemptOutcome::timed_out, OutcomeReason::unspecified, {}, false);
+void PlatformServer::on_attempt_timeout(InFlightTask& t, Nanos) {
+    if (!t.record->in_flight || t.running) return;
+    t.worker->abandon_attempt(t);
+    end_attempt(t, AttemptOutcome::timed_out, OutcomeReason::unspecified, {}, false);
 }
 
 // What became of the launch that is out, or of the container that stands; `closed`: nothing is owed any more.
-void PlatformServer::end_launch(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
-                                const LoadReport& report, bool closed) {
+void PlatformServer::end_attempt(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
+                                 const LoadReport& report, bool closed) {
     const Nanos now = loop_.now();
     ledger::TaskRecord& r = *t.record;
     const planner::TaskNumber n = r.number;
-    t.launch_end.disarm();
-    t.host = nullptr;
-    t.standing = false;
+    t.attempt_timeout.disarm();
+    t.worker = nullptr;
+    t.running = false;
     const int number = static_cast<int>(r.attempts.size()) - 1;
     if (r.in_flight) ledger_.on_ended(now, *r.in_flight, how);
     closed = closed || r.closed;
@@ -569,74 +575,75 @@
           {"closed", closed}});
     planner_->on_attempt_ended(now, n, number, how, why, closed, report);
     if (closed)
-        if (InFlightTask* still = find(n)) over(*still);
-    round_soon();
+        if (InFlightTask* still = find(n)) discard(*still);
+    schedule_round();
 }
 
-void PlatformServer::launch_answered(InFlightTask& t, std::string_view description) {
+void PlatformServer::on_attempt_accepted(InFlightTask& t, std::string_view description) {
     const Nanos now = loop_.now();
     ledger::TaskRecord& r = *t.record;
     if (!r.in_flight || !ledger_.on_accepted(now, *r.in_flight)) return;
-    t.launch_end.disarm();
+    t.attempt_timeout.disarm();
     t.deadline.disarm();
-    PooledWorker& host = *t.host;
-    host.stands(t);
-    standing_[t.name] = &t;
-    stands_for_owner(t);
-    if (t.owner) {
-        owners_.answered(*t.owner);
+    PooledWorker& host = *t.worker;
+    host.add_running(t);
+    running_by_name_[t.name] = &t;
+    count_for_client(t);
+    if (t.client) {
+        clients_.remove_open_request(*t.client);
         Message m;
         m.type = MessageType::answer;
         m.task = t.id;
         m.description = description;
-        t.owner->write(m);
+        t.client->write(m);
     }
     t.description = std::string();
-    t.group = std::string();
+    t.queue_group = std::string();
     planner_->on_accepted(now, r.number, static_cast<int>(r.attempts.size()) - 1);
-    round_soon();
+    schedule_round();
 }
 
-void PlatformServer::launch_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
-                                  const LoadReport& report) {
+void PlatformServer::on_attempt_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
+                                      const LoadReport& report) {
     if (!t.record->in_flight) return;
     // Its time may run out between the bind and the write, in the same round.
     if (in_round_) {
-        later_.push_back([this, n = t.record->number, how, why, report] {
-            if (InFlightTask* still = find(n); still && !still->on) launch_ended(*still, how, why, report);
+        deferred_calls_.push_back([this, n = t.record->number, how, why, report] {
+            if (InFlightTask* still = find(n); still && !still->connection)
+                on_attempt_ended(*still, how, why, report);
         });
         return;
     }
     // Answers can be late, or lost, while what they tell of stands and comes to its end: the platform wants
     // that end told to the owner, who asks again. Launched anew in silence, the container counted as lost.
-    if (t.stood && (how == AttemptOutcome::reset || how == AttemptOutcome::completed ||
-                    how == AttemptOutcome::cancelled)) {
+    if (t.reported_running && (how == AttemptOutcome::reset || how == AttemptOutcome::completed ||
+                               how == AttemptOutcome::cancelled)) {
         const planner::TaskNumber n = t.record->number;
-        give(t, Answer::failed, 0);
+        send_answer(t, Answer::failed, 0);
         planner_->cancel(loop_.now(), n);
-        return end_launch(t, how, why, report, true);
+        return end_attempt(t, how, why, report, true);
     }
-    end_launch(t, how, why, report, false);
+    end_attempt(t, how, why, report, false);
 }
 
-void PlatformServer::standing_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why,
-                                    std::uint8_t cause, const LoadReport& report) {
-    t.host->take_down(t, false);
-    if (cause != platform_codec::kCancelled) release_owner(t, cause);
-    end_launch(t, how, why, report, true);
+void PlatformServer::on_task_ended(InFlightTask& t, AttemptOutcome how, OutcomeReason why, std::uint8_t cause,
+                                   const LoadReport& report) {
+    t.worker->remove_running(t, false);
+    if (cause != platform_codec::kCancelled) notify_task_ended(t, cause);
+    end_attempt(t, how, why, report, true);
 }
 
-void PlatformServer::release_owner(InFlightTask& t, std::uint8_t cause) {
-    ClientConnection* to = t.owner ? t.owner : owners_.from(t.peer);
-    if (to) return to->release(t.id, cause);
-    words_.push_back({t.id, cause, t.peer, loop_.now()});
+void PlatformServer::notify_task_ended(InFlightTask& t, std::uint8_t cause) {
+    ClientConnection* to = t.client ? t.client : clients_.find_by_peer(t.peer);
+    if (to) return to->send_task_ended(t.id, cause);
+    pending_releases_.push_back({t.id, cause, t.peer, loop_.now()});
 }
 
-void PlatformServer::noted(InFlightTask& t, std::string_view what, double figure) {
+void PlatformServer::on_task_metric(InFlightTask& t, std::string_view what, double figure) {
     const Nanos now = loop_.now();
     const planner::TaskNumber n = t.record->number;
     const int launch = static_cast<int>(t.record->attempts.size()) - 1;
-    t.stood = true;
+    t.reported_running = true;
     if (what == "runs") {
         if (t.record->in_flight && ledger_.on_running(now, *t.record->in_flight))
             planner_->on_running(now, n, launch);
@@ -644,43 +651,43 @@
     else if (what == "memory") planner_->on_memory_used(now, n, launch, figure);
     else if (what == "served") planner_->on_service_share(now, n, launch, figure);
     else if (what == "pressure") planner_->on_worker_memory(now, n, launch, figure);
-    round_soon();
+    schedule_round();
 }
 
-void PlatformServer::reported(PooledWorker& h, const LoadReport& r) {
+void PlatformServer::on_load_report(PooledWorker& h, const LoadReport& r) {
     planner_->on_load_report(loop_.now(), h.number(), r);
-    round_soon();
+    schedule_round();
 }
 
 void PlatformServer::migrate(planner::TaskNumber n) {
     InFlightTask* t = find(n);
-    if (!t || !t->standing) return;
+    if (!t || !t->running) return;
     Message m;
-    m.type = MessageType::move;
+    m.type = MessageType::migrate;
     m.task = t->id;
-    if (ClientConnection* to = t->owner ? t->owner : owners_.from(t->peer)) to->write(m);
+    if (ClientConnection* to = t->client ? t->client : clients_.find_by_peer(t->peer)) to->write(m);
     else return;  // nobody to tell: it stays
-    later_.push_back([this, n] {
+    deferred_calls_.push_back([this, n] {
         InFlightTask* still = find(n);
-        if (!still || !still->standing) return;
-        still->host->take_down(*still, true);
-        end_launch(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+        if (!still || !still->running) return;
+        still->worker->remove_running(*still, true);
+        end_attempt(*still, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
     });
-    round_soon();
+    schedule_round();
 }
 
 void PlatformServer::cancel_attempt(planner::TaskNumber n, int) {
-    later_.push_back([this, n] {
+    deferred_calls_.push_back([this, n] {
         InFlightTask* t = find(n);
-        if (!t || !t->record->in_flight || t->standing) return;
-        t->host->give_up(*t);
-        end_launch(*t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, false);
+        if (!t || !t->record->in_flight || t->running) return;
+        t->worker->abandon_attempt(*t);
+        end_attempt(*t, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, false);
     });
-    round_soon();
+    schedule_round();
 }
 
 void PlatformServer::check_health(planner::WorkerNumber n) {
-    if (n < hosts_.size()) hosts_[n]->test();
+    if (n < workers_.size()) workers_[n]->check_health();
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -35,18 +35,18 @@
                    std::vector<std::string> zone_names, Nanos dial_timeout, Nanos idle,
                    std::size_t descriptors, std::uint64_t seed);
     ~PlatformServer() override;
-    void plan_with(planner::Planner&);
+    void set_planner(planner::Planner&);
 
-    DiscoveryWatch& bus() { return bus_; }
-    std::string listen(const std::string& address) { return owners_.listen(address); }
+    DiscoveryWatch& discovery_watch() { return bus_; }
+    std::string listen(const std::string& address) { return clients_.listen(address); }
     // Takes what still comes for a while, answers all that is owed, then calls `done`.
-    void close(std::function<void()> done);
+    void drain(std::function<void()> done);
 
     // For tests and the log.
-    std::size_t tasks() const { return tasks_.size(); }
-    std::size_t hosts() const { return hosts_.size(); }
-    std::size_t connections() const;
-    std::size_t early() const { return waiting_.size(); }
+    std::size_t task_count() const { return tasks_.size(); }
+    std::size_t worker_count() const { return workers_.size(); }
+    std::size_t connection_count() const;
+    std::size_t pending_recovery_count() const { return pending_recoveries_.size(); }
 
     void place(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
     void reject(planner::TaskNumber, Nanos stay_away) override;
@@ -61,27 +61,27 @@
 
 private:
     friend struct InFlightTask;
-    bool may_write(InFlightTask&) override;
-    void launch_answered(InFlightTask&, std::string_view description) override;
-    void launch_ended(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&) override;
-    void standing_ended(InFlightTask&, AttemptOutcome, OutcomeReason, std::uint8_t cause,
-                        const LoadReport&) override;
-    void noted(InFlightTask&, std::string_view what, double figure) override;
-    void reported(PooledWorker&, const LoadReport&) override;
-    bool room_for_host(PooledWorker&) override;
-    void connection_ended() override { --host_connections_; }
+    bool may_send(InFlightTask&) override;
+    void on_attempt_accepted(InFlightTask&, std::string_view description) override;
+    void on_attempt_ended(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&) override;
+    void on_task_ended(InFlightTask&, AttemptOutcome, OutcomeReason, std::uint8_t cause,
+                       const LoadReport&) override;
+    void on_task_metric(InFlightTask&, std::string_view what, double figure) override;
+    void on_load_report(PooledWorker&, const LoadReport&) override;
+    bool reserve_connection(PooledWorker&) override;
+    void on_connection_ended() override { --host_connections_; }
 
-    void set_up(ClientConnection&, const platform_codec::Message&, Nanos since) override;
-    void released(ClientConnection&, std::uint64_t task) override;
-    bool passes_tests() override { return !closing_at_; }
-    bool room_for_owner() override;
-    void tested() override;
-    void owner_came(ClientConnection&) override;
-    void owner_left(ClientConnection&) override;
-    void owner_ends(ClientConnection&) override;
-    void owner_stuck() override;
+    void on_place_task(ClientConnection&, const platform_codec::Message&, Nanos since) override;
+    void on_release(ClientConnection&, std::uint64_t task) override;
+    bool is_healthy() override { return !closing_at_; }
+    bool make_room_for_client() override;
+    void on_health_check() override;
+    void on_client_identified(ClientConnection&) override;
+    void on_client_left(ClientConnection&) override;
+    void on_client_ending(ClientConnection&) override;
+    void on_client_stalled() override;
 
-    void told(const discovery::WatchEvent&) override;
+    void on_watch_event(const discovery::WatchEvent&) override;
 
     struct WorkerEntry {  // one host of the list
         std::unique_ptr<PooledWorker> host;
@@ -103,28 +103,29 @@
         Nanos since;
     };
 
-    InFlightTask& make(std::uint64_t id, ledger::TaskRecord&, ClientConnection*, const std::string& peer);
-    void stands_for_owner(InFlightTask&);
+    InFlightTask& create_task(std::uint64_t id, ledger::TaskRecord&, ClientConnection*,
+                              const std::string& peer);
+    void count_for_client(InFlightTask&);
     InFlightTask* find(planner::TaskNumber);
-    bool take_over(std::uint64_t id, const PlacementRequest&, ClientConnection*, const std::string& peer);
-    std::vector<InFlightTask*> of(const ClientConnection&);     // in the order they were taken
-    void give(InFlightTask&, ledger::Answer, Nanos stay_away);  // the final answer, and nothing else
+    bool adopt(std::uint64_t id, const PlacementRequest&, ClientConnection*, const std::string& peer);
+    std::vector<InFlightTask*> tasks_of(const ClientConnection&);      // in the order they were taken
+    void send_answer(InFlightTask&, ledger::Answer, Nanos stay_away);  // the final answer, and nothing else
     void answer(InFlightTask&, ledger::Answer, Nanos stay_away);
-    void unanswered(InFlightTask&);  // its owner waits no more
-    void end_launch(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&, bool closed);
-    void release_owner(InFlightTask&, std::uint8_t cause);
-    void over(InFlightTask&);  // nothing more can come of it: dropped at the end of the pass
-    void due(InFlightTask&, Nanos now);
-    void launch_due(InFlightTask&, Nanos now);
-    void round_soon();
-    void round();
-    void look();
+    void cancel_task(InFlightTask&);  // its owner waits no more
+    void end_attempt(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&, bool closed);
+    void notify_task_ended(InFlightTask&, std::uint8_t cause);
+    void discard(InFlightTask&);  // nothing more can come of it: dropped at the end of the pass
+    void on_answer_deadline(InFlightTask&, Nanos now);
+    void on_attempt_timeout(InFlightTask&, Nanos now);
+    void schedule_round();
+    void run_round();
+    void sweep();
     void wind_up(Nanos now);
     bool close_least_useful();
     void share_connections();
     void serve_descriptor_queue(Nanos now);
     WorkerConnection* oldest_past_its_turn(Nanos now, bool closable);
-    void turn();
+    void run_timers();
     void arm();
 
     net::EventLoop& loop_;
@@ -140,19 +141,19 @@
     const ConnectionBudget budget_;
     DescriptorQueue descriptor_queue_;
     std::size_t host_connections_ = 0;
-    ClientServer owners_;
+    ClientServer clients_;
     DiscoveryWatch bus_;
-    std::map<std::string, WorkerEntry, std::less<>> known_;
+    std::map<std::string, WorkerEntry, std::less<>> endpoints_;
     std::size_t hosts_there_ = 0;         // listed and not gone
     std::size_t connections_to_one_ = 0;  // the most, as last told to all hosts
-    std::vector<PooledWorker*> hosts_;    // by the planner's number
+    std::vector<PooledWorker*> workers_;  // by the planner's number
     std::unordered_map<planner::TaskNumber, std::unique_ptr<InFlightTask>> tasks_;  // looked up, never walked
     std::unordered_map<std::uint64_t, InFlightTask*> by_id_;                        // neither is this
-    std::unordered_map<std::string, InFlightTask*> standing_;                       // by the name of the task
+    std::unordered_map<std::string, InFlightTask*> running_by_name_;                // by the name of the task
     std::vector<std::unique_ptr<InFlightTask>> dropped_;
-    std::deque<PendingRecovery> waiting_;
-    std::deque<PendingRelease> words_;
-    std::deque<std::function<void()>> later_;  // told to the planner after its round, never within
+    std::deque<PendingRecovery> pending_recoveries_;
+    std::deque<PendingRelease> pending_releases_;
+    std::deque<std::function<void()>> deferred_calls_;  // told to the planner after its round, never within
     std::unique_ptr<net::Timer> round_timer_, turn_timer_, look_timer_, wake_timer_;
     bool round_armed_ = false, in_round_ = false, was_tested_ = false, begun_ = false;
     Nanos last_round_ = 0, closing_at_ = 0, gone_by_ = 0;
--- a/src/platform/worker_pool.h
+++ b/src/platform/worker_pool.h
@@ -25,17 +25,17 @@
 class WorkerHandler {
 public:
     virtual ~WorkerHandler() = default;
-    virtual bool may_write(InFlightTask&) = 0;  // a launch that has waited for its connection
-    virtual void launch_answered(InFlightTask&, std::string_view description) = 0;
-    virtual void launch_ended(InFlightTask&, AttemptOutcome, OutcomeReason,
-                              const LoadReport&) = 0;  // before an answer
-    virtual void standing_ended(InFlightTask&, AttemptOutcome, OutcomeReason, std::uint8_t cause,
-                                const LoadReport&) = 0;
-    virtual void noted(InFlightTask&, std::string_view what, double figure) = 0;
-    virtual void reported(PooledWorker&, const LoadReport&) = 0;  // by a test
+    virtual bool may_send(InFlightTask&) = 0;  // a launch that has waited for its connection
+    virtual void on_attempt_accepted(InFlightTask&, std::string_view description) = 0;
+    virtual void on_attempt_ended(InFlightTask&, AttemptOutcome, OutcomeReason,
+                                  const LoadReport&) = 0;  // before an answer
+    virtual void on_task_ended(InFlightTask&, AttemptOutcome, OutcomeReason, std::uint8_t cause,
+                               const LoadReport&) = 0;
+    virtual void on_task_metric(InFlightTask&, std::string_view what, double figure) = 0;
+    virtual void on_load_report(PooledWorker&, const LoadReport&) = 0;  // by a test
     // A descriptor for one more connection to this host, which is taken where true; and given back.
-    virtual bool room_for_host(PooledWorker&) = 0;
-    virtual void connection_ended() = 0;
+    virtual bool reserve_connection(PooledWorker&) = 0;
+    virtual void on_connection_ended() = 0;
 };
 
 class WorkerConnection final : public net::StreamHandler {
@@ -44,23 +44,25 @@
 
     bool usable() const { return !broken_ && !retired; }
     bool up() const { return up_; }
-    std::size_t load() const { return waiting_.size() + launches_.size(); }
-    bool busy() const { return !waiting_.empty() || !launches_.empty() || !tests_.empty(); }
-    bool knows(std::uint64_t id) const { return given_up_.contains(id); }
-    void launch(InFlightTask&);
-    void give_up(InFlightTask&);  // its launch ends here, whether it was written or not
-    void test();
-    void cut(std::uint64_t id);
-    void abandon();  // as if it had broken
+    std::size_t load() const { return waiting_.size() + in_flight_.size(); }
+    bool has_work() const {
+        return !waiting_.empty() || !in_flight_.empty() || !pending_health_checks_.empty();
+    }
+    bool has_abandoned(std::uint64_t id) const { return abandoned_.contains(id); }
+    void start_attempt(InFlightTask&);
+    void abandon_attempt(InFlightTask&);  // its launch ends here, whether it was written or not
+    void check_health();
+    void cancel_task(std::uint64_t id);
+    void abort();  // as if it had broken
     // Of no use since then, with nothing on its way either way that is known of; 0: it is of use.
     Nanos idle_since() const;
     // Up since; 0 while it is still dialled.
     Nanos up_since() const { return up_ ? up_since_ : 0; }
     // No attempt is on it, and nothing lies unread or unsent: closing it loses at most the answer to a health
     // check. Not to be asked from within one of its own calls.
-    bool carries_nothing() const;
+    bool is_empty() const;
     void close();  // after idle_since() or carries_nothing()
-    void flush();
+    void send_waiting();
 
     bool retired = false;  // nothing new leaves on it
 
@@ -68,26 +70,26 @@
     friend class PooledWorker;
     void on_connected() override;
     std::size_t on_received(std::string_view) override;
-    void on_drained() override { flush(); }
+    void on_drained() override { send_waiting(); }
     void on_closed(net::CloseReason) override;
-    void heard(const platform_codec::Message&);
-    void unreadable(std::string_view why);
-    void broke(bool refused);
-    void end_all(bool connected);
-    bool room() const;
+    void on_message(const platform_codec::Message&);
+    void on_malformed(std::string_view why);
+    void on_connection_lost(bool refused);
+    void end_attempts(bool connected);
+    bool can_send() const;
     void write(const platform_codec::Message&);
 
-    PooledWorker& host_;
+    PooledWorker& worker_;
     std::unique_ptr<net::Stream> stream_;
     std::unique_ptr<net::Timer> timer_;  // of the dial, then of half a message
-    bool up_ = false, broken_ = false, test_due_ = false;
-    Nanos heard_ = 0, used_ = 0, up_since_ = 0;
-    std::deque<InFlightTask*> waiting_;                          // not written yet
-    std::unordered_map<std::uint64_t, InFlightTask*> launches_;  // written, no end yet; looked up, and walked
-                                                                 // in order of id only
-    std::map<std::uint64_t, bool> given_up_;                     // by id: whether a late yes is to be cut
-    std::set<std::uint64_t> tests_;
-    std::vector<std::uint64_t> cuts_;  // to be written once it is up
+    bool up_ = false, broken_ = false, health_check_due_ = false;
+    Nanos last_received_ = 0, last_used_ = 0, up_since_ = 0;
+    std::deque<InFlightTask*> waiting_;                           // not written yet
+    std::unordered_map<std::uint64_t, InFlightTask*> in_flight_;  // written, no end yet; looked up, and
+                                                                  // walked in order of id only
+    std::map<std::uint64_t, bool> abandoned_;  // by id: whether a late yes is to be cut
+    std::set<std::uint64_t> pending_health_checks_;
+    std::vector<std::uint64_t> pending_cancels_;  // to be written once it is up
 };
 
 class PooledWorker {
@@ -99,68 +101,68 @@
     const std::string& name() const { return name_; }
     std::uint32_t number() const { return number_; }
     // What was dialled before it left, or moved, is given up: a new host may have the address.
-    void listed(const std::string& address, EndpointPhase);
-    void most_connections(std::size_t n) { most_ = n; }
+    void update_endpoint(const std::string& address, EndpointPhase);
+    void set_max_connections(std::size_t n) { max_connections_ = n; }
     // What stood there before is over.
-    void started_anew(Nanos at);
+    void on_restarted(Nanos at);
     // Hears nothing more: what it says is left for whoever connects to it next.
-    void hush();
+    void stop_reading();
 
-    bool launch(InFlightTask&);  // false: no descriptor was free for it
-    void give_up(InFlightTask&);
-    void test();
-    void stands(InFlightTask&);
+    bool start_attempt(InFlightTask&);  // false: no descriptor was free for it
+    void abandon_attempt(InFlightTask&);
+    void check_health();
+    void add_running(InFlightTask&);
     // It said lately that this container, unknown then, is over, and why.
-    bool said_over(std::uint64_t id, std::uint8_t& cause) const;
-    void take_down(InFlightTask&, bool cut);  // it stands no more, and is cut at the host
+    bool find_ended_task(std::uint64_t id, std::uint8_t& cause) const;
+    void remove_running(InFlightTask&, bool cut);  // it stands no more, and is cut at the host
     // The connection that is of no use for the longest; null where there is none.
-    WorkerConnection* least_useful();
+    WorkerConnection* longest_idle_connection();
     // Whether there is a connection, up or dialled, that may carry something new.
-    bool has_connection() const { return current() != nullptr; }
+    bool has_connection() const { return usable_connection() != nullptr; }
     // Of the connections up since before `before`, the oldest; null where there is none.
-    WorkerConnection* oldest_up(Nanos before) const;
+    WorkerConnection* oldest_connection(Nanos before) const;
     // Dials where there is none that may carry something new; false where no descriptor was free. Tests that
     // waited for it leave once it is up.
     bool connect();
-    bool gone() const { return stage_ == EndpointPhase::gone; }
-    bool holds_standing() const { return !standing_.empty(); }
+    bool is_gone() const { return phase_ == EndpointPhase::gone; }
+    bool has_running_tasks() const { return !running_.empty(); }
     // From time to time: silent and idle connections, hosts that are gone for good.
-    void look(Nanos now);
+    void sweep(Nanos now);
 
 private:
     friend class WorkerConnection;
-    WorkerConnection* current()
+    WorkerConnection* usable_connection()
         const;  // the least loaded that may carry something new; null if there is none
-    void cut(std::uint64_t id);
+    void cancel_task(std::uint64_t id);
     WorkerConnection* dial();  // null: no descriptor
-    void broke(WorkerConnection&, bool was_up, bool refused);
-    void all_over(std::string_view why);
-    InFlightTask* stands_here(std::uint64_t id) const;
+    void on_connection_lost(WorkerConnection&, bool was_up, bool refused);
+    void end_running_tasks(std::string_view why);
+    InFlightTask* find_running(std::uint64_t id) const;
 
     const std::string name_;
     const std::uint32_t number_;
     net::EventLoop& loop_;
     const log::Logger& log_;
-    WorkerHandler& user_;
+    WorkerHandler& handler_;
     const Nanos dial_timeout_, idle_;
     std::string address_;
-    EndpointPhase stage_ = EndpointPhase::serving;
+    EndpointPhase phase_ = EndpointPhase::serving;
     Nanos gone_at_ = 0;
-    std::vector<std::unique_ptr<WorkerConnection>> connections_, left_;
-    std::map<std::uint64_t, InFlightTask*> standing_;
-    std::vector<std::uint64_t> cuts_;  // for the next connection
+    std::vector<std::unique_ptr<WorkerConnection>> connections_, closed_;
+    std::map<std::uint64_t, InFlightTask*> running_;
+    std::vector<std::uint64_t> pending_cancels_;  // for the next connection
     struct EndedTask {
         std::uint64_t id;
         std::uint8_t cause;
         Nanos since;
     };
-    std::deque<EndedTask> said_over_;
-    std::size_t most_ = 1;
-    Nanos heard_ = 0;
-    bool hushed_ = false, test_due_ = false;  // test_due_: once there is a connection
-    int refused_ = 0;                         // dials in a row
-    Nanos dial_again_ = 0;
-    std::uint64_t next_test_;
+    std::deque<EndedTask> recently_ended_;
+    std::size_t max_connections_ = 1;
+    Nanos last_received_ = 0;
+    bool reading_stopped_ = false, health_check_due_ = false;  // test_due_: once there is a connection
+    int refused_dials_ = 0;                                    // dials in a row
+    Nanos next_dial_at_ = 0;
+    std::uint64_t next_health_check_;
 };
 
 }  // namespace whinpost::platform
--- a/src/platform_codec/message.cpp
+++ b/src/platform_codec/message.cpp
@@ -9,10 +9,10 @@
 constexpr std::size_t kHeader = 9;  // type and task
 constexpr std::uint8_t kCauseCode = 142;
 constexpr std::pair<std::uint8_t, std::optional<std::string_view> Message::*> kTexts[] = {
-    {100, &Message::group}, {103, &Message::wait},       {109, &Message::retry},
-    {112, &Message::name},  {115, &Message::figures},    {118, &Message::stay_away},
-    {121, &Message::notes}, {127, &Message::report},     {136, &Message::figure},
-    {139, &Message::key},   {145, &Message::description}};
+    {100, &Message::queue_group},     {103, &Message::time_left_ms}, {109, &Message::retry},
+    {112, &Message::task_name},       {115, &Message::requirements}, {118, &Message::retry_after_ms},
+    {121, &Message::detail},          {127, &Message::load_report},  {136, &Message::metric_value},
+    {139, &Message::idempotency_key}, {145, &Message::description}};
 
 std::uint64_t number(std::string_view in, std::size_t at, std::size_t bytes) {
     std::uint64_t n = 0;
@@ -31,34 +31,34 @@
 
 DecodeStatus decode(std::string_view in, Message& out, std::size_t& used) {
     used = 0;
-    if (in.size() >= 3 && !known(static_cast<std::uint8_t>(in[2]))) return DecodeStatus::unreadable;
-    if (in.size() < 2) return DecodeStatus::more;
+    if (in.size() >= 3 && !known(static_cast<std::uint8_t>(in[2]))) return DecodeStatus::malformed;
+    if (in.size() < 2) return DecodeStatus::incomplete;
     const std::size_t length = number(in, 0, 2);
-    if (length < kHeader || length + 2 > kMaxMessageSize) return DecodeStatus::unreadable;
-    if (in.size() < length + 2) return DecodeStatus::more;
+    if (length < kHeader || length + 2 > kMaxMessageSize) return DecodeStatus::malformed;
+    if (in.size() < length + 2) return DecodeStatus::incomplete;
     out = {};
     out.type = static_cast<MessageType>(in[2]);
     out.task = number(in, 3, 8);
     for (std::size_t at = 2 + kHeader; at < length + 2;) {
-        if (length + 2 - at < 3) return DecodeStatus::unreadable;
+        if (length + 2 - at < 3) return DecodeStatus::malformed;
         const auto code = static_cast<std::uint8_t>(in[at]);
         const std::size_t size = number(in, at + 1, 2);
         at += 3;
-        if (size > length + 2 - at) return DecodeStatus::unreadable;
+        if (size > length + 2 - at) return DecodeStatus::malformed;
         const std::string_view value = in.substr(at, size);
         at += size;
         if (code == kCauseCode) {
-            if (size != 1 || out.cause) return DecodeStatus::unreadable;
+            if (size != 1 || out.cause) return DecodeStatus::malformed;
             out.cause = static_cast<std::uint8_t>(value[0]);
         }
         for (const auto& [c, text] : kTexts)
             if (c == code) {
-                if (out.*text) return DecodeStatus::unreadable;  // twice: which one was meant?
+                if (out.*text) return DecodeStatus::malformed;  // twice: which one was meant?
                 out.*text = value;
             }
     }
     used = length + 2;
-    return DecodeStatus::whole;
+    return DecodeStatus::complete;
 }
 
 void encode(std::string& out, const Message& m) {
--- a/src/platform_codec/message.h
+++ b/src/platform_codec/message.h
@@ -11,15 +11,15 @@
 namespace whinpost::platform_codec {
 
 enum class MessageType : std::uint8_t {
-    set_up = 1,
+    place_task = 1,
     progress = 6,
     answer = 9,
     release = 12,  // also: a refusal, a set-up given up
-    release_heard = 16,
+    release_ack = 16,
     note = 44,
-    move = 51,
-    test = 52,
-    tested = 53
+    migrate = 51,
+    health_check = 52,
+    health_check_reply = 53
 };
 
 // Causes of releases and tests.
@@ -30,14 +30,14 @@
 struct Message {
     MessageType type = MessageType::progress;
     std::uint64_t task = 0;
-    std::optional<std::string_view> group, wait, retry, name, figures, stay_away, notes, report, figure, key,
-        description;
+    std::optional<std::string_view> queue_group, time_left_ms, retry, task_name, requirements, retry_after_ms,
+        detail, load_report, metric_value, idempotency_key, description;
     std::optional<std::uint8_t> cause;
 };
 
 constexpr std::size_t kMaxMessageSize = 16 << 10;  // the protocol's
 
-enum class DecodeStatus { whole, more, unreadable };
+enum class DecodeStatus { complete, incomplete, malformed };
 // One message from the front of `in`; `used` bytes are done with where it is whole. What is too long, of no
 // known type, or does not add up can't be read, and nothing after it can be trusted.
 DecodeStatus decode(std::string_view in, Message& out, std::size_t& used);
@@ -54,8 +54,8 @@
         Message m;
         std::size_t used = 0;
         const DecodeStatus how = decode(in.substr(done), m, used);
-        unreadable = how == DecodeStatus::unreadable;
-        if (how != DecodeStatus::whole) return done;
+        unreadable = how == DecodeStatus::malformed;
+        if (how != DecodeStatus::complete) return done;
         done += used;
         if (!each(m)) return done;
     }
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -262,22 +262,23 @@
 TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
     using platform_codec::MessageType;
     std::string out;
-    for (const MessageType type : {MessageType::set_up, MessageType::progress, MessageType::answer,
-                                   MessageType::release, MessageType::release_heard, MessageType::note,
-                                   MessageType::move, MessageType::test, MessageType::tested}) {
+    for (const MessageType type :
+         {MessageType::place_task, MessageType::progress, MessageType::answer, MessageType::release,
+          MessageType::release_ack, MessageType::note, MessageType::migrate, MessageType::health_check,
+          MessageType::health_check_reply}) {
         platform_codec::Message m;
         m.type = type;
         m.task = 0x0102030405060708;
-        m.group = "group";
-        m.wait = "wait";
+        m.queue_group = "group";
+        m.time_left_ms = "wait";
         m.retry = "retry";
-        m.name = "name";
-        m.figures = "figures";
-        m.stay_away = "stay_away";
-        m.notes = "notes";
-        m.report = "report";
-        m.figure = "figure";
-        m.key = "key";
+        m.task_name = "name";
+        m.requirements = "figures";
+        m.retry_after_ms = "stay_away";
+        m.detail = "notes";
+        m.load_report = "report";
+        m.metric_value = "figure";
+        m.idempotency_key = "key";
         m.description = "description";
         m.cause = 42;
         std::string bytes;
@@ -285,7 +286,7 @@
         out += std::to_string(static_cast<int>(type)) + " " + hex(bytes) + "\n";
         platform_codec::Message again;
         std::size_t used = 0;
-        REQUIRE(platform_codec::decode(bytes, again, used) == platform_codec::DecodeStatus::whole);
+        REQUIRE(platform_codec::decode(bytes, again, used) == platform_codec::DecodeStatus::complete);
         std::string written;
         platform_codec::encode(written, again);
         CHECK(hex(written) == hex(bytes));
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -15,13 +15,13 @@
 
 Message good() {
     Message m;
-    m.type = MessageType::set_up;
+    m.type = MessageType::place_task;
     m.task = 0x0123456789abcdef;
-    m.group = "batch";
-    m.wait = "1500";
-    m.name = "7f3a9c21e0b4d655";
-    m.figures = "cores:1;memory:2;service:00000000b4d65521";
-    m.key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    m.queue_group = "batch";
+    m.time_left_ms = "1500";
+    m.task_name = "7f3a9c21e0b4d655";
+    m.requirements = "cores:1;memory:2;service:00000000b4d65521";
+    m.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     m.description = std::string_view("\x00 any bytes \xff", 13);
     return m;
 }
@@ -45,15 +45,15 @@
     const std::size_t one = bytes.size() / 2;
     for (std::size_t n = 0; n < one; ++n)
         REQUIRE(platform_codec::decode(std::string_view(bytes).substr(0, n), got, used) ==
-                DecodeStatus::more);
-    REQUIRE(platform_codec::decode(bytes, got, used) == DecodeStatus::whole);
+                DecodeStatus::incomplete);
+    REQUIRE(platform_codec::decode(bytes, got, used) == DecodeStatus::complete);
     CHECK(used == one);
     CHECK(got.task == m.task);
     CHECK(got.type == m.type);
-    CHECK(got.group == m.group);
+    CHECK(got.queue_group == m.queue_group);
     CHECK(got.description == m.description);
     CHECK(got.cause == m.cause);
-    CHECK(!got.report);
+    CHECK(!got.load_report);
 }
 
 TEST_CASE("what does not add up can't be read") {
@@ -64,15 +64,15 @@
     const auto read = [&](std::string b) { return platform_codec::decode(b, got, used); };
     std::string b = bytes;
     b[0] = '\x7f';  // too long
-    CHECK(read(b) == DecodeStatus::unreadable);
+    CHECK(read(b) == DecodeStatus::malformed);
     b = bytes;
     b[2] = 99;  // no such type, known before the rest has come
-    CHECK(read(b) == DecodeStatus::unreadable);
-    CHECK(read(b.substr(0, 3)) == DecodeStatus::unreadable);
-    CHECK(read(std::string("\x00\x02\x01", 3)) == DecodeStatus::unreadable);  // shorter than any message
+    CHECK(read(b) == DecodeStatus::malformed);
+    CHECK(read(b.substr(0, 3)) == DecodeStatus::malformed);
+    CHECK(read(std::string("\x00\x02\x01", 3)) == DecodeStatus::malformed);  // shorter than any message
     b = bytes;
     b[12] = '\x7f';  // a parameter that ends after its message
-    CHECK(read(b) == DecodeStatus::unreadable);
+    CHECK(read(b) == DecodeStatus::malformed);
 }
 
 TEST_CASE("a set-up is read whole or turned away with what is wrong") {
@@ -83,24 +83,24 @@
         return !wrong_with(m).empty();
     };
     CHECK(broken([](Message& m) { m.task = 0; }));
-    CHECK(broken([](Message& m) { m.group = "nothing"; }));
-    CHECK(broken([](Message& m) { m.group.reset(); }));
-    CHECK(broken([](Message& m) { m.name = "short"; }));
-    CHECK(broken([](Message& m) { m.key.reset(); }));
+    CHECK(broken([](Message& m) { m.queue_group = "nothing"; }));
+    CHECK(broken([](Message& m) { m.queue_group.reset(); }));
+    CHECK(broken([](Message& m) { m.task_name = "short"; }));
+    CHECK(broken([](Message& m) { m.idempotency_key.reset(); }));
     CHECK(broken([](Message& m) { m.description.reset(); }));
     const std::string_view wait = GENERATE("", "soon", "-5", "99999999999999999999999", "1.5", "nan");
-    CHECK(broken([&](Message& m) { m.wait = wait; }));
+    CHECK(broken([&](Message& m) { m.time_left_ms = wait; }));
     const std::string_view figures =
         GENERATE("", "x", "cores:1;memory:2", "cores:nan;memory:2;service:a", "cores:-1;memory:2;service:a",
                  "cores:1;memory:1e12;service:a", "cores:0;memory:2;service:a", "memory:2;service:a",
                  "home:1;copies:0;top:99", "cores:inf;memory:2;service:a", "cores:17;memory:2;service:a");
-    CHECK(broken([&](Message& m) { m.figures = figures; }));
+    CHECK(broken([&](Message& m) { m.requirements = figures; }));
 }
 
 TEST_CASE("what a host holds already comes without a wait that means anything") {
     Message m = good();
-    m.figures = "cores:1;memory:2;service:00000000b4d65521;at:s-1";
-    m.wait = "4294967";
+    m.requirements = "cores:1;memory:2;service:00000000b4d65521;at:s-1";
+    m.time_left_ms = "4294967";
     m.description.reset();
     CHECK(wrong_with(m).empty());
 }
