--- a/src/platform/worker_pool.h
+++ b/src/platform/worker_pool.h
@@ -87,7 +87,7 @@
     std::deque<InFlightTask*> waiting_;                           // not written yet
     std::unordered_map<std::uint64_t, InFlightTask*> in_flight_;  // written, no end yet; looked up, and
                                                                   // walked in order of id only
-    std::map<std::uint64_t, bool> abandoned_;  // by id: whether a late yes is to be cut
+    std::map<std::uint64_t, bool> abandoned_;                     // by id: whether a late yes is to be cut
     std::set<std::uint64_t> pending_health_checks_;
     std::vector<std::uint64_t> pending_cancels_;  // to be written once it is up
 };
