--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -330,34 +330,30 @@
     CLI11_PARSE(app, argc, argv);
     rig.length = static_cast<Nanos>(seconds * 1e9);
     rig.warm = static_cast<Nanos>(warm * 1e9);
-    std::string error;
     for (std::size_t i = 0; i < nodes; ++i) {
         rig.nodes.push_back(std::make_unique<LightNode>(rig, "n" + std::to_string(i)));
         LightNode& n = *rig.nodes.back();
-        n.listener = rig.loop.listen(
-            "127.0.0.1:0",
-            [&rig, &n](std::unique_ptr<net::Stream> s) {
-                n.stream = std::move(s);
-                n.read = 0;
-                rig.loop.attach(*n.stream, n);
-            },
-            error);
-        if (!n.listener) {
-            std::cerr << "no port can be had: " << error << '\n';
+        auto listener = rig.loop.listen("127.0.0.1:0", [&rig, &n](std::unique_ptr<net::Stream> s) {
+            n.stream = std::move(s);
+            n.read = 0;
+            rig.loop.attach(*n.stream, n);
+        });
+        if (!listener) {
+            std::cerr << "no port can be had: " << to_string(listener.error()) << '\n';
             return 2;
         }
+        n.listener = std::move(*listener);
         n.address = n.listener->address();
     }
-    rig.list = rig.loop.listen(
-        "127.0.0.1:0",
-        [&rig](std::unique_ptr<net::Stream> s) {
-            rig.list_end->stream = std::move(s);
-            rig.loop.attach(*rig.list_end->stream, *rig.list_end);
-        },
-        error);
+    rig.list = rig.loop
+                   .listen("127.0.0.1:0",
+                           [&rig](std::unique_ptr<net::Stream> s) {
+                               rig.list_end->stream = std::move(s);
+                               rig.loop.attach(*rig.list_end->stream, *rig.list_end);
+                           })
+                   .value();
     {
-        const auto port = rig.loop.listen(
-            "127.0.0.1:0", [](std::unique_ptr<net::Stream>) {}, error);
+        const auto port = rig.loop.listen("127.0.0.1:0", [](std::unique_ptr<net::Stream>) {}).value();
         rig.placer = port->address();
     }
     char file[] = "/tmp/whinpost-load-XXXXXX";
--- a/emulator/discovery_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -51,17 +51,15 @@
 DiscoveryService::~DiscoveryService() = default;
 
 std::string DiscoveryService::listen(const std::string& address) {
-    std::string error;
-    listener_ = loop_.listen(
-        address,
-        [this](std::unique_ptr<net::Stream> s) {
-            net::Stream& stream = *s;
-            sessions_.push_back(std::make_unique<Session>(*this, std::move(s)));
-            loop_.attach(stream, *sessions_.back());
-        },
-        error);
-    if (listener_) address_ = listener_->address();
-    return listener_ ? "" : error;
+    auto listener = loop_.listen(address, [this](std::unique_ptr<net::Stream> s) {
+        net::Stream& stream = *s;
+        sessions_.push_back(std::make_unique<Session>(*this, std::move(s)));
+        loop_.attach(stream, *sessions_.back());
+    });
+    if (!listener) return to_string(listener.error());
+    listener_ = std::move(*listener);
+    address_ = listener_->address();
+    return "";
 }
 
 v1::Endpoint DiscoveryService::aged(const Known& k) const {
--- a/emulator/emulated_worker.cpp
+++ b/emulator/emulated_worker.cpp
@@ -139,10 +139,10 @@
 EmulatedWorker::~EmulatedWorker() = default;
 
 std::string EmulatedWorker::listen(const std::string& address) {
-    std::string error;
-    listener_ = on_.listen(
-        address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); }, error);
-    return listener_ ? "" : error;
+    auto listener = on_.listen(address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); });
+    if (!listener) return to_string(listener.error());
+    listener_ = std::move(*listener);
+    return "";
 }
 
 RecordedEvent EmulatedWorker::line(EventKind w, const std::string& placer, const std::string& container) {
--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -230,14 +230,11 @@
     return world_.now_ == resumed_at_ ? stalled_at_ : world_.now_;
 }
 
-std::unique_ptr<net::Listener> SimulatedProcess::listen(
-    const std::string& address, std::function<void(std::unique_ptr<net::Stream>)> then, std::string& error) {
+net::ListenResult SimulatedProcess::listen(const std::string& address, net::AcceptHandler then) {
     std::string at = address;
     if (at.ends_with(":0")) at = host_of(at) + ":" + std::to_string(world_.next_port_++);
-    if (world_.listeners_.contains(at)) {
-        error = "Address already in use";
-        return nullptr;
-    }
+    if (world_.listeners_.contains(at))
+        return tl::unexpected(net::ListenError{address, "Address already in use"});
     return std::make_unique<SimulatedListener>(*this, at, std::move(then));
 }
 
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -36,9 +36,7 @@
     Nanos now() const override;
     Nanos polled_at() const override { return unseen_since(); }
     Nanos unseen_since() const override;
-    std::unique_ptr<net::Listener> listen(const std::string& address,
-                                          std::function<void(std::unique_ptr<net::Stream>)>,
-                                          std::string& error) override;
+    [[nodiscard]] net::ListenResult listen(const std::string& address, net::AcceptHandler) override;
     std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamHandler&) override;
     void attach(net::Stream&, net::StreamHandler&) override;
     std::unique_ptr<net::Timer> make_timer(std::function<void()>) override;
--- a/simulation/socket_environment.cpp
+++ b/simulation/socket_environment.cpp
@@ -19,10 +19,9 @@
     // A restarted placer must be found where it was: its port is chosen once. Each is held until its placer
     // starts: let go before, it was given to a node that asked for any port, and owners met that.
     for (std::string& a : addresses_) {
-        std::string error;
-        held_.push_back(loop.listen(
-            "127.0.0.1:0", [](std::unique_ptr<net::Stream>) {}, error));
-        if (!held_.back()) throw std::runtime_error("no port can be had: " + error);
+        auto listener = loop.listen("127.0.0.1:0", [](std::unique_ptr<net::Stream>) {});
+        if (!listener) throw std::runtime_error("no port can be had: " + to_string(listener.error()));
+        held_.push_back(std::move(*listener));
         a = held_.back()->address();
     }
 }
--- a/src/net/libevent_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -35,6 +35,8 @@
     return "unknown";
 }
 
+std::string to_string(const ListenError& error) { return error.reason; }
+
 namespace {
 
 Nanos clock(clockid_t which) {
@@ -387,12 +389,11 @@
     return polled_at_ - poll_began_at_ >= kPollWaited ? polled_at_ : previous_poll_at_;
 }
 
-std::unique_ptr<Listener> LibeventLoop::listen(const std::string& address,
-                                               std::function<void(std::unique_ptr<Stream>)> then,
-                                               std::string& error) {
-    auto l = std::make_unique<LibeventListener>(*this, std::move(then));
-    if (!l->open(address, error)) return nullptr;
-    return l;
+ListenResult LibeventLoop::listen(const std::string& address, AcceptHandler handler) {
+    auto listener = std::make_unique<LibeventListener>(*this, std::move(handler));
+    std::string reason;
+    if (!listener->open(address, reason)) return tl::unexpected(ListenError{address, reason});
+    return listener;
 }
 
 std::unique_ptr<Stream> LibeventLoop::dial(const std::string& address, StreamHandler& user) {
--- a/src/net/libevent_loop.h
+++ b/src/net/libevent_loop.h
@@ -17,8 +17,7 @@
     Nanos now() const override;
     Nanos polled_at() const override { return polled_at_; }
     Nanos unseen_since() const override;
-    std::unique_ptr<Listener> listen(const std::string& address, std::function<void(std::unique_ptr<Stream>)>,
-                                     std::string& error) override;
+    [[nodiscard]] ListenResult listen(const std::string& address, AcceptHandler) override;
     std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) override;
     void attach(Stream&, StreamHandler&) override;
     std::unique_ptr<Timer> make_timer(std::function<void()>) override;
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -10,6 +10,7 @@
 #include <memory>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 
 #include "whinpost/scheduler.h"
 
@@ -68,6 +69,17 @@
     virtual void accept_pending() = 0;
 };
 
+// Why an address can't be listened on.
+struct ListenError {
+    std::string address;  // as it was asked for
+    std::string reason;   // the system's text for it, or what is wrong with the address
+};
+// The reason alone: the address is the caller's to name.
+std::string to_string(const ListenError&);
+
+using AcceptHandler = std::function<void(std::unique_ptr<Stream>)>;
+using ListenResult = tl::expected<std::unique_ptr<Listener>, ListenError>;  // never holds a null listener
+
 class Timer {
 public:
     virtual ~Timer() = default;
@@ -84,10 +96,9 @@
     // What is read in this pass came no earlier than this. It is the pass's own poll where that had to wait,
     // and else the one before: while the loop was busy bytes may have lain in the kernel.
     virtual Nanos unseen_since() const = 0;
-    // `address` is host:port, the host an IP address. Null and `error` where it can't be listened on.
-    virtual std::unique_ptr<Listener> listen(const std::string& address,
-                                             std::function<void(std::unique_ptr<Stream>)>,
-                                             std::string& error) = 0;
+    // `address` is host:port, the host an IP address; port 0 asks for any free one. The handler is called
+    // with each accepted connection until the listener is destroyed.
+    [[nodiscard]] virtual ListenResult listen(const std::string& address, AcceptHandler) = 0;
     // Never null; a failure is told by closed(), later.
     virtual std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) = 0;
     virtual void attach(
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -182,10 +182,10 @@
     : loop_(loop), log_(log), handler_(user) {}
 
 std::string ClientServer::listen(const std::string& address) {
-    std::string error;
-    listener_ = loop_.listen(
-        address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); }, error);
-    return listener_ ? std::string() : error;
+    auto listener = loop_.listen(address, [this](std::unique_ptr<net::Stream> s) { accept(std::move(s)); });
+    if (!listener) return to_string(listener.error());
+    listener_ = std::move(*listener);
+    return {};
 }
 
 // A full house makes room by showing out the one that has said nothing for the longest; else, of those that
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -129,11 +129,10 @@
 }
 
 std::string PlacerServer::start(const std::string& listen, const std::string& list, bool list_on_request) {
-    std::string error;
-    auto listener = loop_.listen(
-        listen, [this](std::unique_ptr<net::Stream> s) { owners_->accept(std::move(s)); }, error);
-    if (!listener) return listen + ": " + error;
-    owners_ = std::make_unique<ClientEndpoint>(*this, std::move(listener));
+    auto listener =
+        loop_.listen(listen, [this](std::unique_ptr<net::Stream> s) { owners_->accept(std::move(s)); });
+    if (!listener) return listen + ": " + to_string(listener.error());
+    owners_ = std::make_unique<ClientEndpoint>(*this, std::move(*listener));
     list_ = std::make_unique<DiscoveryClient>(*this, list, list_on_request);
     list_->connect();
     log_(Level::info, "listening",
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -77,15 +77,12 @@
 TEST_CASE("streams carry bytes both ways, in order, and tell how they end") {
     Ground g(GENERATE(true, false));
     End near, far;
-    std::string error;
-    const auto listener = g.far().listen(
-        g.any(),
-        [&](std::unique_ptr<net::Stream> s) {
-            far.stream = std::move(s);
-            g.far().attach(*far.stream, far);
-        },
-        error);
-    REQUIRE(listener);
+    const auto listening = g.far().listen(g.any(), [&](std::unique_ptr<net::Stream> s) {
+        far.stream = std::move(s);
+        g.far().attach(*far.stream, far);
+    });
+    REQUIRE(listening);
+    const auto& listener = *listening;
     near.stream = g.near().dial(listener->address(), near);
     g.until([&] { return near.up && far.stream; });
     std::string much;
@@ -126,15 +123,14 @@
     "a dial that nobody answers is told as refused, and an address that is taken can't be listened on") {
     Ground g(GENERATE(true, false));
     End near;
-    std::string error;
     std::string address;
     {
-        const auto gone = g.far().listen(
-            g.any(), [](std::unique_ptr<net::Stream>) {}, error);
+        const auto gone = g.far().listen(g.any(), [](std::unique_ptr<net::Stream>) {}).value();
         address = gone->address();
-        CHECK(g.far().listen(
-                  address, [](std::unique_ptr<net::Stream>) {}, error) == nullptr);
-        CHECK(error == "Address already in use");
+        const auto second = g.far().listen(address, [](std::unique_ptr<net::Stream>) {});
+        REQUIRE_FALSE(second);
+        CHECK(to_string(second.error()) == "Address already in use");
+        CHECK(second.error().address == address);
     }
     near.stream = g.near().dial(address, near);
     g.until([&] { return near.over; });
@@ -161,14 +157,12 @@
 TEST_CASE("without a descriptor left, dials say so, and those who ask are let in once there is one") {
     net::LibeventLoop loop;
     End first, second, served;
-    std::string error;
-    const auto listener = loop.listen(
-        "127.0.0.1:0",
-        [&](std::unique_ptr<net::Stream> s) {
-            served.stream = std::move(s);
-            loop.attach(*served.stream, served);
-        },
-        error);
+    const auto listener = loop.listen("127.0.0.1:0",
+                                      [&](std::unique_ptr<net::Stream> s) {
+                                          served.stream = std::move(s);
+                                          loop.attach(*served.stream, served);
+                                      })
+                              .value();
     first.stream =
         loop.dial(listener->address(), first);  // its descriptor is had; the accepting side's will not be
     rlimit before{}, none{};
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -90,18 +90,15 @@
     static SlowStartSettings slow_start() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}; }
 
     void open_discovery(const std::string& address) {
-        std::string error;
-        discovery_listeners.push_back(discovery_process.listen(
-            address,
-            [this](std::unique_ptr<net::Stream> s) {
-                watches.push_back(std::make_unique<WatchConnection>());
-                net::Stream& stream = *s;
-                watches.back()->stream = std::move(s);
-                discovery_process.attach(stream, *watches.back());
-                publish_bytes("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-            },
-            error));
-        require(discovery_listeners.back() != nullptr);
+        auto listener = discovery_process.listen(address, [this](std::unique_ptr<net::Stream> s) {
+            watches.push_back(std::make_unique<WatchConnection>());
+            net::Stream& stream = *s;
+            watches.back()->stream = std::move(s);
+            discovery_process.attach(stream, *watches.back());
+            publish_bytes("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+        });
+        require(listener.has_value());
+        discovery_listeners.push_back(std::move(*listener));
     }
     void start(const std::string& address = "10.0.9.1:1") {
         server.discovery_watch().follow(address, 0);
@@ -141,17 +138,14 @@
         return h;
     }
     void listen(FakeWorker& h) {
-        std::string error;
-        h.listener = h.process->listen(
-            h.address,
-            [this, &h](std::unique_ptr<net::Stream> s) {
-                h.connections.push_back(std::make_unique<TestClient>());
-                net::Stream& stream = *s;
-                h.connections.back()->stream = std::move(s);
-                h.process->attach(stream, *h.connections.back());
-            },
-            error);
-        require(h.listener != nullptr);
+        auto listener = h.process->listen(h.address, [this, &h](std::unique_ptr<net::Stream> s) {
+            h.connections.push_back(std::make_unique<TestClient>());
+            net::Stream& stream = *s;
+            h.connections.back()->stream = std::move(s);
+            h.process->attach(stream, *h.connections.back());
+        });
+        require(listener.has_value());
+        h.listener = std::move(*listener);
     }
     TestClient& connect_client(int number = 1) {
         simulation::SimulatedProcess*& p = client_processes[number];
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -58,18 +58,18 @@
 struct Rig {
     explicit Rig(const std::string& more = "", std::uint64_t seed = 1) : world(seed) {
         list_host = &world.process("list");
-        listeners.push_back(list_host->listen(
-            "list:1",
-            [this](std::unique_ptr<net::Stream> s) {
-                lists.push_back(std::make_unique<ListPeer>());
-                net::Stream& stream = *s;
-                lists.back()->stream = std::move(s);
-                list_host->attach(stream, *lists.back());
-                v1::FromDiscovery hello;
-                greet(*hello.mutable_hello(), "list", 1);
-                lists.back()->say(hello);
-            },
-            error));
+        listeners.push_back(list_host
+                                ->listen("list:1",
+                                         [this](std::unique_ptr<net::Stream> s) {
+                                             lists.push_back(std::make_unique<ListPeer>());
+                                             net::Stream& stream = *s;
+                                             lists.back()->stream = std::move(s);
+                                             list_host->attach(stream, *lists.back());
+                                             v1::FromDiscovery hello;
+                                             greet(*hello.mutable_hello(), "list", 1);
+                                             lists.back()->say(hello);
+                                         })
+                                .value());
         text = R"([placer]
 name = "p"
 listen = "10.0.0.1:7400"
@@ -190,28 +190,28 @@
     }
     void stand(NodeAt& n) {
         n.host = &world.process(n.name);
-        n.listener = n.host->listen(
-            n.name + ":1",
-            [&n](std::unique_ptr<net::Stream> s) {
-                n.conns.push_back(std::make_unique<NodePeer>());
-                net::Stream& stream = *s;
-                n.now().stream = std::move(s);
-                n.host->attach(stream, n.now());
-                if (n.mute) return stream.set_reading(false);
-                v1::FromWorker m;
-                greet(*m.mutable_hello(), n.name, n.incarnation);
-                n.now().say(m);
-                m.mutable_state()->set_remembers_for(60 * kSecond);
-                m.mutable_state()->set_uptime(n.up_for);
-                m.mutable_state()->set_clock(n.clock);
-                for (const std::uint64_t l : n.holds) {
-                    v1::HeldAttempt* h = m.mutable_state()->add_attempts();
-                    h->set_attempt(l);
-                    h->set_accepted(true);
-                }
-                n.now().say(m);
-            },
-            error);
+        n.listener = n.host
+                         ->listen(n.name + ":1",
+                                  [&n](std::unique_ptr<net::Stream> s) {
+                                      n.conns.push_back(std::make_unique<NodePeer>());
+                                      net::Stream& stream = *s;
+                                      n.now().stream = std::move(s);
+                                      n.host->attach(stream, n.now());
+                                      if (n.mute) return stream.set_reading(false);
+                                      v1::FromWorker m;
+                                      greet(*m.mutable_hello(), n.name, n.incarnation);
+                                      n.now().say(m);
+                                      m.mutable_state()->set_remembers_for(60 * kSecond);
+                                      m.mutable_state()->set_uptime(n.up_for);
+                                      m.mutable_state()->set_clock(n.clock);
+                                      for (const std::uint64_t l : n.holds) {
+                                          v1::HeldAttempt* h = m.mutable_state()->add_attempts();
+                                          h->set_attempt(l);
+                                          h->set_accepted(true);
+                                      }
+                                      n.now().say(m);
+                                  })
+                         .value();
     }
     // As by kill -9: another may stand up under its name.
     void kill(NodeAt& n) {
