--- /dev/null
+++ b/src/net/libevent_listener.cpp
@@ -0,0 +1,85 @@
+#include "net/libevent_listener.h"
+
+#include <event2/event.h>
+#include <event2/listener.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <cstring>
+#include <utility>
+
+#include "net/libevent_loop.h"
+#include "net/libevent_stream.h"
+#include "net/libevent_timer.h"
+#include "net/socket_address.h"
+
+namespace whinpost::net {
+
+namespace {
+constexpr int kBacklog = 1024;
+// How long nothing is accepted after the process has run out of file descriptors.
+constexpr Nanos kAcceptErrorPause = 50 * kMillisecond;
+}  // namespace
+
+LibeventListener::LibeventListener(LibeventLoop& loop, AcceptHandler handler)
+    : loop_(loop), handler_(std::move(handler)) {}
+
+LibeventListener::~LibeventListener() {
+    if (resume_event_) event_free(resume_event_);
+    if (listener_) evconnlistener_free(listener_);
+}
+
+ListenResult LibeventListener::open(LibeventLoop& loop, const std::string& address, AcceptHandler handler) {
+    std::unique_ptr<LibeventListener> listener(new LibeventListener(loop, std::move(handler)));
+    const std::string problem = listener->bind(address);
+    if (!problem.empty()) return tl::unexpected(ListenError{address, problem});
+    return listener;
+}
+
+std::string LibeventListener::bind(const std::string& address) {
+    std::optional<SocketAddress> local = parse_socket_address(address);
+    if (!local) return "not an IP address and port";
+    listener_ =
+        evconnlistener_new_bind(loop_.base(), &on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
+                                kBacklog, local->get(), static_cast<int>(local->length));
+    if (!listener_) return std::strerror(errno);
+    resume_event_ = event_new(loop_.base(), -1, EV_TIMEOUT, &on_resume, this);
+    evconnlistener_set_error_cb(listener_, &on_accept_error);
+    return "";
+}
+
+std::string LibeventListener::address() const {
+    SocketAddress local;
+    local.length = sizeof local.storage;
+    getsockname(evconnlistener_get_fd(listener_), local.get(), &local.length);
+    return to_string(local);
+}
+
+void LibeventListener::accept_pending() {
+    for (;;) {
+        const evutil_socket_t descriptor =
+            accept4(evconnlistener_get_fd(listener_), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
+        if (descriptor < 0) return;
+        handler_(std::make_unique<LibeventStream>(loop_, descriptor));
+    }
+}
+
+void LibeventListener::on_accept(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* self) {
+    auto* listener = static_cast<LibeventListener*>(self);
+    listener->loop_.on_callback();
+    listener->handler_(std::make_unique<LibeventStream>(listener->loop_, descriptor));
+}
+
+// As a rule no file descriptor is left. New connections wait in the kernel's queue while a few are closed:
+// trying again at once would spin.
+void LibeventListener::on_accept_error(evconnlistener* source, void* self) {
+    evconnlistener_disable(source);
+    const timeval pause = to_timeval(kAcceptErrorPause);
+    event_add(static_cast<LibeventListener*>(self)->resume_event_, &pause);
+}
+
+void LibeventListener::on_resume(evutil_socket_t, short, void* self) {
+    evconnlistener_enable(static_cast<LibeventListener*>(self)->listener_);
+}
+
+}  // namespace whinpost::net
--- a/src/net/libevent_loop.h
+++ b/src/net/libevent_loop.h
@@ -1,6 +1,8 @@
-// The loop on real sockets: libevent with bufferevents.
+// The event loop on real sockets, with libevent.
 #pragma once
-#include <utility>
+#include <functional>
+#include <memory>
+#include <string>
 #include <vector>
 
 #include "net/stream.h"
@@ -10,10 +12,16 @@
 
 namespace whinpost::net {
 
-class LibeventLoop : public EventLoop {
+class LibeventStream;
+
+class LibeventLoop final : public EventLoop {
 public:
+    // Ignores SIGPIPE in the whole process. Throws std::runtime_error where the system gives no event loop.
     LibeventLoop();
     ~LibeventLoop() override;
+    LibeventLoop(const LibeventLoop&) = delete;
+    LibeventLoop& operator=(const LibeventLoop&) = delete;
+
     Nanos now() const override;
     Nanos polled_at() const override { return polled_at_; }
     Nanos unseen_since() const override;
@@ -23,32 +31,35 @@
     std::unique_ptr<Timer> make_timer(std::function<void()>) override;
     void stop() override;
 
-    void run();  // until stop()
-    void run_once(
-        bool wait);  // one poll and the callbacks of what it found; `wait`: until there is something
-    // Calls `then` in the loop for each arrival of the signal.
-    void on_signal(int signal, std::function<void()> then);
-    event_base* base() { return base_; }
+    // Until stop().
+    void run();
+    // One poll and the callbacks of what it found; with `wait` the poll blocks until there is something.
+    void run_once(bool wait);
+    // Calls `callback` within the loop for each arrival of the signal, as long as the loop lives.
+    void on_signal(int number, std::function<void()> callback);
 
-    // Called first by each callback of the loop.
-    void enter() {
-        if (!std::exchange(entered_, true)) polled_at_ = now();
-    }
-    // For its streams: one that has written in this pass, and one that is destroyed.
-    void flush_later(Stream&);
-    void forget(Stream&);
+    // ---- for its streams, listeners and timers
+    event_base* base() { return base_; }
+    // Must be called first by each libevent callback: the first one of a pass tells when the poll returned.
+    void on_callback();
+    // Flushes the stream after the callbacks that are active in this pass.
+    void flush_after_pass(LibeventStream&);
+    // Must be called before a stream is destroyed.
+    void cancel_flush(LibeventStream&);
 
 private:
     struct Signal;
-    void flush();
+    void flush_streams();
+
     event_base* base_;
-    event* flush_ = nullptr;
-    std::vector<Stream*> dirty_, flushing_;  // a destroyed one leaves a null
-    Nanos offset_;  // from the monotonic clock to the time of day, taken once: all placers of a fleet cut the
-                    // time into the same turns, and a clock that is set later moves nothing
+    event* flush_event_ = nullptr;
+    std::vector<LibeventStream*> to_flush_, flushing_;  // null: destroyed meanwhile
+    // From the monotonic clock to the time of day, read once: all placers of a fleet cut the time into the
+    // same periods, and a clock that is set later moves nothing.
+    Nanos clock_offset_;
     std::vector<std::unique_ptr<Signal>> signals_;
     bool stopping_ = false;
-    bool entered_ = false;  // a callback of this pass has run
+    bool callback_ran_ = false;  // in this pass
     Nanos poll_began_at_ = 0, polled_at_ = 0, previous_poll_at_ = 0;
 };
 
--- /dev/null
+++ b/src/net/libevent_stream.cpp
@@ -0,0 +1,190 @@
+#include "net/libevent_stream.h"
+
+#include <event2/buffer.h>
+#include <event2/bufferevent.h>
+#include <event2/event.h>
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <poll.h>
+#include <sys/ioctl.h>
+#include <sys/socket.h>
+
+#include <cerrno>
+#include <stdexcept>
+#include <utility>
+
+#include "net/libevent_loop.h"
+#include "net/socket_address.h"
+
+namespace whinpost::net {
+
+LibeventStream::LibeventStream(LibeventLoop& loop, evutil_socket_t descriptor)
+    : loop_(loop), bufferevent_(bufferevent_socket_new(loop.base(), descriptor, BEV_OPT_CLOSE_ON_FREE)) {
+    if (!bufferevent_) throw std::runtime_error("no memory for a stream");
+    bufferevent_set_max_single_read(bufferevent_, kMaxReadSize);
+    if (descriptor >= 0) disable_nagle();
+}
+
+LibeventStream::~LibeventStream() {
+    if (destroyed_) *destroyed_ = true;
+    loop_.cancel_flush(*this);
+    // What the kernel takes now still goes out.
+    if (!pending_.empty() && state_ != State::aborted) send_pending();
+    if (connect_failure_event_) event_free(connect_failure_event_);
+    bufferevent_free(bufferevent_);
+}
+
+void LibeventStream::set_handler(StreamHandler& handler) {
+    handler_ = &handler;
+    bufferevent_setcb(bufferevent_, &on_read, &on_write, &on_event, this);
+    bufferevent_setwatermark(bufferevent_, EV_READ, 0, kMaxFrameSize + 4 + kMaxReadSize);
+    bufferevent_enable(bufferevent_, EV_READ | EV_WRITE);
+}
+
+void LibeventStream::connect(const std::string& address) {
+    state_ = State::connecting;
+    std::optional<SocketAddress> to = parse_socket_address(address);
+    if (to && bufferevent_socket_connect(bufferevent_, to->get(), static_cast<int>(to->length)) == 0) {
+        disable_nagle();
+        return;
+    }
+    const bool no_descriptor = errno == EMFILE || errno == ENFILE;
+    report_connect_failure(no_descriptor ? CloseReason::out_of_descriptors : CloseReason::refused);
+}
+
+void LibeventStream::report_connect_failure(CloseReason reason) {
+    connect_failure_ = reason;
+    const auto on_timeout = [](evutil_socket_t, short, void* self) {
+        auto* stream = static_cast<LibeventStream*>(self);
+        stream->loop_.on_callback();
+        stream->handler_->on_closed(stream->connect_failure_);
+    };
+    connect_failure_event_ = event_new(loop_.base(), -1, EV_TIMEOUT, on_timeout, this);
+    const timeval at_once{};
+    event_add(connect_failure_event_, &at_once);
+}
+
+// What is written in one pass leaves in one call at its end. Left to the bufferevent alone, each write would
+// cost two more system calls to change what is waited for, and another pass of the loop; the bufferevent is
+// used only where the kernel takes no more.
+void LibeventStream::write(std::string_view bytes) {
+    if (write_shut_down_) return;
+    written_ += bytes.size();
+    if (state_ != State::established || evbuffer_get_length(bufferevent_get_output(bufferevent_)) > 0) {
+        bufferevent_write(bufferevent_, bytes.data(), bytes.size());
+        return;
+    }
+    if (pending_.empty()) loop_.flush_after_pass(*this);
+    pending_ += bytes;
+}
+
+void LibeventStream::flush() {
+    send_pending();
+    if (!pending_.empty()) {
+        bufferevent_write(bufferevent_, pending_.data(), pending_.size());
+        pending_.clear();
+        return;
+    }
+    if (write_shut_down_) shutdown_socket();
+    if (handler_) handler_->on_drained();  // may destroy this
+}
+
+std::size_t LibeventStream::unsent() const {
+    return pending_.size() + evbuffer_get_length(bufferevent_get_output(bufferevent_));
+}
+
+void LibeventStream::set_reading(bool on) {
+    if (on) bufferevent_enable(bufferevent_, EV_READ);
+    else bufferevent_disable(bufferevent_, EV_READ);
+}
+
+bool LibeventStream::has_unread() const {
+    const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
+    int bytes = 0;
+    return descriptor >= 0 && ioctl(descriptor, FIONREAD, &bytes) == 0 && bytes > 0;
+}
+
+bool LibeventStream::peer_closed() const {
+    pollfd polled{bufferevent_getfd(bufferevent_), POLLRDHUP, 0};
+    if (polled.fd < 0 || poll(&polled, 1, 0) != 1) return false;
+    return (polled.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+void LibeventStream::shutdown_write() {
+    if (std::exchange(write_shut_down_, true)) return;
+    if (state_ != State::connecting && unsent() == 0) shutdown_socket();
+}
+
+void LibeventStream::abort() {
+    state_ = State::aborted;
+    const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
+    const linger discard_at_once{1, 0};
+    if (descriptor >= 0)
+        setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &discard_at_once, sizeof discard_at_once);
+    bufferevent_disable(bufferevent_, EV_READ | EV_WRITE);
+    bufferevent_setfd(bufferevent_, -1);
+    if (descriptor >= 0) evutil_closesocket(descriptor);
+}
+
+std::string LibeventStream::peer() const {
+    SocketAddress address;
+    address.length = sizeof address.storage;
+    if (getpeername(bufferevent_getfd(bufferevent_), address.get(), &address.length) != 0) return "?";
+    return to_string(address);
+}
+
+void LibeventStream::shutdown_socket() {
+    const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
+    if (descriptor >= 0) shutdown(descriptor, SHUT_WR);
+}
+
+void LibeventStream::send_pending() {
+    const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
+    if (descriptor < 0) return;
+    const ssize_t sent = send(descriptor, pending_.data(), pending_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
+    // The bufferevent meets an error again, and reports it to the handler in a pass of its own.
+    if (sent > 0) pending_.erase(0, static_cast<std::size_t>(sent));
+}
+
+void LibeventStream::disable_nagle() {
+    const int enabled = 1;
+    setsockopt(bufferevent_getfd(bufferevent_), IPPROTO_TCP, TCP_NODELAY, &enabled, sizeof enabled);
+}
+
+void LibeventStream::on_read(bufferevent* source, void* self) {
+    auto* stream = static_cast<LibeventStream*>(self);
+    stream->loop_.on_callback();
+    evbuffer* input = bufferevent_get_input(source);
+    bool destroyed = false;
+    stream->destroyed_ = &destroyed;
+    const std::size_t length = evbuffer_get_length(input);
+    const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, -1));
+    const std::size_t consumed = stream->handler_->on_received({bytes, length});
+    if (destroyed) return;
+    stream->destroyed_ = nullptr;
+    evbuffer_drain(input, consumed);
+}
+
+void LibeventStream::on_write(bufferevent*, void* self) {
+    auto* stream = static_cast<LibeventStream*>(self);
+    stream->loop_.on_callback();
+    if (stream->state_ == State::connecting) return;
+    if (stream->write_shut_down_) stream->shutdown_socket();
+    stream->handler_->on_drained();
+}
+
+void LibeventStream::on_event(bufferevent*, short events, void* self) {
+    auto* stream = static_cast<LibeventStream*>(self);
+    stream->loop_.on_callback();
+    if (events & BEV_EVENT_CONNECTED) {
+        stream->state_ = State::established;
+        stream->disable_nagle();
+        stream->handler_->on_connected();
+        return;
+    }
+    if (stream->state_ == State::connecting) return stream->handler_->on_closed(CloseReason::refused);
+    if (events & BEV_EVENT_EOF) return stream->handler_->on_closed(CloseReason::by_peer);
+    if (events & (BEV_EVENT_ERROR | BEV_EVENT_TIMEOUT)) stream->handler_->on_closed(CloseReason::reset);
+}
+
+}  // namespace whinpost::net
--- /dev/null
+++ b/src/net/libevent_stream.h
@@ -0,0 +1,66 @@
+// A TCP connection on libevent's bufferevent.
+#pragma once
+#include <event2/util.h>
+
+#include <cstdint>
+#include <string>
+#include <string_view>
+
+#include "net/stream.h"
+
+struct bufferevent;
+struct event;
+
+namespace whinpost::net {
+
+class LibeventLoop;
+
+class LibeventStream final : public Stream {
+public:
+    // Owns the descriptor; -1: connect() will open one. The loop must outlive the stream.
+    LibeventStream(LibeventLoop&, evutil_socket_t);
+    ~LibeventStream() override;
+    LibeventStream(const LibeventStream&) = delete;
+    LibeventStream& operator=(const LibeventStream&) = delete;
+
+    // Begins to read. The handler must outlive the stream.
+    void set_handler(StreamHandler&);
+    // Expects a handler. Every failure is reported through its on_closed(), in a later pass of the loop.
+    void connect(const std::string& address);
+    // Called by the loop at the end of a pass in which something was written. May destroy the stream.
+    void flush();
+
+    void write(std::string_view) override;
+    std::size_t unsent() const override;
+    std::uint64_t handed_over() const override { return written_ - unsent(); }
+    void set_reading(bool on) override;
+    bool has_unread() const override;
+    bool peer_closed() const override;
+    void shutdown_write() override;
+    void abort() override;
+    std::string peer() const override;
+
+private:
+    enum class State { connecting, established, aborted };
+
+    void shutdown_socket();
+    void send_pending();
+    void disable_nagle();
+    void report_connect_failure(CloseReason);
+    static void on_read(bufferevent*, void* self);
+    static void on_write(bufferevent*, void* self);
+    static void on_event(bufferevent*, short events, void* self);
+
+    LibeventLoop& loop_;
+    bufferevent* bufferevent_;
+    StreamHandler* handler_ = nullptr;
+    State state_ = State::established;
+    bool write_shut_down_ = false;
+    std::string pending_;  // written in this pass, and not handed to the kernel or the bufferevent yet
+    std::uint64_t written_ = 0;
+    event* connect_failure_event_ = nullptr;
+    CloseReason connect_failure_ = CloseReason::refused;
+    bool* destroyed_ = nullptr;  // points into on_read() while the handler is called
+};
+
+}  // namespace whinpost::net
--- /dev/null
+++ b/src/net/socket_address.h
@@ -0,0 +1,24 @@
+// IP socket addresses as text: "192.0.2.1:80" or "[2001:db8::1]:80".
+#pragma once
+#include <sys/socket.h>
+
+#include <optional>
+#include <string>
+
+namespace whinpost::net {
+
+struct SocketAddress {
+    sockaddr_storage storage{};
+    socklen_t length = 0;
+
+    sockaddr* get() { return reinterpret_cast<sockaddr*>(&storage); }
+    const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
+};
+
+// Takes IP addresses only, no host names. Port 0 is accepted, which libevent's own parser does not do.
+[[nodiscard]] std::optional<SocketAddress> parse_socket_address(const std::string& text);
+
+// Expects an IPv4 or IPv6 address.
+std::string to_string(const SocketAddress&);
+
+}  // namespace whinpost::net
