--- /dev/null
+++ b/include/whinpost/endpoint_state.h
@@ -0,0 +1,26 @@
+// What the endpoint list and load reports say of a worker.
+#pragma once
+#include "whinpost/nanos.h"
+
+namespace whinpost {
+
+enum class EndpointPhase { serving, draining, gone };
+
+struct WorkerKind {
+    double cores = 0, memory = 0;
+};
+
+struct EndpointState {
+    int zone = 0, cell = 0, kind = 0;  // kind: index into the configured worker kinds
+    double free_cores = 0, free_memory = 0;
+    EndpointPhase phase = EndpointPhase::serving;
+    Nanos started_at = 0;  // 0: long ago
+};
+
+// A value counts only where its flag is set.
+struct LoadReport {
+    double free_cores = 0, free_memory = 0, utilization = 0, queue_length = 0;
+    bool has_free_cores = false, has_free_memory = false, has_utilization = false, has_queue_length = false;
+};
+
+}  // namespace whinpost
--- /dev/null
+++ b/include/whinpost/nanos.h
@@ -0,0 +1,10 @@
+// The time type of every package: nanoseconds of a clock that the caller chooses and passes in.
+#pragma once
+#include <cstdint>
+
+namespace whinpost {
+
+using Nanos = std::int64_t;
+constexpr Nanos kMicrosecond = 1'000, kMillisecond = 1'000'000, kSecond = 1'000'000'000;
+
+}  // namespace whinpost
--- /dev/null
+++ b/include/whinpost/scheduler_settings.h
@@ -0,0 +1,41 @@
+// The scheduler's settings, as plain types. They are read from a deployment's configuration by src/settings.
+#pragma once
+#include "whinpost/nanos.h"
+
+namespace whinpost {
+
+// How workers accept tasks, and what the amounts they report as free are free of.
+struct WorkerAcceptance {
+    double cores_overcommit = 1, memory_overcommit = 1;
+    bool reports_use = false;  // free means not in use; otherwise not requested
+    bool health_checks = false;
+    bool accepts_when_running = false;  // otherwise the answer comes before the task runs
+    bool preempts = false;
+    bool reports_pressure = true;  // workers report service shares and their memory pressure
+};
+
+struct SlowStartSettings {
+    double initial_capacity = 1;
+    Nanos warm_up_time = 0;
+    double overload_factor = 1;
+    Nanos window = 0;
+    double guaranteed_attempts = 0;     // attempts in a window, of all schedulers, that a worker always bears
+    int placers = 1, placer_index = 0;  // the number of schedulers, and the index of this one
+};
+
+struct DiscoverySettings {
+    bool poll = false;
+    Nanos poll_interval = 0;
+};
+
+struct RetrySettings {
+    int max_attempts = 1;
+    bool can_cancel = false;
+};
+
+struct Prices {
+    double workers_in_use = 0, migrations = 0, waste = 0, health_checks = 0, cross_zone = 0,
+           discovery_entries = 0, rejections = 0;
+};
+
+}  // namespace whinpost
--- a/include/whinpost/sliding_counter.h
+++ b/include/whinpost/sliding_counter.h
@@ -1,10 +1,13 @@
-// Fixed time buckets used again in a ring: what was counted lately, and nothing older.
+// A sum over the latest time buckets.
 #pragma once
 #include <array>
+#include <cstddef>
 #include <cstdint>
 
 namespace whinpost {
 
+// Time is cut into buckets of one width; amounts older than `Buckets` of them are forgotten. `now` must not
+// be negative.
 template <int Buckets>
 class SlidingCounter {
 public:
@@ -16,7 +19,7 @@
         buckets_[slot(epoch_)] += amount;
     }
 
-    // Everything counted in the buckets that still stand at `now`, or in the newest `buckets` of them.
+    // The amounts in the newest `buckets` at `now`, by default in all.
     double sum(std::int64_t now, int buckets = Buckets) {
         if (!not_empty_) return 0;
         advance(now);
@@ -36,9 +39,11 @@
     }
     void advance(std::int64_t now) {
         const std::int64_t epoch = now / width_;
-        if (epoch - epoch_ >= Buckets) clear();
-        else
+        if (epoch - epoch_ >= Buckets) {
+            clear();
+        } else {
             while (epoch_ < epoch) buckets_[slot(++epoch_)] = 0;
+        }
         if (epoch > epoch_) epoch_ = epoch;
     }
 
--- /dev/null
+++ b/src/scheduler/candidate_selection.cpp
@@ -0,0 +1,148 @@
+#include "scheduler/candidate_selection.h"
+
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "scheduler/active_set.h"
+#include "scheduler/colocation.h"
+#include "scheduler/numeric.h"
+
+namespace whinpost::scheduler {
+namespace {
+
+constexpr std::size_t kSampleSize = 8;  // six is the design's start; two more, to outlive lost workers
+// To find so many with room; past it the fleet is full.
+constexpr std::uint64_t kMaxDraws = 8 * kSampleSize;
+// The chance that a service runs on the worker that was drawn as its first, second, ...
+constexpr double kWarmChance[kSampleSize] = {0.7, 0.5, 0.3, 0.2, 0.1, 0, 0, 0};
+constexpr double kTasksTogether = 5;  // tasks of a service on one worker, so that one is likely known
+// The mean use hides the worker that has the hungry tasks: where no report tells of it, the use is taken a
+// quarter up against the limit. Not in the whole fleet's scope, which must place.
+constexpr double kLoadMargin = 1.25;
+// A worker outside the active set that is taken stays in use for a task's whole life.
+constexpr double kActivationPriceFactor = 4;  // times the price of workers in use; twelve did no more
+// Crowded memory slows by up to 70% within a tenth of its size.
+constexpr double kMemorySlope = 8;
+constexpr double kLeastService = 0.05, kLeastDegradationRange = 0.01;
+
+double suffers_from(const QueueGroup& group) {
+    return group.full_service_utilization + group.degradation_range;
+}
+
+// Of the groups that may run on a kind of worker the one that suffers first, so that a mild one does not
+// crowd it there. The first group where none may run.
+const QueueGroup* most_sensitive_group(const std::vector<QueueGroup>& groups, int kind) {
+    const QueueGroup* most_sensitive = nullptr;
+    for (const QueueGroup& group : groups) {
+        if (group.worker_kind >= 0 && group.worker_kind != kind) continue;
+        if (!most_sensitive || suffers_from(group) < suffers_from(*most_sensitive)) most_sensitive = &group;
+    }
+    return most_sensitive ? most_sensitive : &groups[0];
+}
+
+}  // namespace
+
+CandidateSelection::CandidateSelection(const SchedulerConfig& config, const SelectionModules& modules)
+    : config_(config), modules_(modules),
+      alone_chance_(std::pow(1 - 1.0 / config.slow_start.placers, kTasksTogether)),
+      full_fleet_(config.groups.size()) {
+    for (std::size_t kind = 0; kind < config.kinds.size(); ++kind)
+        most_sensitive_group_.push_back(most_sensitive_group(config.groups, static_cast<int>(kind)));
+}
+
+bool CandidateSelection::fits_nowhere(Nanos now, const Task& task) const {
+    const FullFleet& full = full_fleet_[static_cast<std::size_t>(task.request.queue_group)];
+    return now < full.until && task.request.cores >= full.cores && task.request.memory >= full.memory;
+}
+
+// Only a task that any worker might have taken says so for all.
+void CandidateSelection::remember_full_fleet(const Search& search) {
+    const Task& task = search.task;
+    if (!modules_.endpoints.is_large() || !task.rejected_by.empty() || task.first_possible_run ||
+        task.queue_group->spread_domain != FailureDomain::none)
+        return;
+    full_fleet_[static_cast<std::size_t>(task.request.queue_group)] = {
+        task.request.cores, task.request.memory, search.now + kListInterval};
+}
+
+Worker* CandidateSelection::select(Nanos now, const Task& task, SelectionScope scope) {
+    if (fits_nowhere(now, task)) return nullptr;
+    ++selections_;
+    Search search{now, task, scope};
+    for (Worker* worker : task.service->workers)
+        if (is_warm(now, *worker, task.service)) consider(search, *worker, 1);
+    draw_from_ring(search);
+    if (!search.best && scope == SelectionScope::whole_fleet) {
+        for (Worker* worker : modules_.endpoints.listed_workers()) consider(search, *worker, 1);
+        if (!search.best) remember_full_fleet(search);
+    }
+    return search.best;
+}
+
+void CandidateSelection::draw_from_ring(Search& search) {
+    const HashRing<Worker>& ring = modules_.endpoints.ring();
+    if (ring.empty()) return;
+    const std::size_t listed = modules_.endpoints.listed_workers().size();
+    std::size_t drawn = 0;
+    for (std::uint64_t i = 0; i < kMaxDraws && drawn < kSampleSize && search.considered < listed; ++i) {
+        Worker* worker = ring.at(series_hash(search.task.service->name_hash, i));
+        if (consider(search, *worker, 1 - kWarmChance[drawn] * alone_chance_)) ++drawn;
+    }
+}
+
+bool CandidateSelection::consider(Search& search, Worker& worker, double cold_chance) {
+    if (std::exchange(worker.considered_in, selections_) == selections_) return false;
+    ++search.considered;
+    const bool within_limit = search.scope == SelectionScope::active_set;
+    if (within_limit && !worker.in_active_set) return false;
+    if (!modules_.retry.may_place(search.now, search.task, worker)) return false;
+    if (modules_.health_checks.is_overdue(search.now, worker)) return false;
+    if (!modules_.capacity.has_room(search.now, search.task, worker)) return false;
+    double cost = expected_slowdown(search, worker);
+    if (within_limit && cost > kSlowdownLimit) return true;
+    if (!worker.in_active_set) cost += kActivationPriceFactor * config_.prices.workers_in_use;
+    cost += cold_start_cost(search, worker) * cold_chance +
+            (worker.endpoint.zone != config_.zone ? config_.prices.cross_zone : 0);
+    if (!search.best || cost < search.best_cost) {
+        search.best = &worker;
+        search.best_cost = cost;
+    }
+    return true;
+}
+
+// Departure from the design (crowding): where running tasks suddenly use more, the learned weights lag; what
+// the worker is known to use then counts at once, by the queue group's own curve.
+double CandidateSelection::expected_slowdown(const Search& search, Worker& worker) const {
+    double sum = modules_.interference.predict(worker, *search.task.service);
+    const WorkerLoad load = modules_.capacity.load(search.now, worker, search.task.request);
+    const bool margin = search.scope == SelectionScope::active_set && !config_.acceptance.reports_pressure;
+    const QueueGroup& curve = *most_sensitive_group_[static_cast<std::size_t>(worker.endpoint.kind)];
+    const double excess =
+        (margin ? kLoadMargin : 1) * load.used_cores / worker.kind->cores - curve.full_service_utilization;
+    if (excess > 0)
+        sum += 1 / std::max(kLeastService,
+                            1 - excess / std::max(curve.degradation_range, kLeastDegradationRange)) -
+               1;
+    sum += kMemorySlope * std::max(0.0, load.used_memory / worker.kind->memory - kFullMemory);
+    // Attempts needed for one start, less one: where all workers look bad, the least bad is still used.
+    const auto group = static_cast<std::size_t>(search.task.request.queue_group);
+    sum += modules_.outliers.residual_slowdown(search.now, worker) +
+           1 / (1 - modules_.outliers.failure_rate(search.now, worker, group)) - 1;
+    return sum;
+}
+
+// Departure from the design (cold starts): a start without the program loaded is slow, which costs the value
+// of a start in time.
+double CandidateSelection::cold_start_cost(const Search& search, Worker& worker) const {
+    const Task& task = search.task;
+    if (is_warm(search.now, worker, task.service) && !modules_.slow_start.is_warming_up(search.now, worker))
+        return 0;
+    const double start_value_s = task.queue_group->start_value_s;
+    double runtime_s = start_value_s;
+    if (task.request.expected_runtime > 0) runtime_s = to_seconds(task.request.expected_runtime);
+    else if (task.service->mean_runtime_s > 0) runtime_s = task.service->mean_runtime_s;
+    return start_value_s / std::max(0.1, start_value_s + runtime_s);
+}
+
+}  // namespace whinpost::scheduler
--- /dev/null
+++ b/src/scheduler/capacity.h
@@ -0,0 +1,70 @@
+// What a worker can still take: the load that it is taken to hold, its rejections, and the answers it owes.
+#pragma once
+#include <vector>
+
+#include "scheduler/slow_start.h"
+#include "whinpost/attempt_outcome.h"
+#include "whinpost/endpoint_state.h"
+#include "whinpost/queue_group.h"
+#include "whinpost/resource_request.h"
+#include "whinpost/scheduler_settings.h"
+#include "whinpost/task.h"
+#include "whinpost/worker.h"
+
+namespace whinpost::scheduler {
+
+// A worker's memory is taken to be full at this share: from 92% on it slows all tasks that it holds; leaves
+// room for growth.
+constexpr double kFullMemory = 0.88;
+
+// Cores and memory of a worker: requested of it, and taken to be in use.
+struct WorkerLoad {
+    double requested_cores, requested_memory, used_cores, used_memory;
+};
+
+class Capacity {
+public:
+    // All three must outlive this.
+    Capacity(const WorkerAcceptance& acceptance, const std::vector<QueueGroup>& groups,
+             const SlowStart& slow_start)
+        : acceptance_(acceptance), groups_(groups), slow_start_(slow_start) {}
+
+    // The load of a worker with `request` added.
+    WorkerLoad load(Nanos now, Worker&, const ResourceRequest& request) const;
+    bool has_room(Nanos now, const Task&, Worker&) const;
+
+    // The usual ratio of use to requests.
+    double core_use_ratio() const { return use_ratio(used_cores_, requested_cores_); }
+    double memory_use_ratio() const { return use_ratio(used_memory_, requested_memory_); }
+    double usual_answer_s() const { return usual_answer_s_; }  // from an attempt to its acceptance
+
+    void on_attempt_sent(Nanos now, const Task&, Worker&) const;
+    void on_accepted(Nanos now, Worker&) const;
+    void on_answer_time(double seconds);
+    // The task leaves the worker; accepted: it had answered the attempt.
+    void on_task_left(Nanos now, const Task&, Worker&, bool accepted) const;
+    // A task that ran there before this scheduler knew of it: the endpoint list shows it already.
+    void on_adopted(Worker&) const;
+    void on_rejected(Nanos now, const Task&, Worker&, OutcomeReason) const;
+    // The worker drains; watch events will tell later.
+    void on_drained(Nanos now, Worker&) const;
+    void on_load_report(Nanos now, Worker&, const LoadReport&) const;
+    void on_memory_pressure(Nanos now, Worker&, double share) const;
+    void on_cores_used(const Task&, double cores);
+    void on_memory_used(const Task&, double memory);
+    void on_restarted(Worker&) const;
+
+private:
+    static double use_ratio(double used, double requested);
+    bool is_silent(Nanos now, const Worker&) const;
+    double usable_share(const Task&, const Worker&) const;
+
+    const WorkerAcceptance& acceptance_;
+    const std::vector<QueueGroup>& groups_;
+    const SlowStart& slow_start_;
+    // Decaying sums behind the use ratios.
+    double used_cores_ = 0, used_memory_ = 0, requested_cores_ = 0, requested_memory_ = 0;
+    double usual_answer_s_ = 0.1;
+};
+
+}  // namespace whinpost::scheduler
--- /dev/null
+++ b/src/scheduler/health_check.cpp
@@ -0,0 +1,35 @@
+#include "scheduler/health_check.h"
+
+namespace whinpost::scheduler {
+namespace {
+
+constexpr Nanos kReportCurrent = 1000 * kMillisecond;  // use changes over seconds
+constexpr Nanos kAnswerWait = 100 * kMillisecond;      // a few attempts' time
+constexpr Nanos kLeftAlone = 2 * kSecond;
+constexpr double kMaxPrice = 0.02;     // of a task: what a check saves is some hundredths of its worth
+constexpr std::size_t kMaxChecks = 3;  // for one task
+
+}  // namespace
+
+HealthChecks::HealthChecks(const WorkerAcceptance& acceptance, const Prices& prices)
+    : enabled_(acceptance.health_checks && !(prices.health_checks > kMaxPrice)) {}
+
+bool HealthChecks::is_overdue(Nanos now, const Worker& worker) const {
+    const WorkerHealth& health = worker.health;
+    return health.check_sent_at > health.last_report_at && now - health.check_sent_at >= kAnswerWait &&
+           now - health.check_sent_at < kLeftAlone;
+}
+
+bool HealthChecks::check_first(Nanos now, Task& task, Worker& worker, DecisionHandler& handler) const {
+    if (!enabled_) return false;
+    if (now - worker.health.last_report_at < kReportCurrent || task.health_checks >= kMaxChecks) return false;
+    if (now - worker.health.check_sent_at >= kAnswerWait) {
+        worker.health.check_sent_at = now;
+        handler.check_health(worker);
+    }
+    ++task.health_checks;
+    task.not_before = now + kAnswerWait;
+    return true;
+}
+
+}  // namespace whinpost::scheduler
--- /dev/null
+++ b/src/scheduler/migration.cpp
@@ -0,0 +1,42 @@
+#include "scheduler/migration.h"
+
+#include <algorithm>
+
+#include "whinpost/service.h"
+#include "whinpost/worker.h"
+
+namespace whinpost::scheduler {
+namespace {
+
+constexpr double kMinSlowdown = 0.25;    // served four fifths; less is within what a start costs
+constexpr double kMinGain = 1.5;         // times the cost: the gain is an estimate, so it must be clear
+constexpr double kMaxUtilization = 0.8;  // in a fuller fleet a move only carries the crowding elsewhere
+constexpr Nanos kCheckInterval = kSecond;
+constexpr double kLeastColdStartS = 1.0;
+
+}  // namespace
+
+bool Migration::should_migrate(Nanos now, const Task& task, double fleet_utilization,
+                               std::ranlux24_base& random) const {
+    Worker& worker = *task.worker;
+    if (fleet_utilization > kMaxUtilization || worker.outlier.residual_slowdown < kMinSlowdown ||
+        now - worker.last_migration_check < kCheckInterval)
+        return false;
+    worker.last_migration_check = now;
+    if (task.settled || task.queue_group->effect != Effect::idempotent) return false;
+    const double requested_cores = worker.kind->cores - worker.endpoint.free_cores;
+    if (static_cast<double>(random() % 1000) * requested_cores > 1000 * worker.capacity.own_cores)
+        return false;
+    return is_worth_it(task);
+}
+
+bool Migration::is_worth_it(const Task& task) const {
+    const double start_value_s = task.queue_group->start_value_s;
+    const double left_s = task.service->mean_runtime_s > 0 ? task.service->mean_runtime_s / 2 : start_value_s;
+    const double gain = left_s * (1 - 1 / (1 + task.worker->outlier.residual_slowdown));
+    const double cost =
+        price_ * (2 * left_s + start_value_s) + std::max(task.service->median_cold_start_s, kLeastColdStartS);
+    return !(gain < kMinGain * cost);
+}
+
+}  // namespace whinpost::scheduler
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -67,14 +67,14 @@
     Stand t;
     Worker &sick = t.machine(), &well = t.machine();
     Service& s = t.placer.add_service(1);
-    for (int i = 0; i < 6; ++i) sick.failed_attempts[0].add(t.now, 1);
+    for (int i = 0; i < 6; ++i) sick.outlier.failed_attempts[0].add(t.now, 1);
     for (int i = 0; i < 8; ++i) CHECK(t.bound(s).worker == &well);
     t.entry(well, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
     Task& c = t.take(s);
     t.pass(kSecond);
     CHECK(c.worker == &sick);  // least bad where nothing else is left
     t.pass(5 * kSecond);
-    CHECK(sick.failed_attempts[0].sum(t.now) == 0);
+    CHECK(sick.outlier.failed_attempts[0].sum(t.now) == 0);
 }
 
 TEST_CASE("a failed call for the list is made again after a growing pause, never in a storm") {
@@ -102,7 +102,7 @@
     t.end(first, AttemptOutcome::rejected);
     for (int i = 0; i < 6; ++i) CHECK(t.bound(s).worker == &other);
     t.pass(5 * kSecond);
-    CHECK(liar.failed_attempts[0].sum(t.now) == 0);
+    CHECK(liar.outlier.failed_attempts[0].sum(t.now) == 0);
 }
 
 TEST_CASE("a silent machine holds few launches, and a full line halves what it may hold") {
@@ -110,11 +110,11 @@
     Worker& m = t.machine();
     Service& s = t.placer.add_service(1);
     for (int i = 0; i < 30; ++i) t.bound(s);
-    CHECK(m.unanswered == 8);
+    CHECK(m.capacity.unanswered == 8);
     t.end(*t.seen.front().container, AttemptOutcome::rejected, OutcomeReason::queue_full);
-    CHECK(m.queue_limit == 4);
+    CHECK(m.capacity.queue_limit == 4);
     t.pass(kSecond);
-    CHECK(m.unanswered == 7);  // nothing more while it owes answers
+    CHECK(m.capacity.unanswered == 7);  // nothing more while it owes answers
 }
 
 TEST_CASE("only idempotent containers move, off a machine called bad, while a clean one has room") {
@@ -165,8 +165,8 @@
     t.end(c, AttemptOutcome::completed);
     c.on_service_share(t.now, 0, 0.1);
     CHECK(t.count('d') + t.count('k') == 0);
-    CHECK(m.own_cores == Approx(0));
-    CHECK(m.unanswered == 0);
+    CHECK(m.capacity.own_cores == Approx(0));
+    CHECK(m.capacity.unanswered == 0);
 }
 
 TEST_CASE("with no machine at all a container still gets its answer in time") {
@@ -181,8 +181,8 @@
     Stand t({QueueGroup{}, QueueGroup{}});
     Worker &half = t.machine(), &well = t.machine();
     Service& s = t.placer.add_service(1);
-    for (int i = 0; i < 40; ++i) half.started_attempts[1].add(t.now, 1);
-    half.failed_attempts[0].add(t.now, 1);
+    for (int i = 0; i < 40; ++i) half.outlier.started_attempts[1].add(t.now, 1);
+    half.outlier.failed_attempts[0].add(t.now, 1);
     for (int i = 0; i < 6; ++i) CHECK(t.bound(s, 0).worker == &well);
 }
 
@@ -373,9 +373,9 @@
         c.on_running(t.now, 0);
     };
     for (int i = 0; i < 12; ++i) start(200 * kMillisecond);
-    CHECK(m.residual_slowdown == 0);
+    CHECK(m.outlier.residual_slowdown == 0);
     start(3 * kSecond);
-    CHECK((m.residual_slowdown > 0.5) == !notes);
+    CHECK((m.outlier.residual_slowdown > 0.5) == !notes);
 }
 
 TEST_CASE("a lower priority leaves room for those that would push it out") {
@@ -444,7 +444,7 @@
     };
     for (int i = 0; i < 12; ++i) start(200 * kMillisecond, false);
     start(3 * kSecond, still);
-    CHECK((m.residual_slowdown > 0.5) == !still);
+    CHECK((m.outlier.residual_slowdown > 0.5) == !still);
 }
 
 TEST_CASE("what a draining machine sends away is not offered to it again, until it starts anew") {
@@ -474,7 +474,9 @@
     Stand t;
     Worker &a = t.machine(), &b = t.machine();
     Service& s = t.placer.add_service(1);
-    const auto failed = [&] { return a.failed_attempts[0].sum(t.now) + b.failed_attempts[0].sum(t.now); };
+    const auto failed = [&] {
+        return a.outlier.failed_attempts[0].sum(t.now) + b.outlier.failed_attempts[0].sum(t.now);
+    };
     Task& c = t.bound(s);
     t.end(c, AttemptOutcome::failed);
     CHECK(failed() == 1);
