--- a/apps/embedded_placer.cpp
+++ b/apps/embedded_placer.cpp
@@ -29,10 +29,15 @@
       names(names_of(groups)), intake(limits, groups.size()),
       ledger(make_ledger ? make_ledger(terms_of(groups), launches, cold)
                          : std::make_unique<ledger::Ledger>(terms_of(groups), launches, cold)),
-      edge(loop, log, {me.name, incarnation, seed}, *ledger, intake, names, kinds.size(), links,
-           dials.concurrent, dials.per_second, !accepts.reports_use, cold.warm_up_time + cold.window),
+      edge(loop, log, *ledger, intake,
+           {.identity = {me.name, incarnation, seed},
+            .queue_groups = names,
+            .worker_kinds = kinds.size(),
+            .workers = {links, dials.concurrent, dials.per_second},
+            .report_is_free = !accepts.reports_use,
+            .slow_start_time = cold.warm_up_time + cold.window}),
       planner(edge, seed, me.zone, terms_of(groups), kinds, accepts, cold, at.settings, launches, prices) {
-    edge.plan_with(planner);
+    edge.set_planner(planner);
 }
 
 std::unique_ptr<EmbeddedPlacer> EmbeddedPlacer::make(net::EventLoop& loop, config::Document& file,
--- a/apps/embedded_placer.h
+++ b/apps/embedded_placer.h
@@ -22,7 +22,11 @@
     static std::unique_ptr<EmbeddedPlacer> make(net::EventLoop&, config::Document&, std::uint64_t seed,
                                                 std::uint64_t incarnation, std::vector<std::string>& problems,
                                                 const MakeLedger& ledger = {});
-    std::string start() { return edge.start(listen, list, on_request); }
+    // Empty if it listens; else what is wrong.
+    std::string start() {
+        const auto listening = edge.start(listen, {list, on_request});
+        return listening ? std::string() : listen + ": " + to_string(listening.error());
+    }
 
     std::string listen, list;
     bool on_request = false;
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -46,7 +46,7 @@
     bool asked = false;
     const auto stop = [&] {
         if (std::exchange(asked, true)) return loop.stop();  // the second one: at once
-        placer->edge.close([&loop] { loop.stop(); });
+        placer->edge.drain([&loop] { loop.stop(); });
     };
     loop.on_signal(SIGTERM, stop);
     loop.on_signal(SIGINT, stop);
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -136,7 +136,7 @@
             baselines[i] = std::make_unique<BaselinePlanner>(
                 placer.edge, *policy, plan.seed * 1009 + i, groups, plan.retry,
                 plan.worker.warm_after + plan.worker.fall_window);
-            placer.edge.plan_with(*baselines[i]);
+            placer.edge.set_planner(*baselines[i]);
         };
     emulator::ScenarioRun day(plan, ground, progress);
     const emulator::RunResult out = run_to_end(world, day);
--- /dev/null
+++ b/src/server/client_connection.cpp
@@ -0,0 +1,166 @@
+#include "server/client_connection.h"
+
+#include "server/client_endpoint.h"
+#include "server/request_check.h"
+
+namespace whinpost::server {
+
+namespace {
+using log::Level;
+
+// While this much waits to be sent to a client, nothing more is read from it: a client that reads slowly
+// delays its own requests.
+constexpr std::size_t kPauseReadingAt = 256 << 10;
+// A client for which more than this waits is evicted. Answers are small: so many can't wait for a client
+// within its limit of waiting tasks unless it has not read for very long.
+constexpr std::size_t kEvictAt = 4 << 20;
+constexpr std::size_t kMaxMessageSize = 64 << 10;  // a request is some hundred bytes
+}  // namespace
+
+ClientConnection::ClientConnection(ClientEndpoint& endpoint, std::unique_ptr<net::Stream> stream)
+    : endpoint_(endpoint), stream_(std::move(stream)) {}
+
+void ClientConnection::send(const v1::ToClient& message) {
+    if (!stream_ || state_ == State::closing) return;
+    writer_.send(stream_.get(), message);
+    const std::size_t unsent = stream_->unsent();
+    if (unsent > kEvictAt) {
+        evict(unsent);
+    } else if (unsent > kPauseReadingAt && !reading_paused_) {
+        reading_paused_ = true;
+        stream_->set_reading(false);
+    }
+}
+
+// Deferred, since the planner's round or a call on this connection may be under way.
+void ClientConnection::evict(std::size_t unsent) {
+    state_ = State::closing;
+    ServerContext& context = endpoint_.context;
+    ++context.statistics.slow_clients_evicted;
+    context.log(Level::warning, "slow_client_evicted", {{"client", name_}, {"unsent_bytes", unsent}});
+    context.rounds.defer([this] {
+        stream_->abort();
+        endpoint_.remove(*this);
+    });
+}
+
+void ClientConnection::on_drained() {
+    if (!reading_paused_ || state_ == State::closing) return;
+    reading_paused_ = false;
+    stream_->set_reading(true);
+}
+
+bool ClientConnection::reject(const std::string& reason) {
+    ServerContext& context = endpoint_.context;
+    ++context.statistics.protocol_errors;
+    context.log(Level::warning, "client_protocol_error",
+                {{"client", name_.empty() ? "?" : name_}, {"peer", stream_->peer()}, {"reason", reason}});
+    v1::ToClient message;
+    message.mutable_error()->set_text(reason);
+    send(message);
+    state_ = State::closing;
+    // The error may not have left yet: it goes out before the stream is closed, unless the peer does not read
+    // at all.
+    context.rounds.defer([this] { endpoint_.remove(*this); });
+    return false;
+}
+
+std::size_t ClientConnection::on_received(std::string_view bytes) {
+    if (state_ == State::closing) return bytes.size();
+    bool too_long = false;
+    const std::size_t consumed = net::decode_frames(
+        bytes, kMaxMessageSize, too_long, [this](std::string_view frame) { return on_message(frame); });
+    if (too_long) reject("a message is longer than " + std::to_string(kMaxMessageSize) + " bytes");
+    return state_ == State::closing ? bytes.size() : consumed;
+}
+
+void ClientConnection::on_closed(net::CloseReason) {
+    if (state_ == State::closing) return;
+    state_ = State::closing;
+    endpoint_.remove(*this);
+}
+
+bool ClientConnection::on_message(std::string_view bytes) {
+    v1::FromClient message;
+    if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+        return reject("not a message of this protocol");
+    switch (state_) {
+        case State::awaiting_hello:
+            return on_hello(message);
+        case State::open:
+            return on_request(message);
+        case State::closing:
+            return false;
+    }
+    return false;
+}
+
+bool ClientConnection::on_hello(const v1::FromClient& message) {
+    if (message.of_case() != v1::FromClient::kHello) return reject("the first message must be a hello");
+    const v1::Hello& hello = message.hello();
+    if (hello.version() != kProtocolVersion) return reject(unsupported_version(hello.version()));
+    if (hello.name().empty() || hello.name().size() > kMaxNameLength)
+        return reject("hello.name: must have 1 to 256 bytes");
+    ServerContext& context = endpoint_.context;
+    state_ = State::open;
+    name_ = hello.name();
+    share.emplace(context.admission);
+    v1::ToClient reply;
+    introduce(*reply.mutable_hello(), context.identity);
+    send(reply);
+    context.log(Level::info, "client_connected", {{"client", name_}, {"peer", stream_->peer()}});
+    return true;
+}
+
+bool ClientConnection::on_request(const v1::FromClient& message) {
+    switch (message.of_case()) {
+        case v1::FromClient::kHello:
+            return reject("a second hello");
+        case v1::FromClient::kSubmit:
+            return on_submit(message.submit());
+        case v1::FromClient::kHandOver:
+            return on_hand_over(message.hand_over());
+        case v1::FromClient::kCancel:
+            on_cancel(message.cancel().id());
+            return state_ != State::closing;
+        case v1::FromClient::kError:
+            endpoint_.context.log(Level::warning, "client_reported_error",
+                                  {{"client", name_}, {"error", message.error().text()}});
+            return true;
+        case v1::FromClient::OF_NOT_SET:
+            return true;  // of a newer version: ignored
+    }
+    return true;
+}
+
+bool ClientConnection::is_in_use(std::uint64_t client_task_id) const {
+    return open_tasks.contains(client_task_id) || pending_adoptions.contains(client_task_id);
+}
+
+bool ClientConnection::on_submit(const v1::SubmitTask& request) {
+    const auto checked = check_request(request, endpoint_.tasks.queue_groups());
+    if (!checked) return reject(std::string(to_string(checked.error())));
+    if (is_in_use(request.id())) return reject("offer.id: is in use on this session");
+    endpoint_.tasks.submit(*this, request);
+    return state_ != State::closing;
+}
+
+bool ClientConnection::on_hand_over(const v1::HandOverTask& request) {
+    const auto checked = check_request(request.submit(), endpoint_.tasks.queue_groups());
+    if (!checked) return reject("hand_over." + std::string(to_string(checked.error())));
+    if (is_in_use(request.submit().id())) return reject("hand_over.offer.id: is in use on this session");
+    endpoint_.recovery.hand_over(*this, request);
+    return state_ != State::closing;
+}
+
+// A task that has just ended may still be named: the two messages crossed.
+void ClientConnection::on_cancel(std::uint64_t client_task_id) {
+    if (const auto task = open_tasks.find(client_task_id); task != open_tasks.end()) {
+        endpoint_.tasks.cancel(*task->second);
+        return;
+    }
+    const auto adoption = pending_adoptions.find(client_task_id);
+    if (adoption != pending_adoptions.end()) adoption->second->is_cancelled = true;
+}
+
+}  // namespace whinpost::server
--- a/src/server/discovery_client.cpp
+++ b/src/server/discovery_client.cpp
@@ -1,165 +1,169 @@
-#include <cmath>
+#include "server/discovery_client.h"
 
-#include "server/endpoints.h"
+#include <algorithm>
+
+#include "server/endpoint_check.h"
+#include "server/membership_controller.h"
 
 namespace whinpost::server {
 
 namespace {
 using log::Level;
-constexpr std::size_t kLongestMessage = net::kMaxFrameSize;
-constexpr Nanos kFirstPause = 100 * kMillisecond, kLongestPause = 5 * kSecond;
-// A call for the list that has no answer by then has failed: a few times what a busy list service takes.
-constexpr Nanos kCallTimeOut = 2 * kSecond;
-constexpr std::uint32_t kMostPlaces = 1 << 20;  // zones, cells, kinds: more is a mistake
-
-std::string wrong_with(const v1::Endpoint& e) {
-    if (e.worker().empty() || e.worker().size() > 256) return "entry.node: must have 1 to 256 bytes";
-    if (e.phase() != v1::Endpoint::GONE && e.address().empty()) return "entry.address: is missing";
-    if (e.zone() > kMostPlaces || e.cell() > kMostPlaces) return "entry.zone, entry.cell: out of range";
-    if (!std::isfinite(e.free_cores()) || !std::isfinite(e.free_memory()))
-        return "entry.free_cores, entry.free_memory: must be numbers";
-    if (e.uptime() < 0) return "entry.up_for: must not be negative";
-    return "";
-}
+
+constexpr std::size_t kMaxMessageSize = net::kMaxFrameSize;
+constexpr Nanos kInitialBackoff = 100 * kMillisecond, kMaxBackoff = 5 * kSecond;
+// A request without a response by then has failed: a few times what a busy discovery service takes.
+constexpr Nanos kResponseTimeout = 2 * kSecond;
+// Keeps these random choices apart from others that are made from the same seed.
+constexpr std::uint64_t kSeedSalt = 0x715;
 }  // namespace
 
-DiscoveryClient::DiscoveryClient(PlacerServer& e, std::string address, bool on_request)
-    : edge_(e), address_(std::move(address)), on_request_(on_request),
-      again_(e.loop_.make_timer([this] { connect(); })),
-      deadline_(e.loop_.make_timer([this] { lost("no answer in time"); })),
-      chance_(static_cast<std::ranlux24_base::result_type>(e.identity_.seed ^ 0x715)) {}
+DiscoveryClient::DiscoveryClient(ServerContext& context, MembershipController& membership,
+                                 DiscoveryOptions options, std::size_t worker_kinds)
+    : context_(context), membership_(membership), options_(std::move(options)), worker_kinds_(worker_kinds),
+      reconnect_timer_(context.loop.make_timer([this] { connect(); })),
+      response_timer_(context.loop.make_timer([this] { on_connection_lost("no answer in time"); })),
+      jitter_(static_cast<std::ranlux24_base::result_type>(context.identity.seed ^ kSeedSalt)) {}
 
 void DiscoveryClient::connect() {
-    greeted_ = false;
-    stream_ = edge_.loop_.dial(address_, *this);
-    deadline_->arm(edge_.loop_.now() + kCallTimeOut);
+    state_ = State::awaiting_hello;
+    stream_ = context_.loop.dial(options_.address, *this);
+    response_timer_->arm(context_.now() + kResponseTimeout);
 }
 
-void DiscoveryClient::send(const v1::ToDiscovery& m) { sender_.send(stream_.get(), m); }
-
 void DiscoveryClient::on_connected() {
-    v1::ToDiscovery m;
-    m.mutable_hello()->set_version(kProtocolVersion);
-    m.mutable_hello()->set_name(edge_.identity_.name);
-    m.mutable_hello()->set_incarnation(edge_.identity_.incarnation);
-    send(m);
+    v1::ToDiscovery message;
+    introduce(*message.mutable_hello(), context_.identity);
+    send(message);
 }
 
-// The view that stands is kept. On a push list a new connection brings a whole one; where it must be asked
-// for, the planner asks again after its own pause, and the connection is made meanwhile.
-void DiscoveryClient::lost(std::string_view why) {
-    deadline_->disarm();
+void DiscoveryClient::on_connection_lost(std::string_view reason) {
+    on_request_answered();
     stream_.reset();
-    asked_ = false;
-    pause_ = pause_ ? std::min(kLongestPause, 2 * pause_) : kFirstPause;
-    again_->arm(edge_.loop_.now() + pause_ / 2 +
-                static_cast<Nanos>(static_cast<double>(pause_) * 0.5 * (chance_() % 1024) / 1024));
-    edge_.list_failed(why);
+    state_ = State::disconnected;
+    backoff_ = backoff_ ? std::min(kMaxBackoff, 2 * backoff_) : kInitialBackoff;
+    // Between a half and the whole of it, so that placers do not all come back in one moment.
+    const auto jitter = static_cast<Nanos>(static_cast<double>(backoff_) * 0.5 * (jitter_() % 1024) / 1024);
+    reconnect_timer_->arm(context_.now() + backoff_ / 2 + jitter);
+    membership_.on_discovery_failed(reason);
 }
 
-void DiscoveryClient::on_closed(net::CloseReason why) { lost(net::to_string(why)); }
+void DiscoveryClient::on_closed(net::CloseReason reason) { on_connection_lost(net::to_string(reason)); }
 
-std::size_t DiscoveryClient::on_received(std::string_view in) {
+std::size_t DiscoveryClient::on_received(std::string_view bytes) {
     bool too_long = false;
-    net::Stream* const on = stream_.get();
-    const std::size_t done =
-        net::decode_frames(in, kLongestMessage, too_long,
-                           [this, on](std::string_view f) { return message(f) && stream_.get() == on; });
-    if (too_long && stream_.get() == on) {
-        ++edge_.counts_.bad_peers;
-        lost("a message is longer than " + std::to_string(kLongestMessage) + " bytes");
+    // A message may close the stream.
+    net::Stream* const current = stream_.get();
+    const std::size_t consumed = net::decode_frames(
+        bytes, kMaxMessageSize, too_long,
+        [this, current](std::string_view frame) { return on_message(frame) && stream_.get() == current; });
+    if (too_long && stream_.get() == current) {
+        ++context_.statistics.protocol_errors;
+        on_connection_lost("a message is longer than " + std::to_string(kMaxMessageSize) + " bytes");
     }
-    return done;
+    return consumed;
 }
 
-bool DiscoveryClient::message(std::string_view bytes) {
-    const auto refuse = [this](const std::string& why) {
-        ++edge_.counts_.bad_peers;
-        edge_.log_(Level::warning, "bad_list", {{"reason", why}});
-        v1::ToDiscovery m;
-        m.mutable_error()->set_text(why);
-        send(m);
-        lost(why);
-        return false;
-    };
-    v1::FromDiscovery m;
-    if (!m.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
-        return refuse("not a message of this protocol");
-    if (!greeted_) {
-        if (m.of_case() != v1::FromDiscovery::kHello) return refuse("the first message must be a hello");
-        if (m.hello().version() != kProtocolVersion)
-            return refuse("version " + std::to_string(m.hello().version()) + " is not spoken here, only " +
-                          std::to_string(kProtocolVersion));
-        greeted_ = true;
-        pause_ = 0;
-        deadline_->disarm();
-        if (m.hello().incarnation() != incarnation_) number_ = 0;  // another life of it counts from the start
-        incarnation_ = m.hello().incarnation();
-        if (!seen_whole_ && on_request_) fetch();
-        return true;
-    }
-    switch (m.of_case()) {
+bool DiscoveryClient::reject(const std::string& reason) {
+    ++context_.statistics.protocol_errors;
+    context_.log(Level::warning, "discovery_protocol_error", {{"reason", reason}});
+    v1::ToDiscovery message;
+    message.mutable_error()->set_text(reason);
+    send(message);
+    on_connection_lost(reason);
+    return false;
+}
+
+bool DiscoveryClient::on_message(std::string_view bytes) {
+    v1::FromDiscovery message;
+    if (!message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size())))
+        return reject("not a message of this protocol");
+    if (state_ != State::ready) return on_hello(message);
+    switch (message.of_case()) {
         case v1::FromDiscovery::kHello:
-            return refuse("a second hello");
-        case v1::FromDiscovery::kUpdate: {
-            if (asked_) deadline_->disarm();
-            asked_ = false;
-            for (const v1::Endpoint& e : m.update().endpoints()) {
-                const std::string wrong = wrong_with(e);
-                if (!wrong.empty()) return refuse(wrong);
-                if (e.kind() >= edge_.kinds_) return refuse("entry.kind: is out of range");
-            }
-            // The whole message is checked before any of it is used. One that is older than the view that
-            // stands (two services behind one address, an answer overtaken by a change) would bring back what
-            // is gone.
-            if (m.update().sequence() < number_) {
-                ++edge_.counts_.old_lists;
-                edge_.log_(Level::warning, "old_list",
-                           {{"number", m.update().sequence()}, {"stands", number_}});
-                return true;
-            }
-            if (!seen_whole_ && !m.update().is_snapshot())
-                return refuse("entries: changes before any whole list");
-            number_ = m.update().sequence();
-            seen_whole_ = true;
-            edge_.entries(m.update());
-            return true;
-        }
+            return reject("a second hello");
+        case v1::FromDiscovery::kUpdate:
+            return on_update(message.update());
         case v1::FromDiscovery::kFailed:
-            deadline_->disarm();
-            asked_ = false;
-            edge_.list_failed(m.failed().text());
-            if (!seen_whole_) lost(m.failed().text());
-            return stream_ != nullptr;
+            return on_failed(message.failed().text());
         case v1::FromDiscovery::kError:
-            edge_.log_(Level::warning, "list_says", {{"error", m.error().text()}});
+            context_.log(Level::warning, "discovery_reported_error", {{"error", message.error().text()}});
             return true;
         case v1::FromDiscovery::OF_NOT_SET:
-            return true;
+            return true;  // of a newer version: ignored
     }
     return true;
 }
 
-void DiscoveryClient::follow() {
-    if (!on_request_) return;  // all changes come anyway
-    if (!stream_ || !greeted_) {
-        edge_.later([this] { edge_.list_failed("not connected"); });
+bool DiscoveryClient::on_hello(const v1::FromDiscovery& message) {
+    if (message.of_case() != v1::FromDiscovery::kHello) return reject("the first message must be a hello");
+    const v1::Hello& hello = message.hello();
+    if (hello.version() != kProtocolVersion) return reject(unsupported_version(hello.version()));
+    state_ = State::ready;
+    backoff_ = 0;
+    response_timer_->disarm();
+    if (hello.incarnation() != incarnation_) sequence_ = 0;  // another incarnation counts from the start
+    incarnation_ = hello.incarnation();
+    if (!has_snapshot_ && options_.poll) fetch();
+    return true;
+}
+
+bool DiscoveryClient::on_update(const v1::EndpointUpdate& update) {
+    if (request_pending_) on_request_answered();
+    // The whole message is checked before any of it is used.
+    for (const v1::Endpoint& endpoint : update.endpoints()) {
+        const auto checked = check_endpoint(endpoint, worker_kinds_);
+        if (!checked) return reject(std::string(to_string(checked.error())));
+    }
+    // An update that is older than the present view (two services behind one address, a response overtaken by
+    // a change) would bring back what is gone.
+    if (update.sequence() < sequence_) {
+        ++context_.statistics.stale_endpoint_updates;
+        context_.log(Level::warning, "stale_endpoints_ignored",
+                     {{"sequence", update.sequence()}, {"current_sequence", sequence_}});
+        return true;
+    }
+    if (!has_snapshot_ && !update.is_snapshot()) return reject("entries: changes before any whole list");
+    sequence_ = update.sequence();
+    has_snapshot_ = true;
+    membership_.on_update(update);
+    return true;
+}
+
+bool DiscoveryClient::on_failed(const std::string& reason) {
+    on_request_answered();
+    membership_.on_discovery_failed(reason);
+    if (!has_snapshot_) on_connection_lost(reason);
+    return stream_ != nullptr;
+}
+
+void DiscoveryClient::on_request_answered() {
+    response_timer_->disarm();
+    request_pending_ = false;
+}
+
+void DiscoveryClient::watch() {
+    if (!options_.poll) return;
+    if (state_ != State::ready) {
+        context_.rounds.defer([this] { membership_.on_discovery_failed("not connected"); });
         return;
     }
-    v1::ToDiscovery m;
-    m.mutable_watch()->set_on(true);
-    send(m);
-    asked_ = true;
-    deadline_->arm(edge_.loop_.now() + kCallTimeOut);
+    v1::ToDiscovery message;
+    message.mutable_watch()->set_on(true);
+    send_request(message);
 }
 
 void DiscoveryClient::fetch() {
-    if (!stream_ || !greeted_) return;
-    v1::ToDiscovery m;
-    m.mutable_fetch_snapshot();
-    send(m);
-    asked_ = true;
-    deadline_->arm(edge_.loop_.now() + kCallTimeOut);
+    if (state_ != State::ready) return;
+    v1::ToDiscovery message;
+    message.mutable_fetch_snapshot();
+    send_request(message);
+}
+
+void DiscoveryClient::send_request(const v1::ToDiscovery& message) {
+    send(message);
+    request_pending_ = true;
+    response_timer_->arm(context_.now() + kResponseTimeout);
 }
 
 }  // namespace whinpost::server
--- /dev/null
+++ b/src/server/drain_controller.cpp
@@ -0,0 +1,46 @@
+#include "server/drain_controller.h"
+
+#include <utility>
+
+#include "server/client_endpoint.h"
+
+namespace whinpost::server {
+
+namespace {
+using log::Level;
+// Streams do not tell when they are written out, so they are looked at this often.
+constexpr Nanos kPollInterval = 5 * kMillisecond;
+}  // namespace
+
+void DrainController::start(ClientEndpoint* clients, std::function<void()> done) {
+    clients_ = clients;
+    done_ = std::move(done);
+    state_ = State::draining;
+    context_.admission.close();
+    if (clients_) clients_->stop_listening();
+    context_.log(Level::info, "drain_started", {{"waiting", context_.admission.waiting()}});
+    poll_timer_ = context_.loop.make_timer([this] { check(); });
+    check();
+}
+
+void DrainController::check() {
+    switch (state_) {
+        case State::serving:
+        case State::drained:
+            return;
+        case State::draining:
+            break;
+    }
+    const bool is_flushed = !clients_ || clients_->is_flushed();
+    if (context_.admission.waiting() != 0 || !is_flushed) {
+        poll_timer_->arm(context_.now() + kPollInterval);
+        return;
+    }
+    state_ = State::drained;
+    const ledger::LedgerStatistics& statistics = context_.ledger.statistics();
+    context_.log(Level::info, "drain_finished",
+                 {{"submitted", statistics.submitted}, {"placed", statistics.accepted}});
+    std::exchange(done_, nullptr)();
+}
+
+}  // namespace whinpost::server
--- /dev/null
+++ b/src/server/membership_controller.cpp
@@ -0,0 +1,150 @@
+#include "server/membership_controller.h"
+
+#include <algorithm>
+
+#include "proto/discovery.pb.h"
+#include "server/discovery_client.h"
+#include "server/slow_start_controller.h"
+#include "server/task_recovery.h"
+#include "server/worker_endpoint.h"
+
+namespace whinpost::server {
+
+namespace {
+using log::Level;
+
+// A worker that comes or goes changes the planner's view of all workers, which costs it a sort of them all:
+// changes that no endpoint update brought are collected for so long. That a worker takes nothing more is told
+// at once, and holds at once.
+constexpr Nanos kPlannerViewInterval = 100 * kMillisecond;
+
+EndpointPhase endpoint_phase(v1::Endpoint::Phase phase) {
+    if (phase == v1::Endpoint::SERVING) return EndpointPhase::serving;
+    return phase == v1::Endpoint::DRAINING ? EndpointPhase::draining : EndpointPhase::gone;
+}
+}  // namespace
+
+MembershipController::MembershipController(ServerContext& context, WorkerEndpoint& workers,
+                                           SlowStartController& slow_start, TaskRecovery& recovery,
+                                           Nanos drain_grace, bool report_is_free)
+    : context_(context), workers_(workers), slow_start_(slow_start), recovery_(recovery),
+      membership_(*this, context.now(), drain_grace, report_is_free), membership_timer_(*this),
+      planner_view_timer_(*this) {}
+
+void MembershipController::on_update(const v1::EndpointUpdate& update) {
+    const Nanos now = context_.now();
+    const Nanos age = std::max<Nanos>(update.age(), 0);
+    ++context_.statistics.endpoint_updates;
+    discovery_failing_ = false;
+    membership_.list_begins(now, age, update.is_snapshot());
+    for (const v1::Endpoint& endpoint : update.endpoints()) update_entry(now, endpoint);
+    membership_.list_ends(now);
+    // The planner learns of all workers before it learns of what runs on them.
+    recovery::RecoveryQueue& queue = recovery_.queue();
+    for (const v1::Endpoint& endpoint : update.endpoints())
+        if (queue.waiting() && endpoint.phase() != v1::Endpoint::GONE) queue.named(now, endpoint.worker());
+    queue.listed(now, now - age, update.is_snapshot());
+    complete_planner_view(now);
+    if (!planner_started_) {
+        planner_started_ = true;
+        context_.planner->start(now);
+    }
+    context_.log(update.is_snapshot() ? Level::info : Level::debug, "endpoints_updated",
+                 {{"sequence", update.sequence()},
+                  {"snapshot", update.is_snapshot()},
+                  {"endpoints", update.endpoints_size()},
+                  {"age_ms", update.age() / kMillisecond}});
+    context_.rounds.schedule_round();
+}
+
+void MembershipController::update_entry(Nanos now, const v1::Endpoint& endpoint) {
+    WorkerPeer& peer = workers_.find_or_add(endpoint.worker());
+    EndpointState state;
+    state.zone = static_cast<int>(endpoint.zone());
+    state.cell = static_cast<int>(endpoint.cell());
+    state.kind = static_cast<int>(endpoint.kind());
+    state.free_cores = endpoint.free_cores();
+    state.free_memory = endpoint.free_memory();
+    state.phase = endpoint_phase(endpoint.phase());
+    state.started_at = endpoint.uptime() > 0 ? now - endpoint.uptime() : 0;
+    membership_.entry(now, peer.entry, state, endpoint.address());
+}
+
+void MembershipController::on_discovery_failed(std::string_view reason) {
+    context_.log(Level::warning, "discovery_failed", {{"reason", reason}});
+    discovery_failing_ = true;
+    if (planner_started_) context_.planner->on_watch_failed(context_.now());
+    context_.rounds.schedule_round();
+}
+
+void MembershipController::refresh_endpoints(Nanos now) {
+    context_.log(Level::info, "endpoints_refetched",
+                 {{"workers", membership_.size()},
+                  {"snapshot_suspected", membership_.doubts()},
+                  {"pending_recoveries", recovery_.queue().waiting()},
+                  {"age_ms", membership_.list_age(now) / kMillisecond}});
+    discovery_->fetch();
+}
+
+void MembershipController::stands(Nanos now, membership::WorkerEntry& entry, bool) {
+    WorkerPeer& peer = workers_.at(entry.number);
+    // The ledger is given what the endpoint list says, not what was concluded from it: it is a guard of its
+    // own.
+    EndpointState listed = entry.list.entry;
+    listed.started_at = entry.told.started_at;
+    if (entry.list.left_out) context_.ledger.on_removed(now, peer.record);
+    else context_.ledger.on_endpoint(now, peer.record, listed);
+    context_.planner->on_endpoint(now, peer.number, stable_hash(entry.name), entry.told);
+    slow_start_.update_tokens(now, peer.warming);
+    slow_start_.tokens().stands(now, peer.warming, entry.standing == membership::WorkerState::serving,
+                                entry.told.started_at);
+    if (entry.told.phase == EndpointPhase::gone) peer.connection.gone(now);
+    else peer.connection.want(now, true);
+    if (context_.log.enabled(Level::debug))
+        context_.log(Level::debug, "worker_state",
+                     {{"worker", entry.name},
+                      {"state", membership::to_string(entry.standing)},
+                      {"because", membership_.why(now, entry)}});
+    if (!planner_view_changed_) {
+        planner_view_changed_ = true;
+        context_.timers.arm(planner_view_timer_, now + kPlannerViewInterval);
+    }
+    context_.rounds.schedule_round();
+}
+
+void MembershipController::drains(Nanos now, membership::WorkerEntry& entry) {
+    workers_.at(entry.number).connection.drain_heard(now);
+    context_.log(Level::info, "worker_draining",
+                 {{"worker", entry.name}, {"because", membership_.why(now, entry)}});
+}
+
+void MembershipController::back(Nanos now, membership::WorkerEntry& entry) {
+    context_.log(Level::info, "worker_drain_revoked",
+                 {{"worker", entry.name}, {"because", membership_.why(now, entry)}});
+}
+
+void MembershipController::dial_anew(Nanos, membership::WorkerEntry& entry) {
+    context_.rounds.defer([this, &entry] { workers_.at(entry.number).connection.dial_anew(context_.now()); });
+}
+
+void MembershipController::turn_at(Nanos at) {
+    if (!membership_timer_.armed() || at < membership_timer_.deadline())
+        context_.timers.arm(membership_timer_, at);
+}
+
+void MembershipController::on_membership_deadline() { membership_.turn(context_.now()); }
+
+void MembershipController::on_planner_view_due() {
+    if (planner_view_changed_) complete_planner_view(context_.now());
+}
+
+void MembershipController::complete_planner_view(Nanos now) {
+    planner_view_changed_ = false;
+    planner_view_timer_.disarm();
+    context_.planner->on_watch_event_done(now, false);
+    // The planner takes this for an endpoint update, which did not come: it must still be requested.
+    if (discovery_failing_ && planner_started_) context_.planner->on_watch_failed(now);
+    context_.rounds.schedule_round();
+}
+
+}  // namespace whinpost::server
--- /dev/null
+++ b/src/server/membership_controller.h
@@ -0,0 +1,73 @@
+// Brings what is known of the workers to the ledger, the planner and the connections: endpoint updates of the
+// discovery service come in here, and each change of a worker's state leaves from here.
+#pragma once
+#include <string_view>
+
+#include "membership/membership.h"
+#include "server/server_context.h"
+#include "timer_wheel/timer_wheel.h"
+
+namespace whinpost::v1 {
+class Endpoint;
+class EndpointUpdate;
+}  // namespace whinpost::v1
+
+namespace whinpost::server {
+
+class DiscoveryClient;
+class SlowStartController;
+class TaskRecovery;
+class WorkerEndpoint;
+
+class MembershipController final : private membership::MembershipHandler {
+public:
+    // `drain_grace`, `report_is_free`: see membership::Membership.
+    MembershipController(ServerContext&, WorkerEndpoint&, SlowStartController&, TaskRecovery&,
+                         Nanos drain_grace, bool report_is_free);
+
+    // Not owned. Set before the first update.
+    void set_discovery(DiscoveryClient* discovery) { discovery_ = discovery; }
+
+    // An update of the discovery service, which was checked.
+    void on_update(const v1::EndpointUpdate&);
+    void on_discovery_failed(std::string_view reason);
+    // Requests a snapshot of the endpoint list, whatever the mode.
+    void refresh_endpoints(Nanos now);
+
+    membership::Membership& membership() { return membership_; }
+    const membership::Membership& membership() const { return membership_; }
+
+private:
+    template <void (MembershipController::*Method)()>
+    struct ControllerTimer final : timer_wheel::Timer {
+        explicit ControllerTimer(MembershipController& owner) : controller(owner) {}
+        void on_deadline(Nanos) override { (controller.*Method)(); }
+        MembershipController& controller;
+    };
+
+    void stands(Nanos now, membership::WorkerEntry&, bool careful) override;
+    void drains(Nanos now, membership::WorkerEntry&) override;
+    void back(Nanos now, membership::WorkerEntry&) override;
+    void list_again(Nanos now) override { refresh_endpoints(now); }
+    void dial_anew(Nanos now, membership::WorkerEntry&) override;
+    void turn_at(Nanos at) override;
+
+    void update_entry(Nanos now, const v1::Endpoint&);
+    void on_membership_deadline();
+    void on_planner_view_due();
+    void complete_planner_view(Nanos now);
+
+    ServerContext& context_;
+    WorkerEndpoint& workers_;
+    SlowStartController& slow_start_;
+    TaskRecovery& recovery_;
+    membership::Membership membership_;
+    DiscoveryClient* discovery_ = nullptr;
+    ControllerTimer<&MembershipController::on_membership_deadline> membership_timer_;
+    ControllerTimer<&MembershipController::on_planner_view_due> planner_view_timer_;
+    bool planner_view_changed_ = false;  // since the planner was last told that its view is complete
+    bool planner_started_ = false;       // at the first endpoint update
+    bool discovery_failing_ = false;
+};
+
+}  // namespace whinpost::server
--- /dev/null
+++ b/src/server/slow_start_controller.h
@@ -0,0 +1,29 @@
+// The placer's admission tokens for workers in slow start: requests go to the workers, and what the workers
+// grant goes to the planner and the ledger.
+#pragma once
+#include "server/server_context.h"
+#include "slow_start/token_client.h"
+
+namespace whinpost::server {
+
+class SlowStartController final : private slow_start::TokenClientHandler {
+public:
+    // `slow_start_time`: how long after its start a worker is treated as warming up.
+    SlowStartController(ServerContext& context, Nanos slow_start_time)
+        : context_(context), tokens_(*this, slow_start_time) {}
+
+    // How many attempts may be sent to the worker now, for the planner and the ledger.
+    void update_tokens(Nanos now, slow_start::WarmingWorker&);
+
+    slow_start::TokenClient& tokens() { return tokens_; }
+    const slow_start::TokenClient& tokens() const { return tokens_; }
+
+private:
+    void ask(slow_start::WarmingWorker&, std::uint64_t sequence, int held, int more) override;
+    void holds(Nanos now, slow_start::WarmingWorker& warming) override { update_tokens(now, warming); }
+
+    ServerContext& context_;
+    slow_start::TokenClient tokens_;
+};
+
+}  // namespace whinpost::server
--- /dev/null
+++ b/src/server/worker_endpoint.h
@@ -0,0 +1,58 @@
+// All workers, by name and by number, and what their connections ask of the network and the server.
+#pragma once
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "server/attempt_controller.h"
+#include "server/worker_peer.h"
+
+namespace whinpost::server {
+
+struct WorkerEndpointOptions {
+    worker_connection::ConnectionSettings connection;
+    int concurrent_dials = 1;
+    int dials_per_second = 1;
+};
+
+class WorkerEndpoint final : public worker_connection::ConnectionHandler {
+public:
+    WorkerEndpoint(ServerContext&, TaskTable&, AttemptController&, membership::Membership&,
+                   slow_start::TokenClient&, const WorkerEndpointOptions&);
+
+    WorkerPeer& find_or_add(std::string_view name);
+    WorkerPeer* find(std::string_view name);
+    WorkerPeer& at(planner::WorkerNumber number) { return *peers_.at(number); }
+    std::size_t size() const { return peers_.size(); }
+
+    void dial(worker_connection::WorkerConnection&) override;
+    void drop(worker_connection::WorkerConnection&, bool at_once) override;
+    void write(worker_connection::WorkerConnection&, ledger::Attempt&) override;
+    void ask_for_life(worker_connection::WorkerConnection&) override;
+    void ask_after(worker_connection::WorkerConnection&, ledger::Attempt&) override;
+    std::size_t unsent(const worker_connection::WorkerConnection&) const override;
+    std::uint64_t handed(const worker_connection::WorkerConnection&) const override;
+    std::uint64_t written(const worker_connection::WorkerConnection&) const override;
+    bool may_still_send(Nanos now, const ledger::Attempt&) const override;
+    void over(Nanos now, ledger::Attempt&, AttemptOutcome) override;
+    void wake(worker_connection::WorkerConnection&, Nanos at) override;
+    void down(Nanos now, worker_connection::WorkerConnection&, bool was_up) override;
+
+    // For the peers.
+    ServerContext& context;
+    TaskTable& tasks;
+    AttemptController& attempts;
+    membership::Membership& membership;
+    slow_start::TokenClient& tokens;
+    const worker_connection::ConnectionSettings connection_settings;
+    worker_connection::DialLimiter dial_limiter;
+
+private:
+    std::vector<std::unique_ptr<WorkerPeer>> peers_;  // by number
+    std::map<std::string, WorkerPeer*, std::less<>> by_name_;
+};
+
+}  // namespace whinpost::server
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -112,7 +112,7 @@
         };
     ground.made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
         rogues.push_back(std::make_unique<Rogue>(placer.edge, does));
-        placer.edge.plan_with(*rogues.back());
+        placer.edge.set_planner(*rogues.back());
     };
     emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
     return simulation::run_to_end(world, day);
--- a/tests/placer_server_test.cpp
+++ b/tests/placer_server_test.cpp
@@ -126,7 +126,7 @@
         if (l.queue_group() == 2) at_n.push_back(l.task());
     for (const v1::StartAttempt& l : other.launches())
         CHECK(std::find(at_n.begin(), at_n.end(), l.task()) == at_n.end());
-    CHECK(t.placer->edge.counts().planner_faults == 0);
+    CHECK(t.placer->edge.statistics().planner_faults == 0);
 }
 
 TEST_CASE("a node that dies between yes and run is lost once another stands in its place, and not before") {
@@ -186,7 +186,7 @@
     n.yes(n.launches().at(0).attempt());
     t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     t.list({t.entry("n")}, true, 1);  // from before the drain
-    CHECK(t.placer->edge.counts().old_lists == 1);
+    CHECK(t.placer->edge.statistics().stale_endpoint_updates == 1);
     t.ask(o, t.offer(2));
     CHECK(n.launches().size() == 1);
     t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING), t.entry("n")}, false);
@@ -221,7 +221,7 @@
     CHECK(n.launches().empty());
     t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     t.run(3 * kSecond);
-    CHECK(t.placer->edge.link("n")->counts().drain_cuts == 1);
+    CHECK(t.placer->edge.connection("n")->counts().drain_cuts == 1);
     t.world.cut("10.0.0.1", "n", false);
     t.run(3 * kSecond);
     CHECK(n.launches().empty());
@@ -236,11 +236,11 @@
         o.say(m);
     }
     t.run(100 * kMillisecond);
-    CHECK(t.placer->edge.held() == 200);
+    CHECK(t.placer->edge.tasks_held() == 200);
     CHECK(t.placer->intake.waiting() == 200);
     o.stream.reset();
     t.run(kSecond);
-    CHECK(t.placer->edge.held() == 0);
+    CHECK(t.placer->edge.tasks_held() == 0);
     CHECK(t.placer->intake.waiting() == 0);
     CHECK(t.placer->planner.open_tasks() == 0);
 }
@@ -319,7 +319,7 @@
 TEST_CASE("a planner that says nothing: every container is answered by the ledger in time, and honestly") {
     Rig t;
     QuietPlanner silent;
-    t.placer->edge.plan_with(silent);
+    t.placer->edge.set_planner(silent);
     Rig::NodeAt& n = t.node("n");
     t.list({t.entry("n")});
     OwnerPeer& o = t.owner();
@@ -346,7 +346,7 @@
         t.placer->edge.reject(c, 0);
         t.run(100 * kMillisecond);
         CHECK(n.launches().size() == 2);
-        CHECK(t.placer->edge.counts().planner_faults == 4);
+        CHECK(t.placer->edge.statistics().planner_faults == 4);
         CHECK(o.count(&ToOwner::has_rejected) == 1);
     }
 }
@@ -358,7 +358,7 @@
     OwnerPeer& o = t.owner();
     t.ask(o, t.offer(1, "once", 3 * kSecond));
     bool done = false;
-    t.placer->edge.close([&done] { done = true; });
+    t.placer->edge.drain([&done] { done = true; });
     t.ask(o, t.offer(2));
     CHECK(o.count(&ToOwner::has_rejected) == 1);
     CHECK(o.all(&ToOwner::has_rejected)[0].rejected().reason() == "the placer is closing");
@@ -417,7 +417,7 @@
         t.run(kSecond);
         REQUIRE(n.conns.size() == 2);
         CHECK(n.conns[0]->count(&v1::ToWorker::has_error) == 1);
-        CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
+        CHECK(t.placer->edge.connection("n")->state() == worker_connection::ConnectionState::up);
     }
     SECTION("a list with a field out of range is refused whole, and the view that stands is kept") {
         v1::Endpoint wrong = t.entry("m");
@@ -444,7 +444,7 @@
     CHECK(o.count(&ToOwner::has_received) == 1);
     t.placer_host->files(100);
     t.run(8 * kSecond);
-    CHECK(t.placer->edge.link("n")->state() == worker_connection::ConnectionState::up);
+    CHECK(t.placer->edge.connection("n")->state() == worker_connection::ConnectionState::up);
 }
 
 TEST_CASE("a list that must be asked for is asked for, and asked again when it fails") {
@@ -542,7 +542,7 @@
         if (n.launches().size() == id) n.yes(id);
     }
     CHECK(n.launches().size() == 20);
-    CHECK(t.placer->edge.fleet().count(membership::WorkerState::away) == 3);
+    CHECK(t.placer->edge.membership().count(membership::WorkerState::away) == 3);
 }
 
 TEST_CASE("a node that stands again under its name is young by its own word before the list knows") {
@@ -614,7 +614,7 @@
     o.say(away);
     t.run(30 * kSecond);  // the list service is down all the while
     CHECK(o.count(&ToOwner::has_ended) == 0);
-    CHECK(t.placer->edge.regain().waiting() == 3);
+    CHECK(t.placer->edge.recovery_queue().waiting() == 3);
     v1::FromClient same;
     *same.mutable_submit() = t.offer(1);
     t.list({t.entry("n")});
@@ -635,7 +635,7 @@
     // An owner that leaves takes it along.
     o.stream.reset();
     t.run(100 * kMillisecond);
-    CHECK(t.placer->edge.regain().waiting() == 0);
+    CHECK(t.placer->edge.recovery_queue().waiting() == 0);
 }
 
 TEST_CASE("a container withdrawn while its node is cut off is stopped when the node is back") {
