--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -5,6 +5,7 @@
 #include <iostream>
 #include <optional>
 #include <string>
+#include <vector>
 
 #include "ledger/ledger.h"
 #include "net/libevent_loop.h"
@@ -16,52 +17,89 @@
 namespace whinpost::apps {
 namespace {
 
-std::string variable(const char* name) {
-    const char* v = std::getenv(name);
-    if (!v || !*v) throw platform::BootstrapError(std::string(name) + ": is not set");
-    return v;
+std::string required_variable(const char* name) {
+    const char* value = std::getenv(name);
+    if (!value || !*value) throw platform::BootstrapError(name, "", "is not set");
+    return value;
+}
+
+std::vector<std::string> to_strings(const std::vector<std::string_view>& views) {
+    return {views.begin(), views.end()};
+}
+
+// Everything that the settings say, read and checked before anything is opened. The order of the members is
+// the order in which they are checked.
+struct Deployment {
+    explicit Deployment(const platform::BootstrapConfig& config)
+        : groups(settings::queue_groups(config.settings())), kinds(settings::worker_kinds(config.settings())),
+          retry(settings::retry_settings(config.settings())),
+          slow_start(settings::slow_start_settings(config.settings())), server(server_options(config, kinds)),
+          zone(settings::zone(config.settings())), acceptance(settings::worker_acceptance(config.settings())),
+          discovery(settings::discovery_settings(config.settings())),
+          prices(settings::prices(config.settings())) {}
+
+    static platform::PlatformServerOptions server_options(const platform::BootstrapConfig& config,
+                                                          const std::vector<WorkerKind>& kinds) {
+        const settings::Settings& settings = config.settings();
+        platform::PlatformServerOptions options;
+        options.worker_kinds = kinds;
+        options.worker_kind_names = to_strings(settings.list("flavors"));
+        if (options.worker_kind_names.size() != kinds.size())
+            settings.fail("flavors", "does not match family_info.cpu_of_kind");
+        options.group_names = settings::group_names(settings);
+        options.zone_names = to_strings(settings.list("zones"));
+        options.dial_timeout = settings.duration("limits.dial_timeout_us");
+        options.idle_timeout = settings.duration("limits.conn_idle_us");
+        options.descriptors = config.sockets();
+        options.seed = config.seed();
+        return options;
+    }
+
+    std::vector<QueueGroup> groups;
+    std::vector<WorkerKind> kinds;
+    RetrySettings retry;
+    SlowStartSettings slow_start;
+    platform::PlatformServerOptions server;
+    int zone;
+    WorkerAcceptance acceptance;
+    DiscoverySettings discovery;
+    Prices prices;
+};
+
+// A file that is wrong changes nothing.
+void reload(const std::string& path, platform::DiscoveryWatch& watch, const log::Logger& log) {
+    try {
+        watch.move_to(platform::BootstrapConfig::read(path).bus());
+        log(log::Level::info, "config_reloaded", {{"file", path}});
+    } catch (const std::exception& error) {
+        log(log::Level::error, "config_reload_failed", {{"reason", error.what()}});
+    }
 }
-std::vector<std::string> texts(const std::vector<std::string_view>& in) { return {in.begin(), in.end()}; }
 
 int serve(log::Level level) {
-    const std::string path = variable("GW_CONFIG");
-    const std::string listen = variable("GW_LISTEN");
-    variable("GW_NAME");
+    const std::string path = required_variable("GW_CONFIG");
+    const std::string listen = required_variable("GW_LISTEN");
+    required_variable("GW_NAME");
     const log::Logger log(level, log::Format::text);
     net::LibeventLoop loop;
-    std::optional<platform::BootstrapConfig> told = platform::BootstrapConfig::read(path);
-    const settings::Settings& settings = told->settings();
-    const auto groups = settings::queue_groups(settings);
-    const auto kinds = settings::worker_kinds(settings);
-    const RetrySettings launches = settings::retry_settings(settings);
-    const SlowStartSettings cold = settings::slow_start_settings(settings);
-    const auto kind_names = texts(settings.list("flavors"));
-    if (kind_names.size() != kinds.size()) settings.fail("flavors", "does not match family_info.cpu_of_kind");
-    ledger::Ledger ledger(groups, launches, cold);
-    platform::PlatformServer front(loop, log, ledger, settings::group_names(settings), kinds, kind_names,
-                                   texts(settings.list("zones")), settings.duration("limits.dial_timeout_us"),
-                                   settings.duration("limits.conn_idle_us"), told->sockets(), told->seed());
-    planner::LocalPlanner planner(
-        front, told->seed(), settings::zone(settings), groups, kinds, settings::worker_acceptance(settings),
-        cold, settings::discovery_settings(settings), launches, settings::prices(settings));
-    front.set_planner(planner);
-    for (const std::string& e : told->known()) front.discovery_watch().apply_initial_event(e);
+    auto config = std::make_optional(platform::BootstrapConfig::read(path));
+    const Deployment deployment(*config);
+    ledger::Ledger ledger(deployment.groups, deployment.retry, deployment.slow_start);
+    platform::PlatformServer server(loop, log, ledger, deployment.server);
+    planner::LocalPlanner planner(server, config->seed(), deployment.zone, deployment.groups,
+                                  deployment.kinds, deployment.acceptance, deployment.slow_start,
+                                  deployment.discovery, deployment.retry, deployment.prices);
+    server.set_planner(planner);
+    for (const std::string& event : config->known()) server.discovery_watch().apply_initial_event(event);
     // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
-    loop.on_signal(SIGHUP, [&] {
-        try {
-            front.discovery_watch().move_to(platform::BootstrapConfig::read(path).bus());
-            log(log::Level::info, "read_again", {{"file", path}});
-        } catch (const std::exception& e) {
-            log(log::Level::error, "read_again_failed", {{"why", e.what()}});
-        }
-    });
-    const auto end = [&] { front.drain([&loop] { loop.stop(); }); };
-    loop.on_signal(SIGTERM, end);
-    loop.on_signal(SIGINT, end);
-    const std::string wrong = front.listen(listen);
-    if (!wrong.empty()) throw platform::BootstrapError("GW_LISTEN: " + listen + ": " + wrong);
-    front.discovery_watch().follow(told->bus(), told->offset());
-    told.reset();
+    loop.on_signal(SIGHUP, [&] { reload(path, server.discovery_watch(), log); });
+    const auto drain = [&] { server.drain([&loop] { loop.stop(); }); };
+    loop.on_signal(SIGTERM, drain);
+    loop.on_signal(SIGINT, drain);
+    if (const auto listening = server.listen(listen); !listening)
+        throw platform::BootstrapError("GW_LISTEN", "", listen + ": " + to_string(listening.error()));
+    server.discovery_watch().follow(config->bus(), config->offset());
+    config.reset();  // the initial events may be large
     log(log::Level::info, "serving", {{"listen", listen}});
     loop.run();
     return 0;
@@ -72,8 +110,8 @@
 int platform(log::Level level) {
     try {
         return serve(level);
-    } catch (const std::exception& e) {
-        std::cerr << "whinpost platform: " << e.what() << '\n';
+    } catch (const std::exception& error) {
+        std::cerr << "whinpost platform: " << error.what() << '\n';
         return 1;
     }
 }
--- a/apps/platform.h
+++ b/apps/platform.h
@@ -1,4 +1,4 @@
-// `whinpost platform`: one placer on the platform's protocol, as its variables and its file say.
+// `whinpost platform`: one placer on the platform's protocol, as its environment variables and its file say.
 #pragma once
 #include "log/logger.h"
 
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -132,8 +132,9 @@
                 ++i;
                 continue;
             }
-            const std::uint8_t causes[] = {platform_codec::kOk, platform_codec::kOk, platform_codec::kReset,
-                                           platform_codec::kError};
+            const platform_codec::Cause causes[] = {platform_codec::Cause::ok, platform_codec::Cause::ok,
+                                                    platform_codec::Cause::reset,
+                                                    platform_codec::Cause::error};
             host.last_connection().release(running[i], causes[roll(4)], luck(20) ? "evicted" : "");
             running.erase(running.begin() + static_cast<std::ptrdiff_t>(i));
         }
@@ -145,7 +146,8 @@
             Message reply;
             reply.type = MessageType::health_check_reply;
             reply.task = message.task;
-            reply.cause = luck(90) ? platform_codec::kPassed : platform_codec::kFailed;
+            reply.cause =
+                luck(90) ? platform_codec::Cause::check_passed : platform_codec::Cause::check_failed;
             const std::string report = "x0:" + std::to_string(roll(16)) + ";x1:" + std::to_string(roll(32)) +
                                        ";busy:0." + std::to_string(roll(10));
             if (luck(80)) reply.load_report = report;
@@ -154,11 +156,11 @@
         }
         if (message.type != MessageType::place_task || luck(4)) return;
         const std::size_t kind = roll(20);
-        if (kind == 0) return line.release(message.task, platform_codec::kFull, "no_cores");
-        if (kind == 1) return line.release(message.task, platform_codec::kFull, "queue_full");
-        if (kind == 2) return line.release(message.task, platform_codec::kError);
-        if (kind == 3) return line.release(message.task, platform_codec::kFull, "not_here");
-        if (kind == 4) return line.release(message.task, platform_codec::kReset, "sent_away");
+        if (kind == 0) return line.release(message.task, platform_codec::Cause::full, "no_cores");
+        if (kind == 1) return line.release(message.task, platform_codec::Cause::full, "queue_full");
+        if (kind == 2) return line.release(message.task, platform_codec::Cause::error);
+        if (kind == 3) return line.release(message.task, platform_codec::Cause::full, "not_here");
+        if (kind == 4) return line.release(message.task, platform_codec::Cause::reset, "sent_away");
         if (kind == 5) return note(line, message.task);
         if (kind == 6) return answer_and_end(line, message.task);
         if (kind == 7 && luck(20)) return line.answer(message.task, "");
@@ -171,7 +173,7 @@
         Message m;
         m.type = MessageType::release;
         m.task = task;
-        m.cause = platform_codec::kOk;
+        m.cause = platform_codec::Cause::ok;
         m.description = "ran";
         line.send(m);
     }
@@ -190,11 +192,11 @@
     void client_releases() {
         auto& client = *clients_[roll(clients_.size())];
         if (luck(60))
-            client.release(next_id_ - std::min<std::uint64_t>(next_id_, roll(12)), platform_codec::kOk);
+            client.release(next_id_ - std::min<std::uint64_t>(next_id_, roll(12)), platform_codec::Cause::ok);
         Message m;
         m.type = luck(50) ? MessageType::health_check : MessageType::release_ack;
         m.task = roll(next_id_);
-        m.cause = 0;
+        m.cause = platform_codec::Cause::check_failed;
         client.send(m);
     }
 
--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -98,7 +98,7 @@
     answer.description = "d";
     end.type = platform_codec::MessageType::release;
     end.task = 1;
-    end.cause = platform_codec::kReset;
+    end.cause = platform_codec::Cause::reset;
     end.detail = "sent_away";
     end.load_report = "x0:1;x1:2.5;queue:3";
     note_on.type = platform_codec::MessageType::note;
--- /dev/null
+++ b/src/platform/attempt_controller.cpp
@@ -0,0 +1,213 @@
+#include "platform/attempt_controller.h"
+
+#include <optional>
+#include <string>
+
+#include "whinpost/stable_hash.h"
+
+namespace whinpost::platform {
+
+using platform_codec::Message;
+using platform_codec::MessageType;
+
+namespace {
+
+int current_attempt(const InFlightTask& task) { return static_cast<int>(task.record->attempts.size()) - 1; }
+
+}  // namespace
+
+AttemptController::AttemptController(const ServerContext& context, TaskTable& tasks, TaskLifecycle& lifecycle,
+                                     const EndpointList& endpoints, WorkerPool& pool)
+    : context_(context), tasks_(tasks), lifecycle_(lifecycle), endpoints_(endpoints), pool_(pool) {}
+
+// ---------------------------------------------------------------- the planner's decisions
+
+void AttemptController::place(planner::TaskNumber number, planner::WorkerNumber to, Nanos timeout) {
+    InFlightTask* task = tasks_.find(number);
+    if (!task) return;
+    PooledWorker& worker = pool_.at(to);
+    const auto started = context_.ledger.start_attempt(context_.now(), *task->record,
+                                                       *endpoints_.find(worker.name())->record, timeout);
+    if (!started) {
+        context_.log(log::Level::warning, "attempt_refused",
+                     {{"task", task->name},
+                      {"worker", worker.name()},
+                      {"reason", ledger::to_string(started.error())}});
+        return defer_not_sent(number);
+    }
+    task->reported_running = false;
+    context_.timers.arm(task->attempt_timeout, (*started)->deadline);
+    context_.log(log::Level::debug, "attempt_started",
+                 {{"task", task->name},
+                  {"worker", worker.name()},
+                  {"attempts", task->record->attempts.size()},
+                  {"timeout_ms", timeout / kMillisecond}});
+    if (worker.start_attempt(*task)) return;
+    context_.rounds.defer([this, number] {
+        InFlightTask* remaining = tasks_.find(number);
+        if (!remaining || !remaining->record->in_flight) return;
+        if (remaining->running || remaining->connection) return;
+        lifecycle_.end_attempt(*remaining, AttemptOutcome::not_sent, OutcomeReason::unspecified, {}, false);
+    });
+}
+
+// The ledger knows no such attempt, so the planner alone is told.
+void AttemptController::defer_not_sent(planner::TaskNumber number) {
+    context_.rounds.defer([this, number] {
+        context_.planner().on_attempt_ended(context_.now(), number, 0, AttemptOutcome::not_sent,
+                                            OutcomeReason::unspecified, false, {});
+        context_.rounds.schedule();
+    });
+}
+
+void AttemptController::migrate(planner::TaskNumber number) {
+    InFlightTask* task = tasks_.find(number);
+    if (!task || !task->running) return;
+    ClientConnection* client = lifecycle_.connection_of(*task);
+    if (!client) return;  // nobody would place it anew: it stays
+    Message message;
+    message.type = MessageType::migrate;
+    message.task = task->id;
+    client->write(message);
+    context_.rounds.defer([this, number] {
+        InFlightTask* remaining = tasks_.find(number);
+        if (remaining && remaining->running) cancel_running(*remaining);
+    });
+    context_.rounds.schedule();
+}
+
+void AttemptController::cancel_attempt(planner::TaskNumber number) {
+    context_.rounds.defer([this, number] {
+        InFlightTask* task = tasks_.find(number);
+        if (!task || !task->record->in_flight || task->running) return;
+        task->worker->abandon_attempt(*task);
+        lifecycle_.end_attempt(*task, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, false);
+    });
+    context_.rounds.schedule();
+}
+
+void AttemptController::cancel_running(InFlightTask& task) {
+    task.worker->remove_running(task, true);
+    lifecycle_.end_attempt(task, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
+}
+
+// ---------------------------------------------------------------- recovery
+
+bool AttemptController::adopt(const RunningTaskReport& report, ClientConnection* client) {
+    const PlacementRequest& request = report.request;
+    if (tasks_.find_by_id(report.id)) return true;
+    if (const InFlightTask* known = tasks_.find_running(request.task_name)) {
+        context_.log(log::Level::debug, "task_already_adopted",
+                     {{"task", request.task_name},
+                      {"same_worker", known->worker && known->worker->name() == request.running_on}});
+        return true;
+    }
+    const EndpointList::Endpoint* endpoint = endpoints_.find(request.running_on);
+    if (!endpoint) return false;
+    PooledWorker& worker = *endpoint->worker;
+    const Nanos now = context_.now();
+    const std::uint64_t service = stable_hash(request.service);
+    ledger::TaskRecord& record =
+        context_.ledger.adopt_task(now, request.task_name, service, request.resources, *endpoint->record);
+    InFlightTask& task = tasks_.create(report.id, record, client, report.client_address);
+    task.name = request.task_name;
+    context_.planner().adopt(now, record.number, service, request.resources, worker.number());
+    lifecycle_.start_running(task, worker);
+    context_.log(log::Level::debug, "task_adopted",
+                 {{"task", request.task_name}, {"worker", request.running_on}});
+    if (const std::optional<platform_codec::Cause> cause = worker.recent_end_of(report.id)) {
+        const bool completed = *cause == platform_codec::Cause::ok;
+        on_task_ended(task, completed ? AttemptOutcome::completed : AttemptOutcome::reset,
+                      OutcomeReason::unspecified, *cause, {});
+    }
+    context_.rounds.schedule();
+    return true;
+}
+
+// ---------------------------------------------------------------- what workers say
+
+bool AttemptController::may_send(InFlightTask& task) {
+    return task.record->in_flight && !(task.client && task.client->may_have_disconnected()) &&
+           context_.ledger.may_still_send(context_.now(), *task.record->in_flight);
+}
+
+void AttemptController::on_attempt_timeout(InFlightTask& task) {
+    if (!task.record->in_flight || task.running) return;
+    task.worker->abandon_attempt(task);
+    lifecycle_.end_attempt(task, AttemptOutcome::timed_out, OutcomeReason::unspecified, {}, false);
+}
+
+void AttemptController::on_attempt_accepted(InFlightTask& task, std::string_view description) {
+    const Nanos now = context_.now();
+    ledger::TaskRecord& record = *task.record;
+    if (!record.in_flight || !context_.ledger.on_accepted(now, *record.in_flight)) return;
+    task.attempt_timeout.disarm();
+    task.answer_deadline.disarm();
+    lifecycle_.start_running(task, *task.worker);
+    if (task.client) {
+        task.client->remove_open_request();
+        Message message;
+        message.type = MessageType::answer;
+        message.task = task.id;
+        message.description = description;
+        task.client->write(message);
+    }
+    task.description = std::string();
+    task.queue_group = std::string();
+    context_.planner().on_accepted(now, record.number, current_attempt(task));
+    context_.rounds.schedule();
+}
+
+void AttemptController::on_attempt_ended(InFlightTask& task, AttemptOutcome outcome, OutcomeReason reason,
+                                         const LoadReport& report) {
+    if (!task.record->in_flight) return;
+    // Its time may run out between the decision and the write, in the same round.
+    if (context_.rounds.in_round()) {
+        context_.rounds.defer([this, number = task.record->number, outcome, reason, report] {
+            InFlightTask* remaining = tasks_.find(number);
+            if (remaining && !remaining->connection) on_attempt_ended(*remaining, outcome, reason, report);
+        });
+        return;
+    }
+    // Answers can be late, or lost, while the task runs and comes to its end: the platform wants that end
+    // told to the client, who asks again. Started anew in silence, the task counted as lost.
+    const bool may_have_ended = outcome == AttemptOutcome::reset || outcome == AttemptOutcome::completed ||
+                                outcome == AttemptOutcome::cancelled;
+    const bool ran_unanswered = task.reported_running && may_have_ended;
+    if (ran_unanswered) {
+        const planner::TaskNumber number = task.record->number;
+        lifecycle_.send_answer(task, ledger::Answer::failed, 0);
+        context_.planner().cancel(context_.now(), number);
+    }
+    lifecycle_.end_attempt(task, outcome, reason, report, ran_unanswered);
+}
+
+void AttemptController::on_task_ended(InFlightTask& task, AttemptOutcome outcome, OutcomeReason reason,
+                                      platform_codec::Cause cause, const LoadReport& report) {
+    task.worker->remove_running(task, false);
+    if (cause != platform_codec::Cause::cancelled) lifecycle_.notify_task_ended(task, cause);
+    lifecycle_.end_attempt(task, outcome, reason, report, true);
+}
+
+void AttemptController::on_task_metric(InFlightTask& task, std::string_view metric, double value) {
+    const Nanos now = context_.now();
+    planner::Planner& planner = context_.planner();
+    const planner::TaskNumber number = task.record->number;
+    const int attempt = current_attempt(task);
+    task.reported_running = true;
+    if (metric == "runs") {
+        if (task.record->in_flight && context_.ledger.on_running(now, *task.record->in_flight))
+            planner.on_running(now, number, attempt);
+    } else if (metric == "cores") planner.on_cores_used(now, number, attempt, value);
+    else if (metric == "memory") planner.on_memory_used(now, number, attempt, value);
+    else if (metric == "served") planner.on_service_share(now, number, attempt, value);
+    else if (metric == "pressure") planner.on_worker_memory(now, number, attempt, value);
+    context_.rounds.schedule();
+}
+
+void AttemptController::on_load_report(PooledWorker& worker, const LoadReport& report) {
+    context_.planner().on_load_report(context_.now(), worker.number(), report);
+    context_.rounds.schedule();
+}
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/attempt_controller.h
@@ -0,0 +1,43 @@
+// Attempts and running tasks: carries out what the planner decides about them, and tells it what became of
+// them.
+#pragma once
+#include "platform/endpoint_list.h"
+#include "platform/task_lifecycle.h"
+#include "platform/task_recovery.h"
+#include "platform/worker_handler.h"
+
+namespace whinpost::platform {
+
+class AttemptController final : public WorkerHandler, public AttemptTimeoutHandler, public TaskAdopter {
+public:
+    AttemptController(const ServerContext&, TaskTable&, TaskLifecycle&, const EndpointList&, WorkerPool&);
+
+    // The planner's decisions, called from within its round; without effect where the task is gone.
+    void place(planner::TaskNumber, planner::WorkerNumber, Nanos timeout);
+    void migrate(planner::TaskNumber);
+    void cancel_attempt(planner::TaskNumber);
+
+    // The client no longer wants its running task.
+    void cancel_running(InFlightTask&);
+    bool adopt(const RunningTaskReport&, ClientConnection*) override;
+
+    bool may_send(InFlightTask&) override;
+    void on_attempt_accepted(InFlightTask&, std::string_view description) override;
+    void on_attempt_ended(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&) override;
+    void on_task_ended(InFlightTask&, AttemptOutcome, OutcomeReason, platform_codec::Cause cause,
+                       const LoadReport&) override;
+    void on_task_metric(InFlightTask&, std::string_view metric, double value) override;
+    void on_load_report(PooledWorker&, const LoadReport&) override;
+    void on_attempt_timeout(InFlightTask&) override;
+
+private:
+    void defer_not_sent(planner::TaskNumber);
+
+    const ServerContext& context_;
+    TaskTable& tasks_;
+    TaskLifecycle& lifecycle_;
+    const EndpointList& endpoints_;
+    WorkerPool& pool_;
+};
+
+}  // namespace whinpost::platform
--- a/src/platform/bootstrap_config.cpp
+++ b/src/platform/bootstrap_config.cpp
@@ -11,78 +11,126 @@
 
 using Json = nlohmann::json;
 
-std::string plain(const Json& v) {
-    if (v.is_string()) return v.get<std::string>();
-    if (v.is_null()) return "-";
-    return v.dump();
+constexpr const char* kNotHex = "is not text of hex digits";
+constexpr std::int64_t kMinSockets = 32, kMaxSockets = 10'000'000;
+
+std::string plain_text(const Json& value) {
+    if (value.is_string()) return value.get<std::string>();
+    if (value.is_null()) return "-";
+    return value.dump();
 }
 
 // Nested JSON to the paths of the simulator's first message.
-void flatten(const Json& v, const std::string& path, settings::Settings& out) {
-    const std::string under = path.empty() ? path : path + ".";
-    if (v.is_object()) {
-        for (const auto& [key, value] : v.items()) flatten(value, under + key, out);
-    } else if (v.is_array() && !v.empty() && v[0].is_object()) {
-        out.put(under + "count", std::to_string(v.size()));
-        for (std::size_t i = 0; i < v.size(); ++i) flatten(v[i], under + std::to_string(i), out);
-    } else if (v.is_array()) {
-        std::string all;
-        for (const Json& each : v) all += (all.empty() ? "" : ",") + plain(each);
-        out.put(path, all);
-    } else out.put(path, plain(v));
+void flatten(const Json& value, const std::string& path, settings::Settings& settings) {
+    const std::string prefix = path.empty() ? path : path + ".";
+    if (value.is_object()) {
+        for (const auto& [key, member] : value.items()) flatten(member, prefix + key, settings);
+    } else if (value.is_array() && !value.empty() && value[0].is_object()) {
+        settings.put(prefix + "count", std::to_string(value.size()));
+        for (std::size_t i = 0; i < value.size(); ++i)
+            flatten(value[i], prefix + std::to_string(i), settings);
+    } else if (value.is_array()) {
+        std::string list;
+        for (const Json& element : value) list += (list.empty() ? "" : ",") + plain_text(element);
+        settings.put(path, list);
+    } else settings.put(path, plain_text(value));
 }
 
-[[noreturn]] void wrong(const std::string& path, std::string_view key, std::string_view what) {
-    throw BootstrapError(path + ": " + std::string(key) + " " + std::string(what));
-}
-std::string address(const Json& at, const char* key, const std::string& path) {
-    const auto it = at.find(key);
-    if (it == at.end() || !it->is_string() || it->get<std::string>().find(':') == std::string::npos)
-        wrong(path, key, "is not an address and a port");
-    return it->get<std::string>();
+// The members of one JSON object; errors name the file and the member's full path.
+class ObjectReader {
+public:
+    ObjectReader(const Json& object, std::string file, std::string prefix = "")
+        : object_(object), file_(std::move(file)), prefix_(std::move(prefix)) {}
+
+    bool has_object(const char* key) const {
+        const Json* value = find(key);
+        return value && value->is_object();
+    }
+    const Json& object(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_object()) fail(key, "is missing");
+        return *value;
+    }
+    const Json& list(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_array()) fail(key, "is not a list");
+        return *value;
+    }
+    std::string address(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_string() || value->get<std::string>().find(':') == std::string::npos)
+            fail(key, "is not an address and a port");
+        return value->get<std::string>();
+    }
+    std::uint64_t hex_number(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_string()) fail(key, kNotHex);
+        const auto digits = value->get<std::string>();
+        std::uint64_t number = 0;
+        const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), number, 16);
+        if (error != std::errc{} || end != digits.data() + digits.size()) fail(key, kNotHex);
+        return number;
+    }
+    std::int64_t whole_number(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_number_integer()) fail(key, "is not a whole number");
+        return value->get<std::int64_t>();
+    }
+    std::size_t socket_count(const char* key) const {
+        const Json* value = find(key);
+        if (!value || !value->is_number_integer() || value->get<std::int64_t>() < kMinSockets ||
+            value->get<std::int64_t>() > kMaxSockets)
+            fail(key, "is not a whole number from 32 on");
+        return value->get<std::size_t>();
+    }
+
+private:
+    const Json* find(const char* key) const {
+        const auto it = object_.find(key);
+        return it == object_.end() ? nullptr : &*it;
+    }
+    [[noreturn]] void fail(const char* key, const char* problem) const {
+        throw BootstrapError(file_, prefix_ + key, problem);
+    }
+
+    const Json& object_;
+    const std::string file_, prefix_;
+};
+
+std::string error_text(const std::string& source, const std::string& key, const std::string& problem) {
+    return source + ": " + (key.empty() ? "" : key + " ") + problem;
 }
 
 }  // namespace
 
+BootstrapError::BootstrapError(std::string in_source, std::string at_key, std::string what_problem)
+    : std::runtime_error(error_text(in_source, at_key, what_problem)), source(std::move(in_source)),
+      key(std::move(at_key)), problem(std::move(what_problem)) {}
+
 BootstrapConfig BootstrapConfig::read(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
     std::string text((std::istreambuf_iterator<char>(in)), std::istreambuf_iterator<char>());
-    if (!in || text.empty()) throw BootstrapError(path + ": can't be read");
+    if (!in || text.empty()) throw BootstrapError(path, "", "can't be read");
     return parse(text, path);
 }
 
 BootstrapConfig BootstrapConfig::parse(std::string_view text, const std::string& path) {
     const Json root = Json::parse(text.begin(), text.end(), nullptr, false);
-    if (root.is_discarded() || !root.is_object()) throw BootstrapError(path + ": not a JSON object");
-    BootstrapConfig b(path);
-    b.listen_ = address(root, "listen", path);
-    b.bus_ = address(root, "bus", path);
-    const auto seed = root.find("seed");
-    if (seed == root.end() || !seed->is_string()) wrong(path, "seed", "is not text of hex digits");
-    const auto digits = seed->get<std::string>();
-    const auto [end, error] = std::from_chars(digits.data(), digits.data() + digits.size(), b.seed_, 16);
-    if (error != std::errc{} || end != digits.data() + digits.size())
-        wrong(path, "seed", "is not text of hex digits");
-    const auto limits = root.find("limits");
-    if (limits == root.end() || !limits->is_object()) wrong(path, "limits", "is missing");
-    const auto sockets = limits->find("sockets");
-    if (sockets == limits->end() || !sockets->is_number_integer() || sockets->get<std::int64_t>() < 32 ||
-        sockets->get<std::int64_t>() > 10'000'000)
-        wrong(path, "limits.sockets", "is not a whole number from 32 on");
-    b.sockets_ = sockets->get<std::size_t>();
-    if (const auto known = root.find("known"); known != root.end() && known->is_object()) {
-        const auto offset = known->find("offset");
-        if (offset == known->end() || !offset->is_number_integer())
-            wrong(path, "known.offset", "is not a whole number");
-        b.offset_ = offset->get<std::int64_t>();
-        const auto batch = known->find("batch");
-        if (batch == known->end() || !batch->is_array()) wrong(path, "known.batch", "is not a list");
-        for (const Json& e : *batch) b.known_.push_back(e.is_string() ? e.get<std::string>() : e.dump());
+    if (root.is_discarded() || !root.is_object()) throw BootstrapError(path, "", "not a JSON object");
+    const ObjectReader file(root, path);
+    BootstrapConfig config(path);
+    config.listen_ = file.address("listen");
+    config.bus_ = file.address("bus");
+    config.seed_ = file.hex_number("seed");
+    config.sockets_ = ObjectReader(file.object("limits"), path, "limits.").socket_count("sockets");
+    if (file.has_object("known")) {
+        const ObjectReader known(file.object("known"), path, "known.");
+        config.offset_ = known.whole_number("offset");
+        for (const Json& event : known.list("batch"))
+            config.known_.push_back(event.is_string() ? event.get<std::string>() : event.dump());
     }
-    const auto settings = root.find("settings");
-    if (settings == root.end() || !settings->is_object()) wrong(path, "settings", "is missing");
-    flatten(*settings, "", b.settings_);
-    return b;
+    flatten(file.object("settings"), "", config.settings_);
+    return config;
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/bootstrap_config.h
+++ b/src/platform/bootstrap_config.h
@@ -1,29 +1,37 @@
-// What the platform tells a placer at its start: variables and one JSON file, read and checked whole.
+// What the platform tells a placer at its start: one JSON file, read and checked whole.
 #pragma once
 #include <cstdint>
+#include <stdexcept>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "settings/settings.h"
 
 namespace whinpost::platform {
 
+// The exception with which the start ends. The text is `SOURCE: KEY PROBLEM`, without the key where the
+// source as a whole is wrong.
 struct BootstrapError : std::runtime_error {
-    using std::runtime_error::runtime_error;
+    // `source`: a file or an environment variable.
+    BootstrapError(std::string source, std::string key, std::string problem);
+    std::string source, key, problem;
 };
 
-// The file as read; each getter checks its own key and throws Wrong or terms::Wrong, which name file and key.
 class BootstrapConfig {
 public:
+    // Both throw BootstrapError.
     static BootstrapConfig read(const std::string& path);
     static BootstrapConfig parse(std::string_view text, const std::string& path);
 
     const std::string& listen() const { return listen_; }
     std::uint64_t seed() const { return seed_; }
-    std::size_t sockets() const { return sockets_; }
-    const std::string& bus() const { return bus_; }
+    std::size_t sockets() const { return sockets_; }  // file descriptors for clients and workers
+    const std::string& bus() const { return bus_; }   // the address of discovery
+    // The number of the last initial event.
     std::int64_t offset() const { return offset_; }
-    const std::vector<std::string>& known() const { return known_; }  // events, each as JSON
+    const std::vector<std::string>& known() const { return known_; }  // initial events, each as JSON
+    // Not checked here: its getters throw settings::SettingsError, which names the file and the key.
     const settings::Settings& settings() const { return settings_; }
 
 private:
--- /dev/null
+++ b/src/platform/client_connection.cpp
@@ -0,0 +1,200 @@
+#include "platform/client_connection.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "platform/client_server.h"
+
+namespace whinpost::platform {
+
+using platform_codec::Message;
+using platform_codec::MessageType;
+
+namespace {
+
+// Misbehaving clients are owed an end within 3 s of connecting; one that has sent nothing that wants an
+// answer by then is closed. A good client that meets this crosses a close, and connects again.
+constexpr Nanos kFirstMessageTimeout = 2 * kSecond;
+// A request may come in pieces; its end is owed an answer once its last byte is written.
+constexpr Nanos kPartialMessageTimeout = 2500 * kMillisecond;
+// Of answers that a client does not read; some hundred of them.
+constexpr std::size_t kMaxUnsent = 64 << 10;
+// Bytes that lie unread may hold a client's last message once the loop has been away for so long. Half of the
+// 0.1 s after which an attempt for a client that has gone is too late.
+constexpr Nanos kLoopAway = 50 * kMillisecond;
+// Of one connection; each is acknowledged within a round trip.
+constexpr std::size_t kMaxUnacknowledged = 64;
+
+std::string without_port(const std::string& address) { return address.substr(0, address.rfind(':')); }
+
+}  // namespace
+
+ClientConnection::ClientConnection(ClientServer& server, std::unique_ptr<net::Stream> stream,
+                                   Admission admission)
+    : server_(server), stream_(std::move(stream)), client_address_(without_port(stream_->peer())),
+      admission_(admission), state_(is_rejected() ? State::ending : State::open),
+      connected_at_(server.loop_.now()), last_used_(connected_at_),
+      unseen_since_at_accept_(server.loop_.unseen_since()) {
+    if (is_rejected()) ++server_.rejected_count_;
+}
+ClientConnection::~ClientConnection() {
+    if (is_rejected()) --server_.rejected_count_;
+}
+
+// Guards against a close that crosses the release: a client that acknowledges releases, and has not
+// acknowledged this one before its connection went, has not received it.
+void ClientConnection::send_task_ended(std::uint64_t id, platform_codec::Cause cause) {
+    if (unacknowledged_releases_.size() >= kMaxUnacknowledged)
+        unacknowledged_releases_.erase(unacknowledged_releases_.begin());
+    unacknowledged_releases_.push_back({id, cause, server_.loop_.now()});
+    send_release(id, cause);
+}
+
+void ClientConnection::write(const Message& message) {
+    if (state_ == State::ended) return;
+    std::string bytes;
+    platform_codec::encode(bytes, message);
+    stream_->write(bytes);
+    was_written_to_ = true;
+    last_used_ = server_.loop_.now();
+    if (stream_->unsent() <= kMaxUnsent) return;
+    // It does not read. It is ended after the next round, not here: answers are given from within a round of
+    // the planner, and what else is owed on this connection is to be told to the planner, which may be called
+    // between its rounds only.
+    if (std::exchange(stalled_, true)) return;
+    stream_->set_reading(false);
+    server_.handler_.on_client_stalled();
+}
+
+void ClientConnection::send_release(std::uint64_t id, platform_codec::Cause cause, Nanos retry_after) {
+    Message message;
+    message.type = MessageType::release;
+    message.task = id;
+    message.cause = cause;
+    const std::string retry_after_ms = std::to_string(retry_after / kMillisecond);
+    if (retry_after > 0) message.retry_after_ms = retry_after_ms;
+    write(message);
+}
+
+// Guards against attempts that begin after their client has closed or cancelled: its word of that may lie
+// behind more bytes than one read takes, or have come while the loop was busy.
+bool ClientConnection::may_have_disconnected() const {
+    if (backlog_since_ || stream_->peer_closed()) return true;
+    return server_.loop_.now() - server_.loop_.polled_at() > kLoopAway && stream_->has_unread();
+}
+
+// Guards against a close over bytes of the peer that were not read yet: the kernel would reset the
+// connection, and what was just answered would never arrive. So it is half-closed, and read on until the peer
+// closes.
+void ClientConnection::end() {
+    if (state_ == State::ended) return;
+    if (reading_) {
+        state_ = State::ending;
+        return;
+    }
+    server_.handler_.on_client_ending(*this);
+    state_ = State::ended;
+    ended_at_ = server_.loop_.now();
+    stream_->shutdown_write();
+    server_.move_to_ended(*this);
+}
+
+// All whole messages that were read are handled, also after one that ends the connection: a request that was
+// read is answered, and be it by a rejection.
+std::size_t ClientConnection::on_received(std::string_view in) {
+    if (state_ == State::ended) return in.size();
+    Nanos since = server_.loop_.unseen_since();
+    if (!has_sent_ && since <= connected_at_) since = std::min(since, unseen_since_at_accept_);
+    if (backlog_since_) since = std::min(since, backlog_since_);
+    reading_ = true;
+    const auto decoded = platform_codec::decode_all(in, [this, since](const Message& message) {
+        on_message(message, since);
+        return true;
+    });
+    reading_ = false;
+    const bool malformed = decoded.error.has_value();
+    if (malformed) {
+        server_.log_(log::Level::debug, "client_message_malformed", {{"client", client_address_}});
+        stream_->set_reading(false);  // there may be no end of it
+        if (state_ == State::open) state_ = State::ending;
+    }
+    backlog_since_ = in.size() >= net::kMaxReadSize && stream_->has_unread() ? since : 0;
+    if (decoded.consumed == in.size()) partial_since_ = 0;
+    else if (!partial_since_) partial_since_ = server_.loop_.now();
+    if (state_ == State::ending && (malformed || has_sent_)) end();
+    return state_ == State::ended ? in.size() : decoded.consumed;
+}
+
+void ClientConnection::log_message(const Message& message) const {
+    if (!server_.log_.enabled(log::Level::debug)) return;
+    server_.log_(log::Level::debug, "client_message",
+                 {{"client", stream_->peer()},
+                  {"type", static_cast<int>(message.type)},
+                  {"task", message.task},
+                  {"cause", message.cause ? static_cast<int>(*message.cause) : -1},
+                  {"queue_group", message.queue_group.value_or("-")},
+                  {"time_left_ms", message.time_left_ms.value_or("-")},
+                  {"name", message.task_name.value_or("-")},
+                  {"requirements", message.requirements.value_or("-")},
+                  {"description", message.description ? static_cast<int>(message.description->size()) : -1}});
+}
+
+void ClientConnection::on_message(const Message& message, Nanos since) {
+    last_used_ = server_.loop_.now();
+    if (!std::exchange(has_sent_, true)) server_.handler_.on_client_identified(*this);
+    log_message(message);
+    switch (message.type) {
+        case MessageType::place_task:
+            if (state_ != State::open || stalled_)
+                send_release(message.task, platform_codec::Cause::try_later);
+            else server_.handler_.on_place_task(*this, message, since);
+            return;
+        case MessageType::release:
+            return server_.handler_.on_release(*this, message.task);
+        case MessageType::health_check:
+            return reply_to_health_check(message);
+        case MessageType::release_ack:
+            server_.clients_acknowledge_ = true;
+            std::erase_if(unacknowledged_releases_, [&message](const UnacknowledgedRelease& release) {
+                return release.id == message.task;
+            });
+            return;
+        case MessageType::progress:
+            return;
+        case MessageType::answer:
+        case MessageType::note:
+        case MessageType::migrate:
+        case MessageType::health_check_reply:
+            end();  // no client has any business with what workers say
+    }
+}
+
+void ClientConnection::reply_to_health_check(const Message& check) {
+    Message reply;
+    reply.type = MessageType::health_check_reply;
+    reply.task = check.task;
+    reply.cause = server_.handler_.is_healthy() ? platform_codec::Cause::check_passed
+                                                : platform_codec::Cause::check_failed;
+    write(reply);
+    server_.handler_.on_health_check();
+}
+
+// A client that closes its side may still read, so what it is owed is answered. One that has closed both
+// never sees that.
+void ClientConnection::on_closed(net::CloseReason reason) {
+    peer_closed_ = true;
+    if (reason == net::CloseReason::by_peer && state_ != State::ended) return end();
+    stream_->abort();  // its descriptor is free from now on
+    if (std::exchange(state_, State::ended) == State::ended) return;
+    server_.move_to_ended(*this);
+}
+
+// Messages that call for no answer count for nothing: a release of a task that nobody knows, a task on a
+// worker that no list names.
+Nanos ClientConnection::overdue(Nanos now) const {
+    const bool useless = !was_written_to_ && !open_requests_ && !running_tasks_;
+    return std::max(useless ? now - connected_at_ - kFirstMessageTimeout : 0,
+                    partial_since_ ? now - partial_since_ - kPartialMessageTimeout : 0);
+}
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/client_connection.h
@@ -0,0 +1,89 @@
+// One connection of a client, or of the health checker in front of the placer.
+#pragma once
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "net/stream.h"
+#include "platform_codec/message.h"
+
+namespace whinpost::platform {
+
+class ClientServer;
+
+class ClientConnection final : public net::StreamHandler {
+public:
+    enum class Admission {
+        accepted,
+        rejected  // there is no room: it is accepted only to hear that its first request is rejected
+    };
+    struct UnacknowledgedRelease {
+        std::uint64_t id;
+        platform_codec::Cause cause;
+        Nanos since;
+    };
+
+    ClientConnection(ClientServer&, std::unique_ptr<net::Stream>, Admission);
+    ~ClientConnection() override;
+    ClientConnection(const ClientConnection&) = delete;
+    ClientConnection& operator=(const ClientConnection&) = delete;
+
+    void write(const platform_codec::Message&);
+    // The final answer to a request that is not placed, or the end of a running task. `retry_after` of 0 is
+    // left out.
+    void send_release(std::uint64_t id, platform_codec::Cause cause, Nanos retry_after = 0);
+    // The end of a running task; kept until the client acknowledges it.
+    void send_task_ended(std::uint64_t id, platform_codec::Cause cause);
+    // Ends of tasks that may not have reached the client: to be asked for once it has left.
+    const std::vector<UnacknowledgedRelease>& unacknowledged_releases() const {
+        return unacknowledged_releases_;
+    }
+    // What is owed on it is answered first, by the handler; then it is half-closed, and what was written
+    // still leaves. From within on_received() this waits until all that was read is answered.
+    void end();
+    // Whether the client may have closed it, or cancelled its request, with the word of that still unread.
+    bool may_have_disconnected() const;
+    // What the connection is of use for: evicted first are those that are of none.
+    void add_open_request() { ++open_requests_; }
+    void remove_open_request() { --open_requests_; }
+    void add_running_task() { ++running_tasks_; }
+    void remove_running_task() { --running_tasks_; }
+    const std::string& client_address() const { return client_address_; }  // without the port
+
+private:
+    friend class ClientServer;
+    enum class State {
+        open,
+        ending,  // accepts no more requests, and ends once what was read is answered
+        ended    // what is owed on it is answered, and it is half-closed
+    };
+    std::size_t on_received(std::string_view) override;
+    void on_closed(net::CloseReason) override;
+    void on_message(const platform_codec::Message&, Nanos since);
+    void reply_to_health_check(const platform_codec::Message&);
+    void log_message(const platform_codec::Message&) const;
+    bool is_rejected() const { return admission_ == Admission::rejected; }
+    // How long ago it should have sent a whole request that wants an answer; 0 or less: it is not late.
+    Nanos overdue(Nanos now) const;
+
+    ClientServer& server_;
+    std::unique_ptr<net::Stream> stream_;
+    std::string client_address_;
+    const Admission admission_;
+    State state_;
+    Nanos connected_at_, last_used_;
+    Nanos partial_since_ = 0;  // a message has been partial since then; 0: none is
+    const Nanos unseen_since_at_accept_;
+    Nanos backlog_since_ = 0;      // more lies unread than one read takes, since then; 0: nothing does
+    bool has_sent_ = false;        // a whole message
+    bool was_written_to_ = false;  // anything, ever
+    bool stalled_ = false;         // it does not read what is written to it
+    bool reading_ = false;         // within on_received()
+    bool peer_closed_ = false;
+    Nanos ended_at_ = 0;
+    std::vector<UnacknowledgedRelease> unacknowledged_releases_;
+    int open_requests_ = 0;  // that wait for their answer
+    int running_tasks_ = 0;  // whose end is to be sent on it
+};
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/client_requests.h
@@ -0,0 +1,49 @@
+// What clients ask for: requests to place tasks, reports of running ones, releases and health checks.
+#pragma once
+#include "platform/attempt_controller.h"
+#include "platform/client_server.h"
+#include "platform/connection_allocator.h"
+#include "platform/drain_controller.h"
+#include "platform/placement_request.h"
+#include "platform/task_answerer.h"
+#include "platform/task_recovery.h"
+
+namespace whinpost::platform {
+
+class ClientRequests final : public ClientHandler {
+public:
+    // The parts of the server that requests are handed on to; all outlive the requests.
+    struct Parts {
+        const ServerContext& context;
+        ClientServer& clients;
+        TaskTable& tasks;
+        TaskAnswerer& answerer;
+        AttemptController& attempts;
+        TaskRecovery& recovery;
+        PendingReleases& pending_releases;
+        ConnectionAllocator& allocator;
+        const DrainController& drain;
+    };
+    ClientRequests(const Parts& parts, PlacementRequestRules rules)
+        : parts_(parts), rules_(std::move(rules)) {}
+
+    void on_place_task(ClientConnection&, const platform_codec::Message&, Nanos since) override;
+    void on_release(ClientConnection&, std::uint64_t task) override;
+    bool is_healthy() const override { return !parts_.drain.is_draining(); }
+    void on_health_check() override;
+    bool make_room_for_client() override { return parts_.allocator.make_room_for_client(); }
+    void on_client_identified(ClientConnection&) override;
+    void on_client_ending(ClientConnection&) override;
+    void on_client_left(ClientConnection&) override;
+    void on_client_stalled() override;
+
+private:
+    void submit(ClientConnection&, const platform_codec::Message&, PlacementRequest, Nanos since);
+    void keep_unacknowledged_releases(ClientConnection& left);
+
+    const Parts parts_;
+    const PlacementRequestRules rules_;
+    bool was_health_checked_ = false;
+};
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/connection_allocator.h
@@ -0,0 +1,41 @@
+// Divides the process's file descriptors among clients and workers.
+#pragma once
+#include "net/stream.h"
+#include "platform/client_server.h"
+#include "platform/connection_budget.h"
+#include "platform/descriptor_queue.h"
+#include "platform/worker_pool.h"
+
+namespace whinpost::platform {
+
+// Where the budget has no descriptor left, connections to workers that are of no use now are closed for
+// others; workers that still find none wait in a queue and are served in turn.
+class ConnectionAllocator final : public ConnectionReserver {
+public:
+    ConnectionAllocator(const net::EventLoop&, ConnectionBudget, const ClientServer&, WorkerPool&);
+
+    bool reserve_connection(PooledWorker&) override;
+    void on_connection_ended() override { --worker_connections_; }
+    // Whether there is a descriptor for one more client.
+    bool make_room_for_client();
+    // Gives the workers that wait for a descriptor their turn; to be called from time to time.
+    void serve_queue(Nanos now);
+    // Of clients and workers.
+    std::size_t connections() const { return clients_.size() + worker_connections_; }
+
+private:
+    enum class Wanted { closable, replaceable };
+    bool worker_fits() const { return budget_.worker_fits(clients_.size(), worker_connections_); }
+    bool close_least_useful();
+    WorkerConnection* oldest_past_its_turn(Nanos now, Wanted) const;
+    void retire_for_waiting(Nanos now);
+
+    const net::EventLoop& loop_;
+    const ConnectionBudget budget_;
+    const ClientServer& clients_;
+    WorkerPool& pool_;
+    DescriptorQueue queue_;
+    std::size_t worker_connections_ = 0;
+};
+
+}  // namespace whinpost::platform
--- a/src/platform/discovery_watch.h
+++ b/src/platform/discovery_watch.h
@@ -1,4 +1,4 @@
-// The event bus's side: keeps one connection to it, asks again with the last number.
+// The watch on discovery: keeps one connection to it, and watches again from the last event after a break.
 #pragma once
 #include <memory>
 #include <random>
@@ -14,6 +14,7 @@
 class DiscoveryHandler {
 public:
     virtual ~DiscoveryHandler() = default;
+    // Each event once, in the order of their numbers.
     virtual void on_watch_event(const discovery::WatchEvent&) = 0;
 };
 
@@ -21,10 +22,11 @@
 public:
     DiscoveryWatch(net::EventLoop&, const log::Logger&, DiscoveryHandler&, std::vector<std::string> zones,
                    std::vector<std::string> kinds, std::uint64_t seed);
-    // Events of the start, each as JSON text; then follow() goes on after `last`.
-    void apply_initial_event(std::string_view event);
-    void follow(std::string address, std::int64_t last);
-    void move_to(std::string address);  // the numbers go on
+    // An event of the configuration, as JSON text; follow() then goes on after `last_sequence`.
+    void apply_initial_event(std::string_view json) { on_event(json); }
+    void follow(std::string address, std::int64_t last_sequence);
+    // Discovery has another address; its events' numbers go on.
+    void move_to(std::string address);
     std::int64_t last_sequence() const { return last_sequence_; }
 
 private:
@@ -32,7 +34,8 @@
     std::size_t on_received(std::string_view) override;
     void on_closed(net::CloseReason) override;
     void connect();
-    void retry_later(std::string_view why);
+    void retry_later(std::string_view reason);
+    void on_timer();
     void on_event(std::string_view json);
 
     net::EventLoop& loop_;
@@ -44,9 +47,9 @@
     std::int64_t last_sequence_ = 0;
     std::unique_ptr<net::Stream> stream_;
     std::unique_ptr<discovery::EventStreamParser> parser_;
-    std::unique_ptr<net::Timer> timer_;
+    std::unique_ptr<net::Timer> timer_;  // while watching: of the silence; else of the next try
     bool watching_ = false;
-    Nanos last_line_at_ = 0;   // when the last whole line came
+    Nanos last_line_at_ = 0;   // when the last complete line came
     int failed_attempts_ = 0;  // in a row
 };
 
--- /dev/null
+++ b/src/platform/drain_controller.cpp
@@ -0,0 +1,46 @@
+#include "platform/drain_controller.h"
+
+#include <utility>
+
+namespace whinpost::platform {
+namespace {
+
+// After SIGTERM connections come for up to 0.4 s and requests for 0.2 s more; the kill comes 0.7 s after the
+// longest deadline.
+constexpr Nanos kStillAccepted = 680 * kMillisecond;
+// For clients to close their side after ours, once nothing is owed to them. The kill comes a whole queue
+// timeout after the last request that is accepted.
+constexpr Nanos kCloseTimeout = 400 * kMillisecond;
+
+}  // namespace
+
+void DrainController::start(Nanos now, std::function<void()> done) {
+    if (phase_ != Phase::serving) return;
+    phase_ = Phase::answering;
+    reject_from_ = now + kStillAccepted;
+    done_ = std::move(done);
+}
+
+void DrainController::sweep(Nanos now) {
+    switch (phase_) {
+        case Phase::serving:
+        case Phase::finished:
+            return;
+        case Phase::answering:
+            if (now < reject_from_ || target_.has_unanswered_tasks()) return;
+            phase_ = Phase::closing;
+            close_deadline_ = now + kCloseTimeout;
+            target_.stop_reading_workers();
+            return close(now);
+        case Phase::closing:
+            if (!target_.has_unanswered_tasks()) close(now);
+    }
+}
+
+void DrainController::close(Nanos now) {
+    if (!target_.close_clients(now, close_deadline_)) return;
+    phase_ = Phase::finished;
+    std::exchange(done_, nullptr)();
+}
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/endpoint_list.h
@@ -0,0 +1,41 @@
+// The endpoint list as the watch events of discovery have told it so far.
+#pragma once
+#include <map>
+#include <string>
+#include <string_view>
+
+#include "discovery/event_stream.h"
+#include "ledger/ledger.h"
+#include "planner/planner.h"
+#include "platform/worker_pool.h"
+
+namespace whinpost::platform {
+
+// Applies each change to the worker pool, the ledger and the planner, in this order.
+class EndpointList {
+public:
+    EndpointList(WorkerPool& pool, ledger::Ledger& ledger) : pool_(pool), ledger_(ledger) {}
+
+    struct Endpoint {
+        PooledWorker* worker = nullptr;  // null until its address is known
+        ledger::WorkerRecord* record = nullptr;
+        std::string address;
+        EndpointState state;
+        bool is_listed() const { return worker && state.phase != EndpointPhase::gone; }
+    };
+
+    void apply(Nanos now, const discovery::WatchEvent&, planner::Planner&);
+    // Null where no event has named the worker with its address.
+    const Endpoint* find(std::string_view worker_name) const;
+
+private:
+    void update(Nanos now, const discovery::EndpointUpdate&, planner::Planner&);
+    void remove_unnamed(Nanos now, const discovery::WatchEvent& snapshot);
+
+    WorkerPool& pool_;
+    ledger::Ledger& ledger_;
+    std::map<std::string, Endpoint, std::less<>> endpoints_;
+    std::size_t listed_ = 0;  // with a worker, and not gone
+};
+
+}  // namespace whinpost::platform
--- a/src/platform/in_flight_task.h
+++ b/src/platform/in_flight_task.h
@@ -1,4 +1,4 @@
-// One container of an owner, as the front holds it: what its launches need, and where its words go.
+// One task of a client while the server holds it: what its attempts need, and where its answer goes.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,36 +12,57 @@
 class ClientConnection;
 class PooledWorker;
 class WorkerConnection;
-class PlatformServer;
+struct InFlightTask;
+
+// Called when a task's client waits no longer, whether or not the planner has answered.
+class AnswerDeadlineHandler {
+public:
+    virtual ~AnswerDeadlineHandler() = default;
+    virtual void on_answer_deadline(InFlightTask&, Nanos now) = 0;
+};
+
+// Called when the attempt in flight has had its time without being accepted.
+class AttemptTimeoutHandler {
+public:
+    virtual ~AttemptTimeoutHandler() = default;
+    virtual void on_attempt_timeout(InFlightTask&) = 0;
+};
 
 struct InFlightTask {
-    explicit InFlightTask(PlatformServer& f) : deadline(f, *this), attempt_timeout(f, *this) {}
+    InFlightTask(AnswerDeadlineHandler& deadline_handler, AttemptTimeoutHandler& timeout_handler)
+        : answer_deadline(deadline_handler, *this), attempt_timeout(timeout_handler, *this) {}
+
+    class AnswerDeadline final : public timer_wheel::Timer {
+    public:
+        AnswerDeadline(AnswerDeadlineHandler& handler, InFlightTask& task) : handler_(handler), task_(task) {}
+        void on_deadline(Nanos now) override { handler_.on_answer_deadline(task_, now); }
 
-    struct Deadline final : timer_wheel::Timer {
-        Deadline(PlatformServer& f, InFlightTask& t) : front(f), task(t) {}
-        void on_deadline(Nanos now) override;
-        PlatformServer& front;
-        InFlightTask& task;
+    private:
+        AnswerDeadlineHandler& handler_;
+        InFlightTask& task_;
     };
-    struct AttemptTimeout final : timer_wheel::Timer {
-        AttemptTimeout(PlatformServer& f, InFlightTask& t) : front(f), task(t) {}
-        void on_deadline(Nanos now) override;
-        PlatformServer& front;
-        InFlightTask& task;
+    class AttemptTimeout final : public timer_wheel::Timer {
+    public:
+        AttemptTimeout(AttemptTimeoutHandler& handler, InFlightTask& task) : handler_(handler), task_(task) {}
+        void on_deadline(Nanos) override { handler_.on_attempt_timeout(task_); }
+
+    private:
+        AttemptTimeoutHandler& handler_;
+        InFlightTask& task_;
     };
 
-    std::uint64_t id = 0;  // the owner's; passes on unchanged
-    ledger::TaskRecord* record = nullptr;
-    ClientConnection* client = nullptr;  // its connection, while that is open
-    std::string peer;                    // the owner's address, by which another connection of its is known
-    std::string queue_group, name, key, description;  // of the set-up; let go once it stands
-    PooledWorker* worker = nullptr;                   // where a launch is out, or it stands
-    WorkerConnection* connection = nullptr;  // the launch left on this one; null before, and once it stands
+    std::uint64_t id = 0;                  // the client's; passed on to workers unchanged
+    ledger::TaskRecord* record = nullptr;  // owned by the ledger until the task is discarded
+    ClientConnection* client = nullptr;    // the connection it came on, while that is open
+    std::string client_address;            // by which another connection of the same client is found
+    std::string queue_group, name, key, description;  // of the request; description is freed once it runs
+    PooledWorker* worker = nullptr;                   // with an attempt in flight, or running the task
+    WorkerConnection* connection = nullptr;           // that the attempt in flight waits for or was sent on
     bool running = false;
-    bool counted_for_client = false;  // among what stands for its owner's connection
-    bool reported_running =
-        false;  // of the launch that is out: a note shows that it stands, though no answer has come
-    Deadline deadline;
+    bool counted_for_client = false;  // among the running tasks of its client's connection
+    // A note shows that the attempt in flight runs, though no answer has come.
+    bool reported_running = false;
+    AnswerDeadline answer_deadline;
     AttemptTimeout attempt_timeout;
 };
 
--- a/src/platform/placement_request.cpp
+++ b/src/platform/placement_request.cpp
@@ -4,82 +4,176 @@
 #include <charconv>
 #include <cmath>
 #include <cstdint>
+#include <optional>
 
 namespace whinpost::platform {
 namespace {
 
-// The longest wait that is taken at its word; owners wait for seconds.
-constexpr std::int64_t kLongestWaitMs = 3'600'000;
+using platform_codec::Message;
+using Kind = PlacementRequestError::Kind;
+using Check = std::optional<Kind>;  // nothing where it holds
 
-template <class T>
-bool number(std::string_view v, T& out) {
-    const auto [at, error] = std::from_chars(v.data(), v.data() + v.size(), out);
-    return error == std::errc{} && at == v.data() + v.size() && !v.empty();
+// The longest time that is taken at its word; clients wait for seconds.
+constexpr std::int64_t kMaxTimeLeftMs = 3'600'000;
+constexpr double kMaxRuntimeMs = 1e9;
+constexpr std::size_t kTaskNameDigits = 16, kIdempotencyKeyDigits = 32;
+
+template <class Number>
+bool parse_number(std::string_view text, Number& number) {
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
+    return error == std::errc{} && end == text.data() + text.size() && !text.empty();
+}
+
+bool parse_amount(std::string_view text, double& amount) {
+    return parse_number(text, amount) && std::isfinite(amount);
 }
-bool amount(std::string_view v, double& out) { return number(v, out) && std::isfinite(out); }
-bool hex(std::string_view v, std::size_t digits) {
-    return v.size() == digits && std::all_of(v.begin(), v.end(), [](char c) {
-               return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f');
+
+bool is_hex(std::string_view text, std::size_t digits) {
+    return text.size() == digits && std::all_of(text.begin(), text.end(), [](char digit) {
+               return (digit >= '0' && digit <= '9') || (digit >= 'a' && digit <= 'f');
            });
 }
 
-}  // namespace
+// A task that runs already waits for no answer.
+bool reports_running_task(const Message& message) {
+    return message.requirements && message.requirements->find("at:") != std::string_view::npos;
+}
+
+Check parse_queue_group(const Message& message, const PlacementRequestRules& rules,
+                        PlacementRequest& request) {
+    if (!message.queue_group) return Kind::no_queue_group;
+    const auto group = std::find(rules.group_names.begin(), rules.group_names.end(), *message.queue_group);
+    if (group == rules.group_names.end()) return Kind::unknown_queue_group;
+    request.resources.queue_group = static_cast<int>(group - rules.group_names.begin());
+    return std::nullopt;
+}
+
+Check parse_time_left(const Message& message, PlacementRequest& request) {
+    std::int64_t time_left_ms = 0;
+    if (!reports_running_task(message)) {
+        const bool parsed = message.time_left_ms && parse_number(*message.time_left_ms, time_left_ms);
+        if (!parsed || time_left_ms < 0 || time_left_ms > kMaxTimeLeftMs) return Kind::bad_time_left;
+    }
+    request.resources.time_left = time_left_ms * kMillisecond;
+    return std::nullopt;
+}
+
+Check parse_identity(const Message& message, const PlacementRequestRules& rules, PlacementRequest& request) {
+    if (!message.task_name || !is_hex(*message.task_name, kTaskNameDigits)) return Kind::bad_task_name;
+    request.task_name = *message.task_name;
+    const auto group = static_cast<std::size_t>(request.resources.queue_group);
+    const bool needs_key = rules.groups[group].effect == Effect::keyed &&
+                           (message.idempotency_key || !reports_running_task(message));
+    const bool has_key = message.idempotency_key && is_hex(*message.idempotency_key, kIdempotencyKeyDigits);
+    if (needs_key && !has_key) return Kind::bad_idempotency_key;
+    if (message.idempotency_key) request.idempotency_key = *message.idempotency_key;
+    return std::nullopt;
+}
 
-std::string_view parse_placement_request(const platform_codec::Message& m,
-                                         const std::vector<std::string>& group_names,
-                                         const std::vector<QueueGroup>& groups, WorkerKind largest,
-                                         PlacementRequest& out) {
-    out = {};
-    // No host can read a set-up without an id: it closes, and all else that is open on the connection is in
-    // doubt.
-    if (m.task == 0) return "no id";
-    if (!m.queue_group) return "no class";
-    const auto group = std::find(group_names.begin(), group_names.end(), *m.queue_group);
-    if (group == group_names.end()) return "no such class";
-    out.resources.queue_group = static_cast<int>(group - group_names.begin());
-    const bool held =
-        m.requirements && m.requirements->find("at:") != std::string_view::npos;  // it waits for no answer
-    std::int64_t wait = 0;
-    if (!held && (!m.time_left_ms || !number(*m.time_left_ms, wait) || wait < 0 || wait > kLongestWaitMs))
-        return "no good wait";
-    out.resources.time_left = wait * kMillisecond;
-    if (!m.task_name || !hex(*m.task_name, 16)) return "no good name of the task";
-    out.task_name = *m.task_name;
-    if (groups[static_cast<std::size_t>(out.resources.queue_group)].effect == Effect::keyed &&
-        !(held && !m.idempotency_key) && (!m.idempotency_key || !hex(*m.idempotency_key, 32)))
-        return "no good key";
-    if (m.idempotency_key) out.idempotency_key = *m.idempotency_key;
-    if (!held && (!m.description || m.description->empty())) return "no description";
-    if (!m.requirements) return "no figures";
+struct GivenAmounts {
     bool cores = false, memory = false;
-    for (std::string_view rest = *m.requirements; !rest.empty();) {
-        const std::size_t end = rest.find(';');
-        const std::string_view pair = rest.substr(0, end);
-        rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
+};
+
+// One `name:value` pair; names that say nothing here pass.
+Check parse_requirement(std::string_view name, std::string_view value, GivenAmounts& given,
+                        PlacementRequest& request) {
+    if (name == "cores") {
+        if (!parse_amount(value, request.resources.cores)) return Kind::bad_cores;
+        given.cores = true;
+    } else if (name == "memory") {
+        if (!parse_amount(value, request.resources.memory)) return Kind::bad_memory;
+        given.memory = true;
+    } else if (name == "again") request.resources.is_retry = value == "1";
+    else if (name == "service") request.service = value;
+    else if (name == "at") request.running_on = value;
+    else if (name == "hint" || name == "life") {
+        double runtime_ms = 0;
+        if (!parse_amount(value, runtime_ms) || runtime_ms < 0 || runtime_ms > kMaxRuntimeMs)
+            return Kind::bad_runtime;
+        request.resources.expected_runtime = static_cast<Nanos>(runtime_ms * 1e6);
+    }
+    return std::nullopt;
+}
+
+Check parse_requirements(std::string_view text, const WorkerKind& largest, PlacementRequest& request) {
+    GivenAmounts given;
+    while (!text.empty()) {
+        const std::size_t end = text.find(';');
+        const std::string_view pair = text.substr(0, end);
+        text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
         const std::size_t colon = pair.find(':');
-        if (colon == std::string_view::npos) return "figures that can't be read";
-        const std::string_view name = pair.substr(0, colon), v = pair.substr(colon + 1);
-        double life = 0;
-        if (name == "cores") {
-            if (!amount(v, out.resources.cores)) return "cores that are no number";
-            cores = true;
-        } else if (name == "memory") {
-            if (!amount(v, out.resources.memory)) return "memory that is no number";
-            memory = true;
-        } else if (name == "again") out.resources.is_retry = v == "1";
-        else if (name == "service") out.service = v;
-        else if (name == "at") out.running_on = v;
-        else if (name == "hint" || name == "life") {
-            if (!amount(v, life) || life < 0 || life > 1e9) return "a life that is no number";
-            out.resources.expected_runtime = static_cast<Nanos>(life * 1e6);
-        }
+        if (colon == std::string_view::npos) return Kind::bad_requirements;
+        if (const Check error =
+                parse_requirement(pair.substr(0, colon), pair.substr(colon + 1), given, request))
+            return error;
     }
-    if (!cores || !(out.resources.cores > 0) || out.resources.cores > largest.cores)
-        return "cores out of range";
-    if (!memory || !(out.resources.memory > 0) || out.resources.memory > largest.memory)
-        return "memory out of range";
-    if (out.service.empty()) return "no service";
-    return {};
+    const ResourceRequest& resources = request.resources;
+    if (!given.cores || !(resources.cores > 0) || resources.cores > largest.cores)
+        return Kind::cores_out_of_range;
+    if (!given.memory || !(resources.memory > 0) || resources.memory > largest.memory)
+        return Kind::memory_out_of_range;
+    return std::nullopt;
+}
+
+Check parse(const Message& message, const PlacementRequestRules& rules, PlacementRequest& request) {
+    // No worker can read a request without an id: it closes, and all else that is in flight on the connection
+    // is in doubt.
+    if (message.task == 0) return Kind::no_id;
+    if (const Check error = parse_queue_group(message, rules, request)) return error;
+    if (const Check error = parse_time_left(message, request)) return error;
+    if (const Check error = parse_identity(message, rules, request)) return error;
+    const bool described = message.description && !message.description->empty();
+    if (!described && !reports_running_task(message)) return Kind::no_description;
+    if (!message.requirements) return Kind::no_requirements;
+    if (const Check error = parse_requirements(*message.requirements, rules.largest, request)) return error;
+    if (request.service.empty()) return Kind::no_service;
+    return std::nullopt;
+}
+
+}  // namespace
+
+std::string_view to_string(Kind kind) {
+    switch (kind) {
+        case Kind::no_id:
+            return "no id";
+        case Kind::no_queue_group:
+            return "no class";
+        case Kind::unknown_queue_group:
+            return "no such class";
+        case Kind::bad_time_left:
+            return "no good wait";
+        case Kind::bad_task_name:
+            return "no good name of the task";
+        case Kind::bad_idempotency_key:
+            return "no good key";
+        case Kind::no_description:
+            return "no description";
+        case Kind::no_requirements:
+            return "no figures";
+        case Kind::bad_requirements:
+            return "figures that can't be read";
+        case Kind::bad_cores:
+            return "cores that are no number";
+        case Kind::bad_memory:
+            return "memory that is no number";
+        case Kind::bad_runtime:
+            return "a life that is no number";
+        case Kind::cores_out_of_range:
+            return "cores out of range";
+        case Kind::memory_out_of_range:
+            return "memory out of range";
+        case Kind::no_service:
+            return "no service";
+    }
+    return "";
+}
+
+tl::expected<PlacementRequest, PlacementRequestError> parse_placement_request(
+    const Message& message, const PlacementRequestRules& rules) {
+    PlacementRequest request;
+    if (const Check error = parse(message, rules, request))
+        return tl::make_unexpected(PlacementRequestError{*error});
+    return request;
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/placement_request.h
+++ b/src/platform/placement_request.h
@@ -1,7 +1,8 @@
-// What an owner's set-up asks for, read and checked whole. No I/O.
+// What a client's request asks for, read and checked whole. No I/O.
 #pragma once
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "platform_codec/message.h"
@@ -12,14 +13,39 @@
 struct PlacementRequest {
     ResourceRequest resources;
     std::string task_name, service, idempotency_key;
-    std::string running_on;  // the host that holds it already; empty: it is to be placed
+    std::string running_on;  // the worker that runs it already; empty: it is to be placed
 };
 
-// Empty where all holds, else what is wrong. `largest` is the size of the largest machine: no container can
-// ask for more.
-std::string_view parse_placement_request(const platform_codec::Message&,
-                                         const std::vector<std::string>& group_names,
-                                         const std::vector<QueueGroup>& groups, WorkerKind largest,
-                                         PlacementRequest& out);
+struct PlacementRequestError {
+    enum class Kind {
+        no_id,
+        no_queue_group,
+        unknown_queue_group,
+        bad_time_left,
+        bad_task_name,
+        bad_idempotency_key,
+        no_description,
+        no_requirements,
+        bad_requirements,
+        bad_cores,
+        bad_memory,
+        bad_runtime,
+        cores_out_of_range,
+        memory_out_of_range,
+        no_service,
+    };
+    Kind kind;
+};
+std::string_view to_string(PlacementRequestError::Kind);
+
+// What requests are checked against.
+struct PlacementRequestRules {
+    std::vector<std::string> group_names;  // by the index of their queue group
+    std::vector<QueueGroup> groups;
+    WorkerKind largest;  // the most cores and memory of any worker kind: no task can ask for more
+};
+
+[[nodiscard]] tl::expected<PlacementRequest, PlacementRequestError> parse_placement_request(
+    const platform_codec::Message&, const PlacementRequestRules&);
 
 }  // namespace whinpost::platform
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -1,163 +1,109 @@
-// The platform's front: owners, hosts and the event bus on one side, ledger and planner on the other. It
-// carries out what the planner decides, as far as the ledger allows it, and chooses nothing itself.
+// A placer's server on the platform's protocol: clients, workers and discovery on one side, ledger and
+// planner on the other. It carries out what the planner decides, as far as the ledger allows it, and chooses
+// nothing itself.
 #pragma once
-#include <deque>
 #include <functional>
-#include <map>
 #include <memory>
 #include <string>
-#include <unordered_map>
 #include <vector>
 
-#include "ledger/ledger.h"
-#include "log/logger.h"
-#include "net/stream.h"
-#include "planner/planner.h"
+#include "platform/attempt_controller.h"
+#include "platform/client_requests.h"
 #include "platform/client_server.h"
-#include "platform/connection_budget.h"
-#include "platform/descriptor_queue.h"
+#include "platform/connection_allocator.h"
 #include "platform/discovery_watch.h"
-#include "platform/in_flight_task.h"
-#include "platform/placement_request.h"
+#include "platform/drain_controller.h"
+#include "platform/endpoint_list.h"
+#include "platform/planner_rounds.h"
+#include "platform/server_context.h"
+#include "platform/task_answerer.h"
+#include "platform/task_lifecycle.h"
+#include "platform/task_recovery.h"
+#include "platform/task_table.h"
 #include "platform/worker_pool.h"
-#include "timer_wheel/timer_wheel.h"
 
 namespace whinpost::platform {
 
+struct PlatformServerOptions {
+    std::vector<std::string> group_names;  // by the index of their queue group
+    std::vector<WorkerKind> worker_kinds;
+    std::vector<std::string> worker_kind_names;  // by the index of their kind
+    std::vector<std::string> zone_names;
+    Nanos dial_timeout = 0;       // of a connection to a worker
+    Nanos idle_timeout = 0;       // after which workers close an idle connection
+    std::size_t descriptors = 0;  // that this process may hold
+    std::uint64_t seed = 0;
+};
+
+// Composes the parts, which share a ServerContext and call each other; it holds no state of its own but the
+// sweep's timer.
 class PlatformServer final : public planner::PlannerHandler,
-                             private WorkerHandler,
-                             private ClientHandler,
-                             private DiscoveryHandler {
+                             private DiscoveryHandler,
+                             private RoundHandler,
+                             private DrainTarget {
 public:
-    // `kinds`: machine sizes, in the order of their names. `descriptors`: how many this process may hold.
-    PlatformServer(net::EventLoop&, const log::Logger&, ledger::Ledger&, std::vector<std::string> group_names,
-                   std::vector<WorkerKind> kinds, std::vector<std::string> kind_names,
-                   std::vector<std::string> zone_names, Nanos dial_timeout, Nanos idle,
-                   std::size_t descriptors, std::uint64_t seed);
+    // Loop, log and ledger must outlive the server.
+    PlatformServer(net::EventLoop&, const log::Logger&, ledger::Ledger&, PlatformServerOptions);
     ~PlatformServer() override;
-    void set_planner(planner::Planner&);
+    // To be called first; the planner must outlive the server.
+    void set_planner(planner::Planner& planner) { rounds_.set_planner(planner); }
 
-    DiscoveryWatch& discovery_watch() { return bus_; }
-    std::string listen(const std::string& address) { return clients_.listen(address); }
-    // Takes what still comes for a while, answers all that is owed, then calls `done`.
-    void drain(std::function<void()> done);
+    DiscoveryWatch& discovery_watch() { return discovery_watch_; }
+    [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address) {
+        return clients_.listen(address);
+    }
+    // Accepts what still comes for a while, answers all that is owed, then calls `done`.
+    void drain(std::function<void()> done) { drain_.start(loop_.now(), std::move(done)); }
 
     // For tests and the log.
     std::size_t task_count() const { return tasks_.size(); }
-    std::size_t worker_count() const { return workers_.size(); }
-    std::size_t connection_count() const;
-    std::size_t pending_recovery_count() const { return pending_recoveries_.size(); }
+    std::size_t worker_count() const { return pool_.size(); }
+    std::size_t connection_count() const { return allocator_.connections(); }
+    std::size_t pending_recovery_count() const { return recovery_.size(); }
 
-    void place(planner::TaskNumber, planner::WorkerNumber, Nanos time_out) override;
-    void reject(planner::TaskNumber, Nanos stay_away) override;
+    void place(planner::TaskNumber, planner::WorkerNumber, Nanos timeout) override;
+    void reject(planner::TaskNumber, Nanos retry_after) override;
     void fail(planner::TaskNumber) override;
     void migrate(planner::TaskNumber) override;
-    void cancel_attempt(planner::TaskNumber, int launch) override;
+    void cancel_attempt(planner::TaskNumber, int attempt) override;
     void check_health(planner::WorkerNumber) override;
-    void watch_endpoints() override {}  // the event bus is followed from the start
+    void watch_endpoints() override {}  // discovery is watched from the start
     void fetch_endpoints() override {}
-    void wake_at(Nanos at) override;
+    void wake_at(Nanos at) override { rounds_.wake_at(at); }
     void log(std::string_view line) override;
 
 private:
-    friend struct InFlightTask;
-    bool may_send(InFlightTask&) override;
-    void on_attempt_accepted(InFlightTask&, std::string_view description) override;
-    void on_attempt_ended(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&) override;
-    void on_task_ended(InFlightTask&, AttemptOutcome, OutcomeReason, std::uint8_t cause,
-                       const LoadReport&) override;
-    void on_task_metric(InFlightTask&, std::string_view what, double figure) override;
-    void on_load_report(PooledWorker&, const LoadReport&) override;
-    bool reserve_connection(PooledWorker&) override;
-    void on_connection_ended() override { --host_connections_; }
-
-    void on_place_task(ClientConnection&, const platform_codec::Message&, Nanos since) override;
-    void on_release(ClientConnection&, std::uint64_t task) override;
-    bool is_healthy() override { return !closing_at_; }
-    bool make_room_for_client() override;
-    void on_health_check() override;
-    void on_client_identified(ClientConnection&) override;
-    void on_client_left(ClientConnection&) override;
-    void on_client_ending(ClientConnection&) override;
-    void on_client_stalled() override;
-
     void on_watch_event(const discovery::WatchEvent&) override;
-
-    struct WorkerEntry {  // one host of the list
-        std::unique_ptr<PooledWorker> host;
-        ledger::WorkerRecord* node = nullptr;
-        std::string address;
-        EndpointState listed;
-        bool there() const { return host && listed.phase != EndpointPhase::gone; }
-    };
-    struct PendingRecovery {  // taken over on a host that is not listed yet
-        std::uint64_t id;
-        PlacementRequest asked;
-        std::string peer;
-        Nanos since;
-    };
-    struct PendingRelease {  // a release that found no connection of its owner
-        std::uint64_t id;
-        std::uint8_t cause;
-        std::string peer;
-        Nanos since;
-    };
-
-    InFlightTask& create_task(std::uint64_t id, ledger::TaskRecord&, ClientConnection*,
-                              const std::string& peer);
-    void count_for_client(InFlightTask&);
-    InFlightTask* find(planner::TaskNumber);
-    bool adopt(std::uint64_t id, const PlacementRequest&, ClientConnection*, const std::string& peer);
-    std::vector<InFlightTask*> tasks_of(const ClientConnection&);      // in the order they were taken
-    void send_answer(InFlightTask&, ledger::Answer, Nanos stay_away);  // the final answer, and nothing else
-    void answer(InFlightTask&, ledger::Answer, Nanos stay_away);
-    void cancel_task(InFlightTask&);  // its owner waits no more
-    void end_attempt(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&, bool closed);
-    void notify_task_ended(InFlightTask&, std::uint8_t cause);
-    void discard(InFlightTask&);  // nothing more can come of it: dropped at the end of the pass
-    void on_answer_deadline(InFlightTask&, Nanos now);
-    void on_attempt_timeout(InFlightTask&, Nanos now);
-    void schedule_round();
-    void run_round();
+    void on_round_done() override;
+    bool has_unanswered_tasks() const override { return !tasks_.all_running(); }
+    void stop_reading_workers() override { pool_.stop_reading(); }
+    bool close_clients(Nanos now, Nanos deadline) override { return clients_.drain(now, deadline); }
     void sweep();
-    void wind_up(Nanos now);
-    bool close_least_useful();
-    void share_connections();
-    void serve_descriptor_queue(Nanos now);
-    WorkerConnection* oldest_past_its_turn(Nanos now, bool closable);
-    void run_timers();
-    void arm();
 
     net::EventLoop& loop_;
     const log::Logger& log_;
-    ledger::Ledger& ledger_;
-    const std::vector<std::string> group_names_, kind_names_, zone_names_;
-    const std::vector<WorkerKind> kinds_;
-    WorkerKind largest_;
-    const Nanos dial_timeout_, idle_;
-    const std::uint64_t seed_;
-    planner::Planner* planner_ = nullptr;
-    timer_wheel::TimerWheel wheel_;
-    const ConnectionBudget budget_;
-    DescriptorQueue descriptor_queue_;
-    std::size_t host_connections_ = 0;
+    // Declared in the order in which they are to be destroyed last: tasks before the timers they are armed
+    // in, connections before what they report to is of no use. References to later members are only kept
+    // here.
+    PlannerRounds rounds_;
+    DeadlineTimers timers_;
+    const ServerContext context_;
     ClientServer clients_;
-    DiscoveryWatch bus_;
-    std::map<std::string, WorkerEntry, std::less<>> endpoints_;
-    std::size_t hosts_there_ = 0;         // listed and not gone
-    std::size_t connections_to_one_ = 0;  // the most, as last told to all hosts
-    std::vector<PooledWorker*> workers_;  // by the planner's number
-    std::unordered_map<planner::TaskNumber, std::unique_ptr<InFlightTask>> tasks_;  // looked up, never walked
-    std::unordered_map<std::uint64_t, InFlightTask*> by_id_;                        // neither is this
-    std::unordered_map<std::string, InFlightTask*> running_by_name_;                // by the name of the task
-    std::vector<std::unique_ptr<InFlightTask>> dropped_;
-    std::deque<PendingRecovery> pending_recoveries_;
-    std::deque<PendingRelease> pending_releases_;
-    std::deque<std::function<void()>> deferred_calls_;  // told to the planner after its round, never within
-    std::unique_ptr<net::Timer> round_timer_, turn_timer_, look_timer_, wake_timer_;
-    bool round_armed_ = false, in_round_ = false, was_tested_ = false, begun_ = false;
-    Nanos last_round_ = 0, closing_at_ = 0, gone_by_ = 0;
-    std::function<void()> done_;
+    DiscoveryWatch discovery_watch_;
+    const ConnectionBudget budget_;
+    WorkerPool pool_;
+    EndpointList endpoints_;
+    ConnectionAllocator allocator_;
+    TaskTable tasks_;
+    PendingReleases pending_releases_;
+    TaskLifecycle lifecycle_;
+    TaskAnswerer answerer_;
+    AttemptController attempts_;
+    TaskRecovery recovery_;
+    DrainController drain_;
+    ClientRequests requests_;
+    std::unique_ptr<net::Timer> sweep_timer_;
+    bool planner_started_ = false;
 };
 
 }  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/pooled_worker.cpp
@@ -0,0 +1,272 @@
+#include "platform/pooled_worker.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace whinpost::platform {
+namespace {
+
+// Running tasks send notes every few seconds: so long without a message, and a new connection is tried, which
+// comes up if the worker is there.
+constexpr Nanos kSilent = 3500 * kMillisecond;
+// So long without a message and without a connection, and what ran there is over. PROTOCOL leaves 8 s. Less
+// than a network partition of some seconds would end tasks that run on behind it.
+constexpr Nanos kLost = 7500 * kMillisecond;
+constexpr Nanos kDialBackoff = 150 * kMillisecond, kMaxDialBackoff = kSecond;
+constexpr int kMaxDialBackoffShift = 4;
+// After a connection that was up: the worker is there, so the next dial need not wait for long.
+constexpr Nanos kRedialDelay = kDialBackoff / 3;
+// Dials refused in a row: no process listens there, and its tasks died with it.
+constexpr int kRefusedForGood = 3;
+// In which a worker that has left may still report its tasks' ends.
+constexpr Nanos kLastReports = 1500 * kMillisecond;
+// Ends of tasks that no client has reported yet: reports follow within a second of a start.
+constexpr Nanos kEndedKeptFor = 10 * kSecond;
+constexpr std::size_t kMaxEndedKept = 256;
+
+}  // namespace
+
+PooledWorker::PooledWorker(PooledWorkerOptions options, net::EventLoop& loop, const log::Logger& log,
+                           WorkerHandler& handler, ConnectionReserver& reserver)
+    : name_(std::move(options.name)), number_(options.number), loop_(loop), log_(log), handler_(handler),
+      reserver_(reserver), dial_timeout_(options.dial_timeout), idle_timeout_(options.idle_timeout),
+      last_received_(loop.now()),
+      next_health_check_(options.seed ^ (static_cast<std::uint64_t>(options.number) << 40)) {}
+PooledWorker::~PooledWorker() = default;
+
+// ---------------------------------------------------------------- the endpoint list
+
+void PooledWorker::update_endpoint(const std::string& address, EndpointPhase phase) {
+    const bool moved = address_ != address && !address_.empty();
+    const bool left = phase == EndpointPhase::gone && phase_ != EndpointPhase::gone;
+    if (left) gone_at_ = loop_.now();
+    address_ = address;
+    phase_ = phase;
+    if (!moved && !left) return;
+    // Guards against a dial that comes up at the worker that has the address now: attempts, cancellations and
+    // health checks of this one would reach that one. What is up still leads here; after a move it carries
+    // nothing new.
+    std::vector<WorkerConnection*> dialing;
+    for (const auto& connection : connections_) {
+        if (!connection->is_up()) dialing.push_back(connection.get());
+        else if (moved) connection->retire();
+    }
+    for (WorkerConnection* connection : dialing) connection->abort();
+}
+
+void PooledWorker::on_restarted(Nanos at) {
+    const auto all = running_;
+    for (const auto& [id, task] : all) {
+        if (!running_.contains(id) || !task->record->in_flight || task->record->in_flight->sent_at >= at)
+            continue;
+        log_(log::Level::info, "worker_restarted", {{"worker", name_}, {"task", task->name}});
+        handler_.on_task_ended(*task, AttemptOutcome::reset, OutcomeReason::unspecified,
+                               platform_codec::Cause::reset, {});
+    }
+}
+
+void PooledWorker::stop_reading() {
+    reading_stopped_ = true;
+    for (const auto& connection : connections_) connection->stream_->set_reading(false);
+}
+
+// ---------------------------------------------------------------- attempts and running tasks
+
+// A connection that breaks leaves all attempts on it in doubt, so each goes on one of its own while there are
+// enough.
+bool PooledWorker::start_attempt(InFlightTask& task) {
+    task.worker = this;
+    WorkerConnection* connection = usable_connection();
+    // The same id went out on it before, and that attempt's end may still come there.
+    if (connection && connection->has_abandoned(task.id)) {
+        connection->retire();
+        connection = nullptr;
+    }
+    if (!connection || (connection->load() > 0 && connections_.size() < max_connections_))
+        if (WorkerConnection* dialed = dial()) connection = dialed;
+    if (connection) connection->start_attempt(task);
+    return connection != nullptr;
+}
+
+void PooledWorker::abandon_attempt(InFlightTask& task) {
+    if (task.connection) task.connection->abandon_attempt(task);
+    task.worker = nullptr;
+}
+
+void PooledWorker::check_health() {
+    WorkerConnection* connection = usable_connection();
+    if (!connection && is_gone()) return;  // whoever asked finds that it does not answer
+    if (!connection) connection = dial();
+    if (connection) connection->check_health();
+    else health_check_due_ = true;
+}
+
+void PooledWorker::add_running(InFlightTask& task) {
+    task.worker = this;
+    task.running = true;
+    running_[task.id] = &task;
+    if (!usable_connection() && !is_gone()) dial();
+}
+
+void PooledWorker::remove_running(InFlightTask& task, bool cancel) {
+    running_.erase(task.id);
+    task.running = false;
+    task.worker = nullptr;
+    if (cancel) cancel_task(task.id);
+}
+
+InFlightTask* PooledWorker::find_running(std::uint64_t id) const {
+    const auto it = running_.find(id);
+    return it == running_.end() ? nullptr : it->second;
+}
+
+// Over any connection; what goes out on that one later, the same id again too, comes after it.
+void PooledWorker::cancel_task(std::uint64_t id) {
+    if (is_gone()) return;
+    if (WorkerConnection* connection = usable_connection()) return connection->cancel_task(id);
+    pending_cancels_.push_back(id);
+    dial();
+}
+
+void PooledWorker::remember_ended(std::uint64_t id, platform_codec::Cause cause) {
+    if (recently_ended_.size() >= kMaxEndedKept) recently_ended_.pop_front();
+    recently_ended_.push_back({id, cause, last_received_});
+}
+
+std::optional<platform_codec::Cause> PooledWorker::recent_end_of(std::uint64_t id) const {
+    for (const EndedTask& ended : recently_ended_)
+        if (ended.id == id) return ended.cause;
+    return std::nullopt;
+}
+
+// ---------------------------------------------------------------- connections
+
+WorkerConnection* PooledWorker::longest_idle_connection() const {
+    WorkerConnection* longest = nullptr;
+    Nanos longest_since = 0;
+    for (const auto& connection : connections_) {
+        const Nanos since = connection->idle_since();
+        if (!since || (longest && since >= longest_since)) continue;
+        longest = connection.get();
+        longest_since = since;
+    }
+    return longest;
+}
+
+WorkerConnection* PooledWorker::oldest_connection(Nanos before) const {
+    WorkerConnection* oldest = nullptr;
+    for (const auto& connection : connections_) {
+        const Nanos since = connection->up_since();
+        if (since && since < before && (!oldest || since < oldest->up_since())) oldest = connection.get();
+    }
+    return oldest;
+}
+
+bool PooledWorker::connect() {
+    WorkerConnection* connection = usable_connection();
+    if (!connection) connection = dial();
+    if (connection && std::exchange(health_check_due_, false)) connection->check_health();
+    return connection != nullptr;
+}
+
+WorkerConnection* PooledWorker::usable_connection() const {
+    // One that was idle for long may be closed while an attempt is on its way, which would leave that in
+    // doubt.
+    const Nanos too_idle = idle_timeout_ * 8 / 10;
+    WorkerConnection* least_loaded = nullptr;
+    for (const auto& connection : connections_) {
+        if (!connection->usable()) continue;
+        if (!connection->has_work() && loop_.now() - connection->last_used_ >= too_idle) continue;
+        if (!least_loaded || connection->load() < least_loaded->load()) least_loaded = connection.get();
+    }
+    return least_loaded;
+}
+
+WorkerConnection* PooledWorker::dial() {
+    if (reading_stopped_ || !reserver_.reserve_connection(*this)) return nullptr;
+    connections_.push_back(std::make_unique<WorkerConnection>(*this, loop_, address_, dial_timeout_));
+    return connections_.back().get();
+}
+
+void PooledWorker::on_connection_lost(WorkerConnection& lost, bool was_up, bool refused) {
+    const auto it = std::find_if(connections_.begin(), connections_.end(),
+                                 [&lost](const auto& connection) { return connection.get() == &lost; });
+    if (it == connections_.end()) return;
+    closed_.push_back(std::move(*it));
+    connections_.erase(it);
+    reserver_.on_connection_ended();
+    if (refused) ++refused_dials_;
+    const Nanos backoff =
+        std::min(kMaxDialBackoff, kDialBackoff << std::min(refused_dials_, kMaxDialBackoffShift));
+    next_dial_at_ = loop_.now() + (was_up ? kRedialDelay : backoff);
+    for (const std::uint64_t id : std::exchange(lost.pending_cancels_, {})) pending_cancels_.push_back(id);
+    if (was_up && !is_gone()) cancel_doubtful_attempts(lost);
+    lost.end_attempts(was_up);
+}
+
+// What is in doubt may run by now, where no message on it reaches us: a copy that earns nothing and fills the
+// worker. Where a repeat does no harm it is cancelled.
+void PooledWorker::cancel_doubtful_attempts(const WorkerConnection& lost) {
+    std::vector<std::uint64_t> doubtful;
+    for (const auto& [id, task] : lost.in_flight_)
+        if (task->record->queue_group->effect == Effect::idempotent) doubtful.push_back(id);
+    std::sort(doubtful.begin(), doubtful.end());
+    for (const std::uint64_t id : doubtful) {
+        WorkerConnection* other = usable_connection();
+        if (other && other->is_up()) other->cancel_task(id);
+        else pending_cancels_.push_back(id);
+    }
+}
+
+// ---------------------------------------------------------------- the sweep
+
+void PooledWorker::end_running_tasks(std::string_view reason) {
+    if (running_.empty()) return;
+    log_(log::Level::info, "worker_lost",
+         {{"worker", name_}, {"reason", reason}, {"running_tasks", running_.size()}});
+    const auto all = running_;
+    for (const auto& [id, task] : all)
+        if (running_.contains(id))
+            handler_.on_task_ended(*task, AttemptOutcome::reset, OutcomeReason::unspecified,
+                                   platform_codec::Cause::reset, {});
+}
+
+// A live connection is never closed from here: the worker's last messages on what runs could be on their way.
+// It closes idle ones itself, with all that it wrote before.
+PooledWorker::ConnectionCounts PooledWorker::sweep_connections(Nanos now) {
+    ConnectionCounts counts;
+    for (std::size_t i = 0; i < connections_.size();) {
+        WorkerConnection& connection = *connections_[i];
+        const Nanos last = std::max(connection.last_used_, connection.last_received_);
+        const bool forgotten = !connection.has_work() && now - last > 2 * idle_timeout_;
+        const bool useless = is_gone() && running_.empty() && !connection.has_work();
+        if (connection.is_up() && (forgotten || useless)) {
+            connection.abort();
+            continue;
+        }
+        counts.alive = counts.alive || (connection.is_up() && now - connection.last_received_ <= kSilent);
+        counts.dialing = counts.dialing || !connection.is_up();
+        ++i;
+    }
+    return counts;
+}
+
+void PooledWorker::sweep(Nanos now) {
+    closed_.clear();
+    const ConnectionCounts counts = sweep_connections(now);
+    while (!recently_ended_.empty() && now - recently_ended_.front().since > kEndedKeptFor)
+        recently_ended_.pop_front();
+    // Nobody is there for them any more.
+    if (is_gone() || refused_dials_ >= kRefusedForGood || now - last_received_ > kLost)
+        pending_cancels_.clear();
+    if (counts.alive || counts.dialing || (running_.empty() && pending_cancels_.empty())) return;
+    if (refused_dials_ >= kRefusedForGood) return end_running_tasks("no process listens there");
+    if (is_gone() && now - gone_at_ > kLastReports) return end_running_tasks("left");
+    if (now - last_received_ > kLost) return end_running_tasks("silent");
+    if (now < next_dial_at_ || is_gone()) return;  // a new worker may have the address of one that left
+    // A descriptor that this process lacks says nothing about the worker.
+    if (!dial()) last_received_ = now;
+    next_dial_at_ = now + kDialBackoff;
+}
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/task_lifecycle.cpp
@@ -0,0 +1,68 @@
+#include "platform/task_lifecycle.h"
+
+#include <utility>
+
+#include "platform/pooled_worker.h"
+
+namespace whinpost::platform {
+
+TaskLifecycle::TaskLifecycle(const ServerContext& context, TaskTable& tasks, ClientServer& clients,
+                             PendingReleases& pending_releases)
+    : context_(context), tasks_(tasks), clients_(clients), pending_releases_(pending_releases) {}
+
+void TaskLifecycle::send_answer(InFlightTask& task, ledger::Answer answer, Nanos retry_after) {
+    context_.ledger.record_answer(context_.now(), *task.record, answer);
+    if (!task.client) return;
+    task.client->remove_open_request();
+    const platform_codec::Cause cause =
+        answer == ledger::Answer::rejected ? platform_codec::Cause::try_later : platform_codec::Cause::reset;
+    task.client->send_release(task.id, cause, retry_after);
+    task.client = nullptr;
+}
+
+void TaskLifecycle::start_running(InFlightTask& task, PooledWorker& worker) {
+    worker.add_running(task);
+    tasks_.add_running(task);
+    if (task.client && !std::exchange(task.counted_for_client, true)) task.client->add_running_task();
+}
+
+void TaskLifecycle::end_attempt(InFlightTask& task, AttemptOutcome outcome, OutcomeReason reason,
+                                const LoadReport& report, bool closed) {
+    const Nanos now = context_.now();
+    ledger::TaskRecord& record = *task.record;
+    const planner::TaskNumber number = record.number;
+    task.attempt_timeout.disarm();
+    task.worker = nullptr;
+    task.running = false;
+    const int attempt = static_cast<int>(record.attempts.size()) - 1;
+    if (record.in_flight) context_.ledger.on_ended(now, *record.in_flight, outcome);
+    closed = closed || record.closed;
+    context_.log(log::Level::debug, "attempt_ended",
+                 {{"task", task.name},
+                  {"outcome", static_cast<int>(outcome)},
+                  {"reason", static_cast<int>(reason)},
+                  {"closed", closed}});
+    context_.planner().on_attempt_ended(now, number, attempt, outcome, reason, closed, report);
+    if (closed)
+        if (InFlightTask* remaining = tasks_.find(number)) discard(*remaining);
+    context_.rounds.schedule();
+}
+
+ClientConnection* TaskLifecycle::connection_of(const InFlightTask& task) const {
+    return task.client ? task.client : clients_.find_by_address(task.client_address);
+}
+
+void TaskLifecycle::notify_task_ended(InFlightTask& task, platform_codec::Cause cause) {
+    if (ClientConnection* client = connection_of(task)) return client->send_task_ended(task.id, cause);
+    pending_releases_.add({task.id, cause, task.client_address, context_.now()});
+}
+
+void TaskLifecycle::discard(InFlightTask& task) {
+    if (!tasks_.remove(task)) return;
+    if (std::exchange(task.counted_for_client, false) && task.client) task.client->remove_running_task();
+    context_.ledger.erase_task(*task.record);
+    task.record = nullptr;
+    context_.rounds.schedule();
+}
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/task_recovery.h
@@ -0,0 +1,48 @@
+// Running tasks that clients report after a restart, until the worker that runs them is listed.
+#pragma once
+#include <cstdint>
+#include <deque>
+#include <string>
+
+#include "platform/placement_request.h"
+#include "whinpost/scheduler.h"
+
+namespace whinpost::platform {
+
+class ClientConnection;
+
+struct RunningTaskReport {
+    std::uint64_t id = 0;
+    PlacementRequest request;
+    std::string client_address;
+    Nanos since = 0;
+};
+
+class TaskAdopter {
+public:
+    virtual ~TaskAdopter() = default;
+    // Takes the task as running. False where its worker is not listed yet; true also where the task is known
+    // already. `client` is null where the report came on a connection that may be gone.
+    virtual bool adopt(const RunningTaskReport&, ClientConnection* client) = 0;
+};
+
+class TaskRecovery {
+public:
+    explicit TaskRecovery(TaskAdopter& adopter) : adopter_(adopter) {}
+
+    std::size_t size() const { return pending_.size(); }
+    // Adopts the task at once, or keeps the report until its worker is listed.
+    void on_report(RunningTaskReport, ClientConnection&);
+    // After the endpoint list has changed.
+    void retry_all();
+    // Its client no longer wants it.
+    void cancel(std::uint64_t id);
+    // Guards against reports on workers that no list names: they are dropped after a while.
+    void expire(Nanos now);
+
+private:
+    TaskAdopter& adopter_;
+    std::deque<RunningTaskReport> pending_;
+};
+
+}  // namespace whinpost::platform
--- /dev/null
+++ b/src/platform/worker_connection.cpp
@@ -0,0 +1,390 @@
+#include "platform/worker_connection.h"
+
+#include <algorithm>
+#include <charconv>
+#include <cmath>
+#include <optional>
+#include <utility>
+
+#include "platform/pooled_worker.h"
+#include "settings/settings.h"
+
+namespace whinpost::platform {
+
+using platform_codec::Cause;
+using platform_codec::Message;
+using platform_codec::MessageType;
+
+namespace {
+
+// A message is written in one go, so the rest of a partial one is there at once or never comes; a worker that
+// is slow to write is met by this too, and loses what is in flight on that connection only.
+constexpr Nanos kPartialMessageTimeout = 300 * kMillisecond;
+// Only after so long without use does a connection count as idle: one that is calling just now was used just
+// now.
+constexpr Nanos kIdleAfter = 50 * kMillisecond;
+
+constexpr std::pair<std::string_view, OutcomeReason> kReasons[] = {
+    {"no_cores", OutcomeReason::no_cores},     {"no_memory", OutcomeReason::no_memory},
+    {"queue_full", OutcomeReason::queue_full}, {"not_here", OutcomeReason::not_available},
+    {"evicted", OutcomeReason::evicted},       {"pushed_out", OutcomeReason::preempted},
+    {"sent_away", OutcomeReason::drained}};
+
+OutcomeReason reason_of(const Message& message) {
+    if (message.detail)
+        for (const auto& [word, reason] : kReasons)
+            if (*message.detail == word) return reason;
+    return OutcomeReason::unspecified;
+}
+
+// What can't be read says nothing.
+LoadReport load_report_of(const Message& message) {
+    LoadReport report;
+    if (message.load_report && !settings::parse_load_report(*message.load_report, ';', report)) report = {};
+    return report;
+}
+
+AttemptOutcome outcome_of_attempt(Cause cause) {
+    switch (cause) {
+        case Cause::full:
+            return AttemptOutcome::rejected;
+        case Cause::error:
+            return AttemptOutcome::failed;
+        case Cause::never_sent:
+            return AttemptOutcome::not_sent;
+        default:  // any byte may come
+            return AttemptOutcome::reset;
+    }
+}
+
+AttemptOutcome outcome_of_running_task(Cause cause) {
+    switch (cause) {
+        case Cause::ok:
+            return AttemptOutcome::completed;
+        case Cause::cancelled:
+            return AttemptOutcome::cancelled;
+        default:  // any byte may come
+            return AttemptOutcome::reset;
+    }
+}
+
+std::optional<double> finite_number(std::string_view text) {
+    double value = 0;
+    const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
+    if (error != std::errc{} || end != text.data() + text.size() || !std::isfinite(value))
+        return std::nullopt;
+    return value;
+}
+
+}  // namespace
+
+WorkerConnection::WorkerConnection(PooledWorker& worker, net::EventLoop& loop, const std::string& address,
+                                   Nanos dial_timeout)
+    : worker_(worker), stream_(loop.dial(address, *this)), timer_(loop.make_timer([this] {
+          if (is_up()) on_malformed("half a message");
+          else abort();  // the dial takes too long
+      })),
+      last_received_(loop.now()), last_used_(loop.now()) {
+    timer_->arm(loop.now() + dial_timeout);
+}
+
+// ---------------------------------------------------------------- what is sent
+
+// Attempts wait here while anything written is not in the kernel's hands. Guards against one that would leave
+// long after its client has gone: here it can still be taken back.
+bool WorkerConnection::can_send() const { return is_up() && stream_->unsent() == 0; }
+
+void WorkerConnection::write(const Message& message) {
+    std::string bytes;
+    platform_codec::encode(bytes, message);
+    stream_->write(bytes);
+}
+
+void WorkerConnection::start_attempt(InFlightTask& task) {
+    task.connection = this;
+    waiting_.push_back(&task);
+    send_waiting();
+}
+
+void WorkerConnection::send_waiting() {
+    while (!waiting_.empty() && can_send()) {
+        InFlightTask& task = *waiting_.front();
+        waiting_.pop_front();
+        if (!worker_.handler_.may_send(task)) {
+            task.connection = nullptr;
+            worker_.handler_.on_attempt_ended(task, AttemptOutcome::not_sent, OutcomeReason::unspecified, {});
+            continue;
+        }
+        const Nanos now = worker_.loop_.now();
+        const Nanos time_left = task.record->in_flight->deadline - now;
+        const std::string time_left_ms = std::to_string(std::max<Nanos>(1, time_left / kMillisecond));
+        Message message;
+        message.type = MessageType::place_task;
+        message.task = task.id;
+        message.queue_group = task.queue_group;
+        message.time_left_ms = time_left_ms;
+        message.task_name = task.name;
+        if (!task.key.empty()) message.idempotency_key = task.key;
+        message.description = task.description;
+        in_flight_[task.id] = &task;
+        last_used_ = now;
+        write(message);
+    }
+}
+
+void WorkerConnection::abandon_attempt(InFlightTask& task) {
+    task.connection = nullptr;
+    const auto it = std::find(waiting_.begin(), waiting_.end(), &task);
+    if (it != waiting_.end()) {
+        waiting_.erase(it);
+        return;
+    }
+    if (in_flight_.erase(task.id) == 0) return;
+    // A repeat of an idempotent task may run elsewhere: a late acceptance is cancelled. Others are left
+    // running; clients find them by their name.
+    abandoned_[task.id] = task.record->queue_group->effect == Effect::idempotent;
+    Message message;
+    message.type = MessageType::release;
+    message.task = task.id;
+    message.cause = Cause::given_up;
+    if (is_up()) write(message);
+}
+
+void WorkerConnection::check_health() {
+    if (state_ == State::dialing) {
+        health_check_due_ = true;
+        return;
+    }
+    Message message;
+    message.type = MessageType::health_check;
+    message.task = worker_.next_health_check_++;
+    message.cause = Cause::check_passed;  // asks for a load report
+    pending_health_checks_.insert(message.task);
+    last_used_ = worker_.loop_.now();
+    write(message);
+}
+
+void WorkerConnection::cancel_task(std::uint64_t id) {
+    if (state_ == State::dialing) return pending_cancels_.push_back(id);
+    Message message;
+    message.type = MessageType::release;
+    message.task = id;
+    message.cause = Cause::cancelled;
+    last_used_ = worker_.loop_.now();
+    write(message);
+}
+
+// ---------------------------------------------------------------- what is received
+
+void WorkerConnection::on_connected() {
+    state_ = State::up;
+    timer_->disarm();
+    last_received_ = last_used_ = up_since_ = worker_.loop_.now();
+    worker_.refused_dials_ = 0;
+    worker_.last_received_ = last_received_;
+    for (const std::uint64_t id : std::exchange(pending_cancels_, {})) cancel_task(id);
+    for (const std::uint64_t id : std::exchange(worker_.pending_cancels_, {})) cancel_task(id);
+    if (std::exchange(health_check_due_, false)) check_health();
+    send_waiting();
+}
+
+std::size_t WorkerConnection::on_received(std::string_view in) {
+    last_received_ = worker_.last_received_ = worker_.loop_.now();
+    const auto decoded = platform_codec::decode_all(in, [this](const Message& message) {
+        on_message(message);
+        return state_ != State::broken;
+    });
+    if (decoded.error) on_malformed("not a message");
+    if (state_ != State::broken) {
+        if (decoded.consumed < in.size()) timer_->arm(worker_.loop_.now() + kPartialMessageTimeout);
+        else timer_->disarm();
+    }
+    return decoded.consumed;
+}
+
+void WorkerConnection::log_message(const Message& message) const {
+    if (!worker_.log_.enabled(log::Level::debug)) return;
+    worker_.log_(log::Level::debug, "worker_message",
+                 {{"worker", worker_.name_},
+                  {"type", static_cast<int>(message.type)},
+                  {"task", message.task},
+                  {"cause", message.cause ? static_cast<int>(*message.cause) : -1},
+                  {"detail", message.detail.value_or("-")},
+                  {"metric_value", message.metric_value.value_or("-")},
+                  {"load_report", message.load_report.value_or("-")},
+                  {"description", message.description ? static_cast<int>(message.description->size()) : -1}});
+}
+
+void WorkerConnection::on_message(const Message& message) {
+    log_message(message);
+    switch (message.type) {
+        case MessageType::answer:
+            return on_answer(message);
+        case MessageType::release:
+            return on_release(message);
+        case MessageType::note:
+            return on_note(message);
+        case MessageType::health_check_reply:
+            return on_health_check_reply(message);
+        case MessageType::place_task:
+        case MessageType::progress:
+        case MessageType::release_ack:
+        case MessageType::migrate:
+        case MessageType::health_check:
+            return;  // a worker has nothing to say with these
+    }
+}
+
+void WorkerConnection::on_answer(const Message& message) {
+    if (const auto it = in_flight_.find(message.task); it != in_flight_.end()) {
+        if (!message.description || message.description->empty())
+            return on_malformed("an answer without description");
+        InFlightTask& task = *it->second;
+        in_flight_.erase(it);
+        task.connection = nullptr;
+        return worker_.handler_.on_attempt_accepted(task, *message.description);
+    }
+    if (const auto late = abandoned_.find(message.task); late != abandoned_.end()) {
+        const bool to_be_cancelled = late->second;
+        abandoned_.erase(late);
+        if (to_be_cancelled && !worker_.find_running(message.task)) cancel_task(message.task);
+        return;
+    }
+    // A second copy, or one under an id that is none of ours.
+    worker_.log_(log::Level::debug, "worker_answer_unknown",
+                 {{"worker", worker_.name_}, {"task", message.task}});
+}
+
+void WorkerConnection::on_release(const Message& message) {
+    const Cause cause = message.cause.value_or(Cause{});
+    if (const auto it = in_flight_.find(message.task); it != in_flight_.end()) {
+        InFlightTask& task = *it->second;
+        in_flight_.erase(it);
+        return on_released_in_flight(task, message);
+    }
+    if (abandoned_.erase(message.task)) return;
+    if (InFlightTask* task = worker_.find_running(message.task))
+        return worker_.handler_.on_task_ended(*task, outcome_of_running_task(cause), reason_of(message),
+                                              cause, load_report_of(message));
+    worker_.log_(log::Level::debug, "worker_release_unknown",
+                 {{"worker", worker_.name_}, {"task", message.task}, {"cause", static_cast<int>(cause)}});
+    // Guards against what ended while this placer restarted: its worker says so on the first connection,
+    // which may be before the client says that it runs there.
+    worker_.remember_ended(message.task, cause);
+}
+
+void WorkerConnection::on_released_in_flight(InFlightTask& task, const Message& message) {
+    const Cause cause = message.cause.value_or(Cause{});
+    task.connection = nullptr;
+    // It has run and ended by now: the worker gives its answer and its end in one. Taken for a reset, a short
+    // task was started four times over, each time to its end.
+    if (cause == Cause::ok && message.description && !message.description->empty()) {
+        const LoadReport report = load_report_of(message);
+        worker_.handler_.on_attempt_accepted(task, *message.description);
+        if (InFlightTask* running = worker_.find_running(message.task))
+            worker_.handler_.on_task_ended(*running, AttemptOutcome::completed, reason_of(message), cause,
+                                           report);
+        return;
+    }
+    worker_.handler_.on_attempt_ended(task, outcome_of_attempt(cause), reason_of(message),
+                                      load_report_of(message));
+}
+
+void WorkerConnection::on_note(const Message& message) {
+    InFlightTask* task = worker_.find_running(message.task);
+    if (!task) {
+        const auto it = in_flight_.find(message.task);
+        if (it != in_flight_.end()) task = it->second;
+    }
+    if (!task) {
+        worker_.log_(log::Level::debug, "worker_note_unknown",
+                     {{"worker", worker_.name_}, {"task", message.task}});
+        return;
+    }
+    if (!message.detail) return;
+    double value = 0;
+    if (message.metric_value) {
+        const std::optional<double> read = finite_number(*message.metric_value);
+        if (!read) return;
+        value = *read;
+    }
+    worker_.handler_.on_task_metric(*task, *message.detail, value);
+}
+
+void WorkerConnection::on_health_check_reply(const Message& message) {
+    if (pending_health_checks_.erase(message.task) && message.cause == Cause::check_passed)
+        worker_.handler_.on_load_report(worker_, load_report_of(message));
+}
+
+// ---------------------------------------------------------------- its end
+
+// Nothing after such bytes can be trusted: the connection goes, and each attempt on it is in doubt.
+void WorkerConnection::on_malformed(std::string_view reason) {
+    worker_.log_(log::Level::info, "worker_message_malformed",
+                 {{"worker", worker_.name_}, {"reason", reason}, {"attempts", in_flight_.size()}});
+    abort();
+}
+
+void WorkerConnection::abort() {
+    if (state_ == State::broken) return;
+    stream_->abort();
+    on_connection_lost(false);
+}
+
+void WorkerConnection::on_connection_lost(bool refused) {
+    const bool was_up = is_up();
+    state_ = State::broken;
+    timer_->disarm();
+    worker_.on_connection_lost(*this, was_up, refused);
+}
+
+Nanos WorkerConnection::idle_since() const {
+    const Nanos last = std::max(last_used_, last_received_);
+    if (state_ != State::up || has_work() || !pending_cancels_.empty()) return 0;
+    if (worker_.loop_.now() - last < kIdleAfter) return 0;
+    return stream_->has_unread() || stream_->unsent() ? 0 : last;
+}
+
+bool WorkerConnection::is_empty() const {
+    return is_up() && load() == 0 && pending_cancels_.empty() && !stream_->has_unread() &&
+           stream_->unsent() == 0;
+}
+
+void WorkerConnection::close() {
+    stream_.reset();
+    on_connection_lost(false);
+}
+
+void WorkerConnection::on_closed(net::CloseReason reason) {
+    if (state_ == State::broken) return;
+    stream_->abort();  // its descriptor is free from now on
+    worker_.log_(log::Level::debug, "worker_connection_closed",
+                 {{"worker", worker_.name_},
+                  {"reason", net::to_string(reason)},
+                  {"up", is_up()},
+                  {"attempts", in_flight_.size()}});
+    // A descriptor that this process lacks says nothing about the worker.
+    if (reason == net::CloseReason::out_of_descriptors) worker_.last_received_ = worker_.loop_.now();
+    on_connection_lost(!is_up() && reason == net::CloseReason::refused);
+}
+
+// Called after the connection is out of the worker's list, so that what the handler does next meets none of
+// it.
+void WorkerConnection::end_attempts(bool was_up) {
+    std::vector<InFlightTask*> written;
+    for (const auto& [id, task] : in_flight_) written.push_back(task);
+    std::sort(written.begin(), written.end(),
+              [](const InFlightTask* left, const InFlightTask* right) { return left->id < right->id; });
+    in_flight_.clear();
+    const std::vector<InFlightTask*> unwritten(waiting_.begin(), waiting_.end());
+    waiting_.clear();
+    for (InFlightTask* task : written) task->connection = nullptr;
+    for (InFlightTask* task : unwritten) task->connection = nullptr;
+    const AttemptOutcome never_left = was_up ? AttemptOutcome::not_sent : AttemptOutcome::connect_failed;
+    for (InFlightTask* task : written)
+        worker_.handler_.on_attempt_ended(*task, AttemptOutcome::reset, OutcomeReason::unspecified, {});
+    for (InFlightTask* task : unwritten)
+        worker_.handler_.on_attempt_ended(*task, never_left, OutcomeReason::unspecified, {});
+}
+
+}  // namespace whinpost::platform
--- a/src/platform_codec/message.h
+++ b/src/platform_codec/message.h
@@ -7,6 +7,7 @@
 #include <optional>
 #include <string>
 #include <string_view>
+#include <tl/expected.hpp>
 
 namespace whinpost::platform_codec {
 
@@ -14,7 +15,7 @@
     place_task = 1,
     progress = 6,
     answer = 9,
-    release = 12,  // also: a refusal, a set-up given up
+    release = 12,  // also: a rejection, a request cancelled
     release_ack = 16,
     note = 44,
     migrate = 51,
@@ -22,42 +23,66 @@
     health_check_reply = 53
 };
 
-// Causes of releases and tests.
-constexpr std::uint8_t kOk = 16, kGivenUp = 16, kCancelled = 31, kFull = 34, kReset = 41, kTryLater = 42,
-                       kError = 47, kNeverLeft = 102, kPassed = 1, kFailed = 0;
+// Why a task was released, or what a health check asks for or found. Peers may send any other byte too.
+enum class Cause : std::uint8_t {
+    check_failed = 0,
+    check_passed = 1,
+    ok = 16,
+    given_up = 16,
+    cancelled = 31,
+    full = 34,
+    reset = 41,
+    try_later = 42,
+    error = 47,
+    never_sent = 102
+};
 
-// The texts point into what was read.
+// The texts point into the bytes that were decoded, or are to be encoded.
 struct Message {
     MessageType type = MessageType::progress;
     std::uint64_t task = 0;
     std::optional<std::string_view> queue_group, time_left_ms, retry, task_name, requirements, retry_after_ms,
-        detail, load_report, metric_value, idempotency_key, description;
-    std::optional<std::uint8_t> cause;
+        detail,  // the reason of a release, the metric of a note
+        load_report, metric_value, idempotency_key, description;
+    std::optional<Cause> cause;
 };
 
 constexpr std::size_t kMaxMessageSize = 16 << 10;  // the protocol's
 
-enum class DecodeStatus { complete, incomplete, malformed };
-// One message from the front of `in`; `used` bytes are done with where it is whole. What is too long, of no
-// known type, or does not add up can't be read, and nothing after it can be trusted.
-DecodeStatus decode(std::string_view in, Message& out, std::size_t& used);
+struct DecodedMessage {
+    Message message;
+    std::size_t size = 0;  // bytes
+};
+
+struct DecodeError {
+    enum class Kind { unknown_type, bad_length, bad_parameter, repeated_parameter };
+    Kind kind;
+};
+
+// One message from the front of `in`; nothing where more bytes are needed. After an error nothing that
+// follows can be trusted.
+[[nodiscard]] tl::expected<std::optional<DecodedMessage>, DecodeError> decode(std::string_view in);
 
 void encode(std::string& out, const Message&);
 
-// Hands each whole message of `in` to `each(const Message&) -> bool`, until it gives false; gives back how
-// many bytes are done with. `unreadable` is set where what follows can't be read.
-template <class F>
-std::size_t decode_all(std::string_view in, bool& unreadable, F each) {
-    std::size_t done = 0;
-    unreadable = false;
+struct DecodeAllResult {
+    std::size_t consumed = 0;          // bytes
+    std::optional<DecodeError> error;  // of what follows them
+};
+
+// Hands each complete message of `in` to `on_message(const Message&) -> bool`, until that gives false.
+template <class OnMessage>
+[[nodiscard]] DecodeAllResult decode_all(std::string_view in, OnMessage on_message) {
+    DecodeAllResult result;
     for (;;) {
-        Message m;
-        std::size_t used = 0;
-        const DecodeStatus how = decode(in.substr(done), m, used);
-        unreadable = how == DecodeStatus::malformed;
-        if (how != DecodeStatus::complete) return done;
-        done += used;
-        if (!each(m)) return done;
+        const auto decoded = decode(in.substr(result.consumed));
+        if (!decoded) {
+            result.error = decoded.error();
+            return result;
+        }
+        if (!*decoded) return result;
+        result.consumed += (*decoded)->size;
+        if (!on_message((*decoded)->message)) return result;
     }
 }
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -280,22 +280,22 @@
         m.metric_value = "figure";
         m.idempotency_key = "key";
         m.description = "description";
-        m.cause = 42;
+        m.cause = platform_codec::Cause::try_later;
         std::string bytes;
         platform_codec::encode(bytes, m);
         out += std::to_string(static_cast<int>(type)) + " " + hex(bytes) + "\n";
-        platform_codec::Message again;
-        std::size_t used = 0;
-        REQUIRE(platform_codec::decode(bytes, again, used) == platform_codec::DecodeStatus::complete);
+        const auto again = platform_codec::decode(bytes);
+        REQUIRE((again && *again));
         std::string written;
-        platform_codec::encode(written, again);
+        platform_codec::encode(written, (*again)->message);
         CHECK(hex(written) == hex(bytes));
     }
-    for (const int cause :
-         {platform_codec::kOk, platform_codec::kGivenUp, platform_codec::kCancelled, platform_codec::kFull,
-          platform_codec::kReset, platform_codec::kTryLater, platform_codec::kError,
-          platform_codec::kNeverLeft, platform_codec::kPassed, platform_codec::kFailed})
-        out += "cause " + std::to_string(cause) + "\n";
+    for (const auto cause :
+         {platform_codec::Cause::ok, platform_codec::Cause::given_up, platform_codec::Cause::cancelled,
+          platform_codec::Cause::full, platform_codec::Cause::reset, platform_codec::Cause::try_later,
+          platform_codec::Cause::error, platform_codec::Cause::never_sent,
+          platform_codec::Cause::check_passed, platform_codec::Cause::check_failed})
+        out += "cause " + std::to_string(static_cast<int>(cause)) + "\n";
     check_unchanged("platform-messages.txt", out);
 }
 
@@ -447,8 +447,10 @@
                 continue;
             }
             if (from == 2) continue;  // an event of discovery: read_event has tests of its own
-            done =
-                platform_codec::decode_all(bytes, bad, [](const platform_codec::Message&) { return true; });
+            const auto decoded =
+                platform_codec::decode_all(bytes, [](const platform_codec::Message&) { return true; });
+            done = decoded.consumed;
+            bad = decoded.error.has_value();
         } else {
             done = net::decode_frames(bytes, net::kMaxFrameSize, bad, [&folder](std::string_view frame) {
                 v1::FromClient owner;
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -7,7 +7,6 @@
 #include "platform_codec/message.h"
 
 using namespace whinpost;
-using platform_codec::DecodeStatus;
 using platform_codec::Message;
 using platform_codec::MessageType;
 
@@ -28,8 +27,15 @@
 std::string_view wrong_with(const Message& m) {
     QueueGroup g;
     g.effect = Effect::keyed;
-    static platform::PlacementRequest out;
-    return platform::parse_placement_request(m, {"batch"}, {g}, {16, 32}, out);
+    const auto request = platform::parse_placement_request(m, {{"batch"}, {g}, {16, 32}});
+    return request ? std::string_view() : platform::to_string(request.error().kind);
+}
+
+enum class DecodeStatus { complete, incomplete, malformed };
+DecodeStatus decode(std::string_view bytes) {
+    const auto decoded = platform_codec::decode(bytes);
+    if (!decoded) return DecodeStatus::malformed;
+    return *decoded ? DecodeStatus::complete : DecodeStatus::incomplete;
 }
 
 }  // namespace
@@ -37,17 +43,16 @@
 TEST_CASE("a message comes back as it was written, whatever pieces it comes in") {
     std::string bytes;
     Message m = good();
-    m.cause = 200;
+    m.cause = static_cast<platform_codec::Cause>(200);
     platform_codec::encode(bytes, m);
     platform_codec::encode(bytes, m);
-    Message got;
-    std::size_t used = 0;
     const std::size_t one = bytes.size() / 2;
     for (std::size_t n = 0; n < one; ++n)
-        REQUIRE(platform_codec::decode(std::string_view(bytes).substr(0, n), got, used) ==
-                DecodeStatus::incomplete);
-    REQUIRE(platform_codec::decode(bytes, got, used) == DecodeStatus::complete);
-    CHECK(used == one);
+        REQUIRE(decode(std::string_view(bytes).substr(0, n)) == DecodeStatus::incomplete);
+    REQUIRE(decode(bytes) == DecodeStatus::complete);
+    const platform_codec::DecodedMessage decoded = **platform_codec::decode(bytes);
+    const Message& got = decoded.message;
+    CHECK(decoded.size == one);
     CHECK(got.task == m.task);
     CHECK(got.type == m.type);
     CHECK(got.queue_group == m.queue_group);
@@ -59,9 +64,7 @@
 TEST_CASE("what does not add up can't be read") {
     std::string bytes;
     platform_codec::encode(bytes, good());
-    Message got;
-    std::size_t used = 0;
-    const auto read = [&](std::string b) { return platform_codec::decode(b, got, used); };
+    const auto read = [](const std::string& b) { return decode(b); };
     std::string b = bytes;
     b[0] = '\x7f';  // too long
     CHECK(read(b) == DecodeStatus::malformed);
@@ -120,23 +123,21 @@
 }
 
 TEST_CASE("entries keep apart what an event says and what it leaves out") {
-    std::string wrong;
-    int odd = 0;
     const auto e = discovery::parse_watch_event(
         R"({"offset":41,"topology":{"seq":7,"whole":false,"hosts":[{"host":"s-1","health":"leaving"},
            {"host":"s-2","dial":"10.1.0.9:3868","site":"east","class":"std","block":2,"health":"active","born_ms":5,
             "free":[1.5,-2]},{"host":"s-3","site":"nowhere"},{"no":1}]}})",
-        {"west", "east"}, {"std"}, wrong, odd);
+        {"west", "east"}, {"std"});
     REQUIRE(e);
     CHECK(e->sequence == 41);
     REQUIRE(e->endpoints.size() == 2);
-    CHECK(odd == 2);
+    CHECK(e->invalid_entries == 2);
     CHECK(e->endpoints[0].phase == EndpointPhase::draining);
     CHECK(!e->endpoints[0].free_cores);
     CHECK(e->endpoints[1].zone == 1);
     CHECK(e->endpoints[1].started_at == 5 * kMillisecond);
     CHECK(e->endpoints[1].free_memory == -2);
-    CHECK(!discovery::parse_watch_event("{\"offset\":", {}, {}, wrong, odd));
+    CHECK(!discovery::parse_watch_event("{\"offset\":", {}, {}));
 }
 
 TEST_CASE("the briefing is flattened to the paths of the simulator's settings; what is wrong is named") {
--- a/tests/platform_server_test.cpp
+++ b/tests/platform_server_test.cpp
@@ -32,7 +32,7 @@
         Message m;
         m.type = MessageType::health_check;
         m.task = k;
-        m.cause = 0;
+        m.cause = platform_codec::Cause::check_failed;
         platform_codec::encode(out, m);
     }
     return out;
@@ -55,10 +55,10 @@
     t.run(20 * kMillisecond);
     REQUIRE(t.o.messages(MessageType::answer).size() == 1);
     CHECK(t.o.messages(MessageType::answer)[0].description == "it stands at h");
-    t.h.last_connection().release(l.task, platform_codec::kOk);
+    t.h.last_connection().release(l.task, platform_codec::Cause::ok);
     t.run(20 * kMillisecond);
     REQUIRE(t.o.messages(MessageType::release).size() == 1);
-    CHECK(t.o.messages(MessageType::release)[0].cause == platform_codec::kOk);
+    CHECK(t.o.messages(MessageType::release)[0].cause == platform_codec::Cause::ok);
     CHECK(t.server.task_count() == 0);
     CHECK(t.ledger.open_tasks() == 0);
 }
@@ -117,10 +117,10 @@
     CHECK(t.h.connections[0]->closed);
     CHECK(t.h.attempts().size() == 2);  // side-effecting: it may have run
     REQUIRE(t.o.count(MessageType::release, 2) == 1);
-    CHECK(t.o.messages(MessageType::release)[0].cause != platform_codec::kTryLater);
+    CHECK(t.o.messages(MessageType::release)[0].cause != platform_codec::Cause::try_later);
     CHECK(t.o.count(MessageType::release, 1) == 0);
     REQUIRE(t.h.connections.size() == 2);  // dialled again for what stands
-    t.h.connections[1]->release(1, platform_codec::kReset, "evicted");
+    t.h.connections[1]->release(1, platform_codec::Cause::reset, "evicted");
     t.run(20 * kMillisecond);
     CHECK(t.o.count(MessageType::release, 1) == 1);
 }
@@ -181,7 +181,7 @@
     Message m;
     m.type = MessageType::release;
     m.task = 1;
-    m.cause = platform_codec::kOk;
+    m.cause = platform_codec::Cause::ok;
     m.description = "stood and ended";
     t.h.last_connection().send(m);
     t.run(200 * kMillisecond);
@@ -190,7 +190,7 @@
     CHECK(t.o.received[0].type == MessageType::answer);
     CHECK(t.o.received[0].description == "stood and ended");
     CHECK(t.o.received[1].type == MessageType::release);
-    CHECK(t.o.received[1].cause == platform_codec::kOk);
+    CHECK(t.o.received[1].cause == platform_codec::Cause::ok);
     CHECK(t.server.task_count() == 0);
     t.request_placement(t.o, 2, "once");
     m.task = 2;
@@ -213,7 +213,7 @@
     note.metric_value = "0.2";
     if (noted) t.h.last_connection().send(note);
     t.run(20 * kMillisecond);
-    t.h.last_connection().release(1, platform_codec::kReset, "sent_away");
+    t.h.last_connection().release(1, platform_codec::Cause::reset, "sent_away");
     t.run(20 * kMillisecond);
     REQUIRE(t.o.count(MessageType::release, 1) == (noted ? 1u : 0u));
     t.run(5 * kSecond);
@@ -237,7 +237,7 @@
     }
     t.run(2 * kSecond);
     REQUIRE(t.o.messages(MessageType::release).size() == 1);
-    CHECK((t.o.messages(MessageType::release)[0].cause == platform_codec::kTryLater) == refused);
+    CHECK((t.o.messages(MessageType::release)[0].cause == platform_codec::Cause::try_later) == refused);
 }
 
 TEST_CASE("what stood on a machine that vanished is released within 8 s, on one whose process died at once") {
@@ -262,7 +262,7 @@
     t.run(12 * kSecond);
     CHECK(!t.h.connections[0]->closed);
     CHECK(t.o.count(MessageType::release, 1) == 0);
-    t.h.connections[0]->release(1, platform_codec::kOk);
+    t.h.connections[0]->release(1, platform_codec::Cause::ok);
     t.run(20 * kMillisecond);
     CHECK(t.o.count(MessageType::release, 1) == 1);
 }
@@ -276,13 +276,13 @@
     for (int i = 0; i < 150; ++i) {
         TestClient& once = t.connect_client(2 + i);
         t.request_placement(once, ++id, "free", 5000);
-        t.h.last_connection().release(id, platform_codec::kError);
+        t.h.last_connection().release(id, platform_codec::Cause::error);
         if (i % 20 == 0)
             t.request_placement(t.o, ++id, "nothing known");  // refused at the door, and a sign of life
     }
     CHECK(!t.o.closed);
     CHECK(t.server.connection_count() < 128);
-    t.h.connections[0]->release(1, platform_codec::kOk);
+    t.h.connections[0]->release(1, platform_codec::Cause::ok);
     t.run(20 * kMillisecond);
     CHECK(t.o.count(MessageType::release, 1) == 1);
 }
@@ -297,10 +297,10 @@
     for (int i = 0; i < 150; ++i) {
         t.request_placement(t.connect_client(3 + i), ++id, "free", 5000);
         for (const auto& c : t.h.connections)
-            if (c->count(MessageType::place_task, id)) c->release(id, platform_codec::kError);
+            if (c->count(MessageType::place_task, id)) c->release(id, platform_codec::Cause::error);
     }
     CHECK(!quiet.closed);
-    t.h.connections[0]->release(1, platform_codec::kOk);
+    t.h.connections[0]->release(1, platform_codec::Cause::ok);
     t.run(20 * kMillisecond);
     CHECK(quiet.count(MessageType::release, 1) == 1);
 }
@@ -312,7 +312,7 @@
     t.run(20 * kMillisecond);
     t.o.stream.reset();
     t.run(20 * kMillisecond);
-    t.h.last_connection().release(1, platform_codec::kOk);
+    t.h.last_connection().release(1, platform_codec::Cause::ok);
     t.run(2 * kSecond);
     TestClient& stranger = t.connect_client(2);
     t.request_placement(stranger, 50, "nothing known");
@@ -327,10 +327,10 @@
     t.request_placement(t.o, 1);
     t.h.last_connection().answer(1);
     t.run(20 * kMillisecond);
-    t.o.release(1, platform_codec::kCancelled);
+    t.o.release(1, platform_codec::Cause::cancelled);
     t.run(20 * kMillisecond);
     CHECK(t.h.count(MessageType::release, 1) == 1);
-    t.h.last_connection().release(1, platform_codec::kCancelled);
+    t.h.last_connection().release(1, platform_codec::Cause::cancelled);
     t.run(20 * kMillisecond);
     CHECK(t.o.count(MessageType::release, 1) == 0);
     CHECK(t.server.task_count() == 0);
@@ -342,7 +342,7 @@
     t.request_placement(t.o, 1);
     REQUIRE(t.h.attempts().size() == 1);
     if (goes) t.o.stream.reset();
-    else t.o.release(1, platform_codec::kGivenUp);
+    else t.o.release(1, platform_codec::Cause::given_up);
     t.run(20 * kMillisecond);
     CHECK(t.h.count(MessageType::release, 1) == 1);
     CHECK(answers(t.o, 1) == 0);
@@ -365,7 +365,7 @@
     t.run(50 * kMillisecond);
     CHECK(h.attempts().empty());
     REQUIRE(h.connections.size() == 1);  // its end may come on any connection, so there is one
-    h.last_connection().release(1, platform_codec::kOk);
+    h.last_connection().release(1, platform_codec::Cause::ok);
     t.run(20 * kMillisecond);
     CHECK(o.count(MessageType::release, 1) == 1);
 }
@@ -416,7 +416,7 @@
         m.requirements = "cores:1;memory:2;service:00000000b4d65521;at:nowhere";
         bad.send(m);
     }
-    odd.release(77, platform_codec::kGivenUp);
+    odd.release(77, platform_codec::Cause::given_up);
     t.request_placement(good, 9, "free", 4294967, ";at:h");
     t.run(2500 * kMillisecond);
     CHECK(bad.closed);
@@ -578,7 +578,7 @@
     t.publish({PlatformRig::entry(t.h, "left")});
     t.listen(heir);
     t.publish({PlatformRig::entry(heir)});
-    t.o.release(1, platform_codec::kCancelled);
+    t.o.release(1, platform_codec::Cause::cancelled);
     t.run(3 * kSecond);
     CHECK(heir.connections.empty());
     t.request_placement(t.o, 2);
@@ -593,12 +593,12 @@
     Message test;
     test.type = MessageType::health_check;
     test.task = 9;
-    test.cause = 0;
+    test.cause = platform_codec::Cause::check_failed;
     t.o.send(test);
     t.request_placement(t.o, 2);
     CHECK(t.h.attempts().size() == 2);
     REQUIRE(t.o.messages(MessageType::health_check_reply).size() == 1);
-    CHECK(t.o.messages(MessageType::health_check_reply)[0].cause == platform_codec::kFailed);
+    CHECK(t.o.messages(MessageType::health_check_reply)[0].cause == platform_codec::Cause::check_failed);
     t.run(kSecond);
     CHECK(!ended);
     t.request_placement(t.o, 3);
@@ -632,7 +632,7 @@
                     Message m;
                     m.type = MessageType::health_check_reply;
                     m.task = g.task;
-                    m.cause = platform_codec::kPassed;
+                    m.cause = platform_codec::Cause::check_passed;
                     if (answers) c->send(m);
                 }
     };
@@ -704,10 +704,10 @@
                             c->answer(g.task);
                             break;
                         case 1:
-                            c->release(g.task, platform_codec::kFull, "queue_full");
+                            c->release(g.task, platform_codec::Cause::full, "queue_full");
                             break;
                         case 2:
-                            c->release(g.task, platform_codec::kError);
+                            c->release(g.task, platform_codec::Cause::error);
                             break;
                         case 3:
                             c->send_bytes("noise that is no message");
@@ -717,7 +717,7 @@
                             break;
                         case 5:
                             c->answer(g.task);
-                            c->release(g.task, platform_codec::kOk);
+                            c->release(g.task, platform_codec::Cause::ok);
                             break;
                         default:
                             break;
@@ -733,7 +733,7 @@
                     bad.send_bytes(place_task_bytes(next - 1, "free", 500, ""));
                     break;  // an id of another's
                 case 2:
-                    bad.release(next - 1, platform_codec::kGivenUp);
+                    bad.release(next - 1, platform_codec::Cause::given_up);
                     break;
                 default:
                     break;  // silent
--- a/tests/platform_sockets_test.cpp
+++ b/tests/platform_sockets_test.cpp
@@ -104,7 +104,7 @@
         o.read_available();
         return o.peer_closed;
     });
-    host.connections.back()->release(7, platform_codec::kOk);
+    host.connections.back()->release(7, platform_codec::Cause::ok);
     t.run_until([&] { return done; });
     CHECK(t.planner.outcomes.empty());
     CHECK(t.ledger.open_tasks() == 1);
@@ -121,7 +121,7 @@
     const bool ahead = GENERATE(false, true);  // bytes lie before its close
     if (ahead)
         for (std::uint64_t id = 100; id < 150; ++id) o.send_bytes(SocketRig::place_task(id, "no such class"));
-    host.connections.back()->release(7, platform_codec::kFull);
+    host.connections.back()->release(7, platform_codec::Cause::full);
     o.close();
     t.run_until([&] { return t.server->task_count() == 0; });
     t.server->place(n, 0, kSecond);
@@ -160,9 +160,9 @@
     t.start_attempt(o, host, 7);
     if (GENERATE(true, false)) {
         host.connections.back()->answer(7);
-        o.release(7, platform_codec::kGivenUp);
+        o.release(7, platform_codec::Cause::given_up);
     } else {
-        o.release(7, platform_codec::kGivenUp);
+        o.release(7, platform_codec::Cause::given_up);
         t.run_times(5);
         host.connections.back()->answer(7);
     }
@@ -181,9 +181,9 @@
     t.publish_initial({SocketRig::entry("h", host.address())}, true);
     SocketPeer o = t.connect_client(), other = t.connect_client();
     const auto n = t.start_attempt(o, host, 7);
-    host.connections.back()->release(7, platform_codec::kFull);
+    host.connections.back()->release(7, platform_codec::Cause::full);
     t.run_until([&] { return t.planner.outcomes.size() == 1; });
-    other.release(7, platform_codec::kGivenUp);
+    other.release(7, platform_codec::Cause::given_up);
     t.run_until([&] { return t.server->task_count() == 0; });
     t.server->place(n, 0, kSecond);
     t.run_times(20);
@@ -302,13 +302,13 @@
         while (bytes.size() < kFlood) platform_codec::encode(bytes, m);
     }
     o.send_bytes(bytes);
-    if (how == 0) o.send_plain(MessageType::release, 7, platform_codec::kGivenUp);
+    if (how == 0) o.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
     if (how == 1) o.close();
     t.run_until([&] { return t.planner.taken.size() == 1; });
     // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
     auto busy = t.loop.make_timer([&] {
         if (how == 2) {
-            o.send_plain(MessageType::release, 7, platform_codec::kGivenUp);
+            o.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
             t.block_for(80 * kMillisecond);
         }
         t.server->place(t.planner.taken[0], 0, 10 * kSecond);
@@ -384,13 +384,13 @@
     SocketPeer o = t.connect_client();
     t.run_task(o, host, 7);
     t.run_task(o, host, 8);
-    host.connections.front()->release(7, platform_codec::kOk);
+    host.connections.front()->release(7, platform_codec::Cause::ok);
     t.run_until([&] {
         o.read_available();
         return o.count(MessageType::release, 7) == 1;
     });
     o.send_plain(MessageType::release_ack, 7);
-    host.connections.front()->release(8, platform_codec::kOk);
+    host.connections.front()->release(8, platform_codec::Cause::ok);
     t.run_until([&] { return t.server->task_count() == 0; });
     t.run_times(3);
     o.close();  // the release lies in its socket, unread
@@ -435,7 +435,7 @@
     SocketPeer o = t.connect_client();
     t.run_task(o, host, 7);
     host.connections.back()->answer(7, "another");
-    host.connections.back()->release(7, platform_codec::kOk);
+    host.connections.back()->release(7, platform_codec::Cause::ok);
     host.connections.back()->answer(7, "once more");
     t.run_until([&] {
         o.read_available();
@@ -468,8 +468,8 @@
     });
     // Written or not, nobody can tell: a deferral would invite it to run twice.
     if (t.planner.outcomes[0] == AttemptOutcome::reset)
-        CHECK(o.received.back().cause == platform_codec::kReset);
-    else CHECK(o.received.back().cause == platform_codec::kTryLater);
+        CHECK(o.received.back().cause == platform_codec::Cause::reset);
+    else CHECK(o.received.back().cause == platform_codec::Cause::try_later);
 }
 
 TEST_CASE("a dial that was begun before its host left says nothing to the one that has its address now") {
@@ -482,7 +482,7 @@
     if (by_cut) {  // taken over there, and ended by its owner while the connection is not up
         o.send_bytes(SocketRig::place_task(7, "free", ";at:h"));
         t.run_until([&] { return t.server->task_count() == 1; });
-        o.release(7, platform_codec::kCancelled);
+        o.release(7, platform_codec::Cause::cancelled);
         t.run_until([&] { return t.server->task_count() == 0; });
     } else t.server->check_health(0);
     t.run_times(5);
@@ -512,9 +512,9 @@
         host.accept_and_read();
         return host.connections.size() == 1 && !host.connections[0]->received.empty();
     });
-    host.connections[0]->release(7, platform_codec::kOk);
+    host.connections[0]->release(7, platform_codec::Cause::ok);
     host.connections[0]->send_plain(MessageType::health_check_reply, host.connections[0]->received[0].task,
-                                    platform_codec::kPassed);
+                                    platform_codec::Cause::check_passed);
     t.run_until([&] { return t.planner.load_reports == 1; });
     SocketPeer o = t.connect_client();
     o.send_bytes(SocketRig::place_task(7, "free", ";at:h"));
@@ -523,7 +523,7 @@
         return !o.received.empty();
     });
     CHECK(o.count(MessageType::release, 7) == 1);
-    CHECK(o.received[0].cause == platform_codec::kOk);
+    CHECK(o.received[0].cause == platform_codec::Cause::ok);
     CHECK(t.server->task_count() == 0);
 }
 
@@ -567,7 +567,8 @@
             for (const auto& l : h->connections)
                 for (const auto& g : l->received)
                     if (g.type == MessageType::health_check && !l->peer_closed)
-                        l->send_plain(MessageType::health_check_reply, g.task, platform_codec::kPassed);
+                        l->send_plain(MessageType::health_check_reply, g.task,
+                                      platform_codec::Cause::check_passed);
             for (const auto& l : h->connections) l->received.clear();
             n += !h->connections.empty();
         }
@@ -663,7 +664,7 @@
     CHECK(host.count(MessageType::place_task, 8) == 0);
     CHECK(t.ledger.statistics().refused_to_planner == 1);
     // What stands there still has its last words.
-    host.connections.back()->release(7, platform_codec::kOk);
+    host.connections.back()->release(7, platform_codec::Cause::ok);
     t.run_until([&] {
         o.read_available();
         return o.count(MessageType::release, 7) == 1;
--- a/tests/support/platform_messages.h
+++ b/tests/support/platform_messages.h
@@ -19,7 +19,7 @@
     struct ReceivedMessage {
         MessageType type;
         std::uint64_t task;
-        int cause;
+        std::optional<platform_codec::Cause> cause;
         std::string queue_group, time_left_ms, task_name, idempotency_key, description, retry_after_ms;
     };
     virtual ~ProtocolPeer() = default;
@@ -36,7 +36,7 @@
         m.description = description;
         send(m);
     }
-    void release(std::uint64_t id, std::uint8_t cause, std::string_view why = {}) {
+    void release(std::uint64_t id, platform_codec::Cause cause, std::string_view why = {}) {
         Message m;
         m.type = MessageType::release;
         m.task = id;
@@ -60,16 +60,16 @@
 protected:
     // Keeps every whole message; gives back how many bytes they were.
     std::size_t decode_received(std::string_view in) {
-        bool unreadable = false;
-        return platform_codec::decode_all(in, unreadable, [this](const Message& m) {
+        const auto decoded = platform_codec::decode_all(in, [this](const Message& m) {
             const auto text = [](const std::optional<std::string_view>& v) {
                 return std::string(v.value_or(""));
             };
-            received.push_back({m.type, m.task, m.cause ? *m.cause : -1, text(m.queue_group),
-                                text(m.time_left_ms), text(m.task_name), text(m.idempotency_key),
-                                text(m.description), text(m.retry_after_ms)});
+            received.push_back({m.type, m.task, m.cause, text(m.queue_group), text(m.time_left_ms),
+                                text(m.task_name), text(m.idempotency_key), text(m.description),
+                                text(m.retry_after_ms)});
             return true;
         });
+        return decoded.consumed;
     }
 };
 
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -60,14 +60,20 @@
 
     explicit PlatformRig(std::size_t descriptors = 256)
         : placer(world.process("10.0.0.1")), discovery_process(world.process("10.0.9.1")),
-          ledger(groups(), {4, true}, slow_start()),
-          server(placer, log, ledger, {"free", "marked", "once"}, kinds(), {"std"}, {"a", "b"},
-                 250 * kMillisecond, 15 * kSecond, descriptors, 5),
+          ledger(groups(), {4, true}, slow_start()), server(placer, log, ledger,
+                                                            {{"free", "marked", "once"},
+                                                             kinds(),
+                                                             {"std"},
+                                                             {"a", "b"},
+                                                             250 * kMillisecond,
+                                                             15 * kSecond,
+                                                             descriptors,
+                                                             5}),
           planner(server, 5, 0, groups(), kinds(), WorkerAcceptance{2.5, 1.5, true, false, true, false, true},
                   slow_start(), {}, {4, true}, {}) {
         server.set_planner(planner);
         open_discovery("10.0.9.1:1");
-        require(server.listen("10.0.0.1:3868").empty());
+        require(server.listen("10.0.0.1:3868").has_value());
     }
     static void require(bool well) {
         if (!well) throw std::runtime_error("the rig does not stand");
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -62,7 +62,8 @@
         require(::send(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size()),
                 "send");
     }
-    void send_plain(MessageType type, std::uint64_t id, std::uint8_t cause = 0) {
+    void send_plain(MessageType type, std::uint64_t id,
+                    platform_codec::Cause cause = platform_codec::Cause::check_failed) {
         Message m;
         m.type = type;
         m.task = id;
@@ -173,11 +174,17 @@
         : port(ListeningSocket().port()),
           ledger(groups(), {4, true}, {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}),
           server(std::make_unique<platform::PlatformServer>(
-              loop, log, ledger, std::vector<std::string>{"free", "marked", "once"},
-              std::vector<WorkerKind>{{16, 32}}, std::vector<std::string>{"std"},
-              std::vector<std::string>{"a", "b"}, dial_timeout, 15 * kSecond, descriptors, 5)) {
+              loop, log, ledger,
+              platform::PlatformServerOptions{{"free", "marked", "once"},
+                                              {{16, 32}},
+                                              {"std"},
+                                              {"a", "b"},
+                                              dial_timeout,
+                                              15 * kSecond,
+                                              descriptors,
+                                              5})) {
         server->set_planner(planner);
-        require(server->listen("127.0.0.1:" + std::to_string(port)).empty(), "the front listens");
+        require(server->listen("127.0.0.1:" + std::to_string(port)).has_value(), "the server listens");
         server->discovery_watch().follow(discovery.address(), 0);
     }
     static std::vector<QueueGroup> groups() {
