--- a/src/platform/bootstrap_config.cpp
+++ b/src/platform/bootstrap_config.cpp
@@ -103,9 +103,9 @@
 
 }  // namespace
 
-BootstrapError::BootstrapError(std::string in_source, std::string at_key, std::string what_problem)
-    : std::runtime_error(error_text(in_source, at_key, what_problem)), source(std::move(in_source)),
-      key(std::move(at_key)), problem(std::move(what_problem)) {}
+BootstrapError::BootstrapError(std::string source, std::string key, std::string problem)
+    : std::runtime_error(error_text(source, key, problem)), source(std::move(source)), key(std::move(key)),
+      problem(std::move(problem)) {}
 
 BootstrapConfig BootstrapConfig::read(const std::string& path) {
     std::ifstream in(path, std::ios::binary);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -7,9 +7,9 @@
 
 namespace whinpost::settings {
 
-SettingsError::SettingsError(std::string in_source, std::string at_key, std::string what_problem)
-    : std::runtime_error(in_source + ": " + at_key + " " + what_problem), source(std::move(in_source)),
-      key(std::move(at_key)), problem(std::move(what_problem)) {}
+SettingsError::SettingsError(std::string source, std::string key, std::string problem)
+    : std::runtime_error(source + ": " + key + " " + problem), source(std::move(source)), key(std::move(key)),
+      problem(std::move(problem)) {}
 
 namespace {
 
