--- a/apps/embedded_placer.h
+++ b/apps/embedded_placer.h
@@ -1,9 +1,11 @@
-// A placer in one process: edge and planner with a direct call between them, made of a file that was read
-// whole.
+// A placer in one process: its server and its planner with a direct call between them, made from a file that
+// was checked whole.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <memory>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "config/placer_file.h"
@@ -12,38 +14,35 @@
 
 namespace whinpost::apps {
 
+using LedgerFactory =
+    std::function<std::unique_ptr<ledger::Ledger>(std::vector<QueueGroup>, RetrySettings, SlowStartSettings)>;
+
+struct EmbeddedPlacerOptions {
+    std::uint64_t seed = 0;         // used where the file gives none
+    std::uint64_t incarnation = 0;  // tells this life of the placer from earlier ones
+    LedgerFactory make_ledger;      // empty: the program's own; tests use one that allows what it must not
+};
+
 class EmbeddedPlacer {
 public:
-    // Reads all tables; `problems` says what is wrong, and then nothing was made. `seed` and `incarnation`
-    // are used where the file leaves them to chance.
-    // `ledger`, if given, makes another ledger than the program's: tests break it on purpose.
-    using MakeLedger = std::function<std::unique_ptr<ledger::Ledger>(std::vector<QueueGroup>, RetrySettings,
-                                                                     SlowStartSettings)>;
-    static std::unique_ptr<EmbeddedPlacer> make(net::EventLoop&, config::Document&, std::uint64_t seed,
-                                                std::uint64_t incarnation, std::vector<std::string>& problems,
-                                                const MakeLedger& ledger = {});
-    // Empty if it listens; else what is wrong.
-    std::string start() {
-        const auto listening = edge.start(listen, {list, on_request});
-        return listening ? std::string() : listen + ": " + to_string(listening.error());
+    // The loop must outlive the placer.
+    [[nodiscard]] static tl::expected<std::unique_ptr<EmbeddedPlacer>, config::ConfigErrors> make(
+        net::EventLoop&, config::Document&, const EmbeddedPlacerOptions&);
+    [[nodiscard]] tl::expected<void, net::ListenError> start() {
+        return edge.start(listen_address, {discovery_address, polls_discovery});
     }
 
-    std::string listen, list;
-    bool on_request = false;
+    std::string listen_address, discovery_address;
+    bool polls_discovery = false;
     log::Logger log;
-    std::vector<std::string> names;
+    std::vector<std::string> group_names;
     admission::AdmissionController intake;
     std::unique_ptr<ledger::Ledger> ledger;
     server::PlacerServer edge;
     planner::LocalPlanner planner;
 
 private:
-    EmbeddedPlacer(net::EventLoop&, const config::PlacerSettings&,
-                   const std::vector<config::NamedQueueGroup>&, const std::vector<WorkerKind>&,
-                   WorkerAcceptance, SlowStartSettings, const config::DiscoveryService&, RetrySettings,
-                   Prices, admission::AdmissionLimits, worker_connection::ConnectionSettings,
-                   config::DialLimits, config::LogSettings, std::uint64_t seed, std::uint64_t incarnation,
-                   const MakeLedger&);
+    EmbeddedPlacer(net::EventLoop&, const config::PlacerFile&, const EmbeddedPlacerOptions&);
 };
 
 }  // namespace whinpost::apps
--- a/apps/migrate.cpp
+++ b/apps/migrate.cpp
@@ -4,9 +4,11 @@
 #include <unistd.h>
 
 #include <cerrno>
+#include <cstdlib>
 #include <cstring>
 #include <filesystem>
 #include <iostream>
+#include <optional>
 
 #include "config/document.h"
 #include "migrate/migrate.h"
@@ -15,65 +17,71 @@
 
 namespace {
 
-bool read(const std::string& path, whinpost::migrate::NamedText& into) {
-    const std::optional<std::string> text = config::read_text_file(path);
-    if (text) into = {path, *text};
-    else std::cerr << path << ":0: file: can't be read\n";
-    return text.has_value();
+enum ExitStatus { kAllCarried = 0, kSomethingLeftBehind = 1, kError = 2 };
+
+int fail(const std::string& path, const std::string& problem) {
+    std::cerr << to_string(config::ConfigError{path, 0, "file", problem}) << '\n';
+    return kError;
+}
+
+std::optional<whinpost::migrate::NamedText> read(const std::string& path) {
+    std::optional<std::string> text = config::read_text_file(path);
+    if (text) return whinpost::migrate::NamedText{path, std::move(*text)};
+    fail(path, "can't be read");
+    return std::nullopt;
 }
 
-// Written beside its place, then linked there: the link fails where a file stands, so none is overwritten,
-// and a half-written one never has the name.
-std::string write_new(const std::string& path, const std::string& text) {
-    std::string beside = path + ".XXXXXX";
-    const int to = mkstemp(beside.data());
-    if (to < 0) return std::strerror(errno);
-    std::string wrong;
-    for (std::size_t done = 0; wrong.empty() && done < text.size();) {
-        const ssize_t n = ::write(to, text.data() + done, text.size() - done);
-        if (n < 0 && errno != EINTR) wrong = std::strerror(errno);
-        if (n > 0) done += static_cast<std::size_t>(n);
+// Empty, or the system's error text.
+std::string write_all(int descriptor, const std::string& text) {
+    for (std::size_t written = 0; written < text.size();) {
+        const ssize_t bytes = ::write(descriptor, text.data() + written, text.size() - written);
+        if (bytes < 0 && errno != EINTR) return std::strerror(errno);
+        if (bytes > 0) written += static_cast<std::size_t>(bytes);
     }
-    if (wrong.empty() && (fchmod(to, 0644) || fsync(to))) wrong = std::strerror(errno);
-    if (::close(to) && wrong.empty()) wrong = std::strerror(errno);
-    if (wrong.empty() && link(beside.c_str(), path.c_str())) wrong = std::strerror(errno);
-    unlink(beside.c_str());
-    return wrong;
+    if (fchmod(descriptor, 0644) || fsync(descriptor)) return std::strerror(errno);
+    return "";
 }
 
-void say(const char* what, const std::vector<std::string>& all) {
-    std::cout << what << ": " << (all.empty() ? "nothing" : "") << '\n';
-    for (const std::string& s : all) std::cout << "  " << s << '\n';
+// Written under another name, then linked to its own: the link fails where a file exists, so none is
+// overwritten, and a file of that name is never half written. Empty, or the system's error text.
+std::string write_new_file(const std::string& path, const std::string& text) {
+    std::string temporary = path + ".XXXXXX";
+    const int descriptor = mkstemp(temporary.data());
+    if (descriptor < 0) return std::strerror(errno);
+    std::string error = write_all(descriptor, text);
+    if (::close(descriptor) && error.empty()) error = std::strerror(errno);
+    if (error.empty() && link(temporary.c_str(), path.c_str())) error = std::strerror(errno);
+    unlink(temporary.c_str());
+    return error;
+}
+
+void print(const char* heading, const std::vector<std::string>& lines) {
+    std::cout << heading << ": " << (lines.empty() ? "nothing" : "") << '\n';
+    for (const std::string& line : lines) std::cout << "  " << line << '\n';
 }
 
 }  // namespace
 
-int migrate(const std::string& old_path, const std::string& shape_path, const std::string& new_path,
-            bool dry_run) {
-    whinpost::migrate::NamedText old, shape;
-    const bool old_read = read(old_path, old), shape_read = read(shape_path, shape);  // both are told of
-    if (!old_read || !shape_read) return 2;
-    const whinpost::migrate::MigrationResult c =
-        whinpost::migrate::migrate_configuration(old, shape, new_path);
-    for (const std::string& p : c.problems) std::cerr << p << '\n';
-    if (!c.problems.empty()) return 2;
-    std::error_code none;
-    if (std::filesystem::exists(std::filesystem::symlink_status(new_path, none))) {
-        std::cerr << new_path << ":0: file: stands already, and is not overwritten\n";
-        return 2;
-    }
-    if (!dry_run) {
-        const std::string wrong = write_new(new_path, c.text);
-        if (!wrong.empty()) {
-            std::cerr << new_path << ":0: file: can't be written: " << wrong << '\n';
-            return 2;
-        }
+int migrate(const MigrateOptions& options) {
+    const auto old = read(options.old_path);
+    const auto shape = read(options.shape_path);  // also if the other can't be read: both are reported
+    if (!old || !shape) return kError;
+    const whinpost::migrate::MigrationResult result =
+        whinpost::migrate::migrate_configuration(*old, *shape, options.new_path);
+    for (const config::ConfigError& error : result.errors) std::cerr << to_string(error) << '\n';
+    if (!result.errors.empty()) return kError;
+    std::error_code ignored;
+    if (std::filesystem::exists(std::filesystem::symlink_status(options.new_path, ignored)))
+        return fail(options.new_path, "stands already, and is not overwritten");
+    if (!options.dry_run) {
+        const std::string error = write_new_file(options.new_path, result.text);
+        if (!error.empty()) return fail(options.new_path, "can't be written: " + error);
     }
-    say("carried", c.carried);
-    say("replaced by the shape", c.replaced);
-    say("left behind", c.left_behind);
-    std::cout << new_path << (dry_run ? ": would be written\n" : ": written\n");
-    return c.left_behind.empty() ? 0 : 1;
+    print("carried", result.carried);
+    print("replaced by the shape", result.replaced);
+    print("left behind", result.left_behind);
+    std::cout << options.new_path << (options.dry_run ? ": would be written\n" : ": written\n");
+    return result.left_behind.empty() ? kAllCarried : kSomethingLeftBehind;
 }
 
 }  // namespace whinpost::apps
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -4,117 +4,115 @@
 
 #include <CLI/CLI.hpp>
 #include <cerrno>
-#include <csignal>
 #include <cstring>
+#include <exception>
 #include <filesystem>
 #include <iostream>
-#include <random>
+#include <map>
 #include <string>
 #include <vector>
 
-#include "embedded_placer.h"
 #include "migrate.h"
-#include "net/libevent_loop.h"
 #include "platform.h"
+#include "run.h"
 
 namespace {
 
 using namespace whinpost;
 
-int check(const std::string& path) {
-    config::Document file = config::Document::read(path);
-    const std::vector<std::string> problems = config::check(file);
-    for (const std::string& p : problems) std::cerr << p << '\n';
-    if (problems.empty()) std::cout << path << ": ok\n";
-    return problems.empty() ? 0 : 1;
+const std::map<std::string, log::Level> kLogLevels = {{"debug", log::Level::debug},
+                                                      {"info", log::Level::info},
+                                                      {"warning", log::Level::warning},
+                                                      {"error", log::Level::error},
+                                                      {"off", log::Level::off}};
+
+struct Options {
+    std::string path;
+    apps::MigrateOptions migrate;
+    std::string log_level = "info";
+};
+
+struct Commands {
+    CLI::App* run = nullptr;
+    CLI::App* check = nullptr;
+    CLI::App* rehearse = nullptr;
+    CLI::App* migrate = nullptr;
+    CLI::App* platform = nullptr;
+};
+
+void add_migrate(CLI::App& app, Commands& commands, apps::MigrateOptions& options) {
+    commands.migrate = app.add_subcommand(
+        "migrate", "Write a configuration's counterpart for a deployment of another shape");
+    commands.migrate->add_option("old", options.old_path, "The configuration that stands (TOML)")->required();
+    commands.migrate->add_option("--shape", options.shape_path, "What describes the new deployment (TOML)")
+        ->required();
+    commands.migrate->add_option("--out", options.new_path, "The file to write; it must not stand yet")
+        ->required();
+    commands.migrate->add_flag("--dry-run", options.dry_run, "Say the same, and change nothing");
+    commands.migrate->footer("Exit status: 0 all carried, 1 written but something left behind, 2 an error.");
 }
 
-int run(const std::string& path) {
-    net::LibeventLoop loop;
-    config::Document file = config::Document::read(path);
-    std::vector<std::string> problems;
-    std::random_device chance;
-    const auto draw = [&chance] { return (static_cast<std::uint64_t>(chance()) << 32 | chance()) | 1; };
-    const auto placer = apps::EmbeddedPlacer::make(loop, file, draw(), draw(), problems);
-    for (const std::string& p : problems) std::cerr << p << '\n';
-    if (!placer) return 1;
-    const std::string wrong = placer->start();
-    if (!wrong.empty()) {
-        std::cerr << path << ": placer.listen: " << wrong << '\n';
-        return 1;
-    }
-    bool asked = false;
-    const auto stop = [&] {
-        if (std::exchange(asked, true)) return loop.stop();  // the second one: at once
-        placer->edge.drain([&loop] { loop.stop(); });
-    };
-    loop.on_signal(SIGTERM, stop);
-    loop.on_signal(SIGINT, stop);
-    loop.run();
-    return 0;
+void add_platform(CLI::App& app, Commands& commands, std::string& log_level) {
+    commands.platform = app.add_subcommand(
+        "platform", "Run one placer on the platform's protocol, as GW_NAME, GW_LISTEN and GW_CONFIG say");
+    commands.platform->add_option("--log", log_level, "The least that is logged")
+        ->check(CLI::IsMember({"debug", "info", "warning", "error", "off"}));
+    commands.platform->footer("SIGHUP: reads the file again. SIGTERM: answers all that is owed, then ends.");
+}
+
+Commands add_commands(CLI::App& app, Options& options) {
+    Commands commands;
+    commands.run = app.add_subcommand("run", "Run one placer: edge and planner in this process");
+    commands.run->add_option("file", options.path, "The placer's configuration (TOML)")->required();
+    commands.run->footer(
+        "SIGTERM or SIGINT: takes no new containers, gives every answer that is owed, ends. A second: at "
+        "once.");
+    commands.check = app.add_subcommand("check", "Check a configuration, and say all that is wrong with it");
+    commands.check->add_option("file", options.path, "The placer's configuration (TOML)")->required();
+    commands.rehearse =
+        app.add_subcommand("rehearse", "Rehearse an incident with stand-ins (rehearse --help says how)");
+    commands.rehearse->prefix_command();
+    commands.rehearse->set_help_flag();
+    add_migrate(app, commands, options.migrate);
+    add_platform(app, commands, options.log_level);
+    return commands;
 }
 
-// The stand-ins are a program of their own, beside this one, and never linked into it.
-int rehearse(const char* self, std::vector<std::string> args) {
+// The emulator is a program of its own, in the same folder, and never linked into this one. Returns only if
+// it can't be started.
+int exec_emulator(const char* self, std::vector<std::string> arguments) {
     const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-emulator").string();
-    args.insert(args.begin(), {program, "rehearse"});
-    std::vector<char*> words;
-    for (std::string& a : args) words.push_back(a.data());
-    words.push_back(nullptr);
-    execvp(program.c_str(), words.data());
+    arguments.insert(arguments.begin(), {program, "rehearse"});
+    std::vector<char*> argv;
+    for (std::string& argument : arguments) argv.push_back(argument.data());
+    argv.push_back(nullptr);
+    execvp(program.c_str(), argv.data());
     std::cerr << program << ": " << std::strerror(errno)
               << " (the stand-ins' program stands beside this one)\n";
     return 2;
 }
 
+int run_or_check(const Commands& commands, const std::string& path) {
+    // A message that can't be parsed is logged by the endpoint that read it, in the log's own form.
+    google::protobuf::SetLogHandler(nullptr);
+    try {
+        return commands.check->parsed() ? apps::check(path) : apps::run(path);
+    } catch (const std::exception& error) {
+        std::cerr << "whinpost: " << error.what() << '\n';
+        return 1;
+    }
+}
+
 }  // namespace
 
 int main(int argc, char** argv) {
     CLI::App app{"whinpost: places long-running containers on the machines of a cluster"};
     app.require_subcommand(1);
-    std::string path;
-    CLI::App* run_command = app.add_subcommand("run", "Run one placer: edge and planner in this process");
-    run_command->add_option("file", path, "The placer's configuration (TOML)")->required();
-    run_command->footer(
-        "SIGTERM or SIGINT: takes no new containers, gives every answer that is owed, ends. A second: at "
-        "once.");
-    CLI::App* check_command =
-        app.add_subcommand("check", "Check a configuration, and say all that is wrong with it");
-    check_command->add_option("file", path, "The placer's configuration (TOML)")->required();
-    CLI::App* rehearse_command =
-        app.add_subcommand("rehearse", "Rehearse an incident with stand-ins (rehearse --help says how)");
-    rehearse_command->prefix_command();
-    rehearse_command->set_help_flag();
-    CLI::App* migrate_command = app.add_subcommand(
-        "migrate", "Write a configuration's counterpart for a deployment of another shape");
-    std::string shape, out;
-    bool dry_run = false;
-    migrate_command->add_option("old", path, "The configuration that stands (TOML)")->required();
-    migrate_command->add_option("--shape", shape, "What describes the new deployment (TOML)")->required();
-    migrate_command->add_option("--out", out, "The file to write; it must not stand yet")->required();
-    migrate_command->add_flag("--dry-run", dry_run, "Say the same, and change nothing");
-    migrate_command->footer("Exit status: 0 all carried, 1 written but something left behind, 2 an error.");
-    CLI::App* platform_command = app.add_subcommand(
-        "platform", "Run one placer on the platform's protocol, as GW_NAME, GW_LISTEN and GW_CONFIG say");
-    std::string level = "info";
-    platform_command->add_option("--log", level, "The least that is logged")
-        ->check(CLI::IsMember({"debug", "info", "warning", "error", "off"}));
-    platform_command->footer("SIGHUP: reads the file again. SIGTERM: answers all that is owed, then ends.");
+    Options options;
+    const Commands commands = add_commands(app, options);
     CLI11_PARSE(app, argc, argv);
-    if (platform_command->parsed())
-        return apps::platform(level == "debug"     ? log::Level::debug
-                              : level == "info"    ? log::Level::info
-                              : level == "warning" ? log::Level::warning
-                              : level == "error"   ? log::Level::error
-                                                   : log::Level::off);
-    if (migrate_command->parsed()) return apps::migrate(path, shape, out, dry_run);
-    if (rehearse_command->parsed()) return rehearse(argv[0], rehearse_command->remaining());
-    // What can't be parsed is told by the door that read it, in the log's own form.
-    google::protobuf::SetLogHandler(nullptr);
-    try {
-        return check_command->parsed() ? check(path) : run(path);
-    } catch (const std::exception& e) {
-        std::cerr << "whinpost: " << e.what() << '\n';
-        return 1;
-    }
+    if (commands.platform->parsed()) return apps::platform(kLogLevels.at(options.log_level));
+    if (commands.migrate->parsed()) return apps::migrate(options.migrate);
+    if (commands.rehearse->parsed()) return exec_emulator(argv[0], commands.rehearse->remaining());
+    return run_or_check(commands, options.path);
 }
--- a/bench/virtual_time.cpp
+++ b/bench/virtual_time.cpp
@@ -21,14 +21,17 @@
     app.add_option("--seconds", seconds, "Another length");
     app.add_option("--rate", rate, "So many times its load");
     CLI11_PARSE(app, argc, argv);
-    std::vector<std::string> problems;
-    std::string problem;
-    const std::string text = simulation::load_scenario(path, problem);
-    if (!problem.empty()) problems.push_back(problem);
-    emulator::Scenario plan;
-    if (problems.empty()) plan = emulator::parse_scenario(text, path, problems, placers, nodes);
-    for (const std::string& p : problems) std::cerr << p << '\n';
-    if (!problems.empty()) return 2;
+    const auto text = simulation::load_scenario(path);
+    if (!text) {
+        std::cerr << to_string(text.error()) << '\n';
+        return 2;
+    }
+    auto parsed = emulator::parse_scenario(*text, path, {placers, nodes});
+    if (!parsed) {
+        for (const config::ConfigError& error : parsed.error()) std::cerr << to_string(error) << '\n';
+        return 2;
+    }
+    emulator::Scenario& plan = *parsed;
     if (seconds > 0) plan.length = static_cast<Nanos>(seconds * 1e9);
     for (emulator::LoadProfile& l : plan.loads) l.per_second *= rate;
     simulation::SimulatedNetwork world(plan.seed, simulation::network_delays(plan));
--- a/emulator/scenario_run.cpp
+++ b/emulator/scenario_run.cpp
@@ -58,8 +58,8 @@
     f.announce = t.boolean("tell", true);
     const bool share =
         f.kind == FaultKind::refuse || f.kind == FaultKind::fail_starts || f.kind == FaultKind::lose_answers;
-    if (share && f.size > 1) t.add_problem("size", "is a share here: at most 1");
-    if (lasting(f.kind) && !f.duration) t.add_problem("for_s", "is missing: this trouble lasts for a time");
+    if (share && f.size > 1) t.add_error("size", "is a share here: at most 1");
+    if (lasting(f.kind) && !f.duration) t.add_error("for_s", "is missing: this trouble lasts for a time");
     if (f.kind == FaultKind::rate || f.kind == FaultKind::swell) {
         if (f.kind == FaultKind::rate || t.has("group"))
             f.group = static_cast<int>(t.choice("group", groups));
@@ -79,14 +79,14 @@
         if (t.has("zone")) {
             const std::string name = t.string("zone");
             const auto at = std::find(p.zones.begin(), p.zones.end(), name);
-            if (at == p.zones.end()) t.add_problem("zone", "must be one of fleet.zones");
+            if (at == p.zones.end()) t.add_error("zone", "must be one of fleet.zones");
             for (std::size_t i = 0; i < p.workers && !p.zones.empty(); ++i)
                 if (static_cast<std::ptrdiff_t>(i % p.zones.size()) == at - p.zones.begin())
                     f.nodes.push_back(i);
         } else {
             for (std::size_t i = first; i < first + count; ++i) f.nodes.push_back(i);
         }
-        if (waves > f.nodes.size()) t.add_problem("waves", "must be no more than the nodes it is for");
+        if (waves > f.nodes.size()) t.add_error("waves", "must be no more than the nodes it is for");
     } else if (at_placer(f.kind)) {
         f.target =
             static_cast<std::size_t>(t.integer("placer", 0, static_cast<std::int64_t>(p.placers) - 1, 0));
@@ -95,7 +95,7 @@
             static_cast<std::size_t>(t.integer("owner", 0, static_cast<std::int64_t>(p.clients) - 1, 0));
     }
     if (f.at + static_cast<Nanos>(waves - 1) * every > p.length)
-        t.add_problem("waves", "must all begin within the day");
+        t.add_error("waves", "must all begin within the day");
     // The same trouble twice at once on one node, or any on what was killed for good, is a slip.
     std::size_t killed = 0;
     for (const Fault& o : p.faults) {
@@ -103,15 +103,15 @@
         for (const std::size_t n : f.nodes) {
             if (std::find(o.nodes.begin(), o.nodes.end(), n) == o.nodes.end()) continue;
             if (o.kind == f.kind && meet) {
-                t.add_problem("at_s", "overlaps with the same trouble on node " + std::to_string(n));
+                t.add_error("at_s", "overlaps with the same trouble on node " + std::to_string(n));
                 break;
             }
             killed += o.kind == FaultKind::kill && f.at > o.at;
         }
         if (o.kind == f.kind && meet && f.nodes.empty() && o.target == f.target && o.group == f.group)
-            t.add_problem("at_s", "overlaps with the same trouble named before");
+            t.add_error("at_s", "overlaps with the same trouble named before");
     }
-    if (!f.nodes.empty() && killed >= f.nodes.size()) t.add_problem("node", "is killed for good before");
+    if (!f.nodes.empty() && killed >= f.nodes.size()) t.add_error("node", "is killed for good before");
     for (std::size_t w = 0; w < waves; ++w) {
         Fault one = f;
         one.at = f.at + static_cast<Nanos>(w) * every;
@@ -131,53 +131,53 @@
     if (t.has("group")) e.group = static_cast<int>(t.choice("group", groups));
     e.from = t.duration("from_s", 0, p.length, 0);
     e.to = t.duration("to_s", 0, p.length, p.length);
-    if (e.to <= e.from) t.add_problem("to_s", "must be later than from_s");
+    if (e.to <= e.from) t.add_error("to_s", "must be later than from_s");
     const bool shares = e.metric == Metric::placed || e.metric == Metric::in_time ||
                         e.metric == Metric::service || e.metric == Metric::worst_second ||
                         e.metric == Metric::refused || e.metric == Metric::busiest;
     const double most = shares ? 1 : 1e9;
     e.at_least = t.has("at_least");
     if (e.at_least == t.has("at_most"))
-        t.add_problem("at_least", "or at_most must be there, and one of them only");
+        t.add_error("at_least", "or at_most must be there, and one of them only");
     else e.bound = t.number(e.at_least ? "at_least" : "at_most", 0, most);
     if (e.metric == Metric::back) e.share = t.number("share", 0, 1);
     const auto any = [&p](auto which) { return std::any_of(p.faults.begin(), p.faults.end(), which); };
     if (e.group >= 0 && std::none_of(p.loads.begin(), p.loads.end(), [&e](const LoadProfile& l) {
             return l.group == e.group && l.per_second > 0;
         }))
-        t.add_problem("group", "has no load: this can never be checked");
+        t.add_error("group", "has no load: this can never be checked");
     if (e.metric == Metric::drain_lag && !any([](const Fault& f) { return f.kind == FaultKind::drain; }))
-        t.add_problem("of", "is about drains, and no node drains: this can never be checked");
+        t.add_error("of", "is about drains, and no node drains: this can never be checked");
     if (e.metric == Metric::fallen &&
         !any([](const Fault& f) { return f.kind == FaultKind::drain || f.kind == FaultKind::rejoin; }))
-        t.add_problem("of", "is about cold nodes, and none comes up: this can never be checked");
+        t.add_error("of", "is about cold nodes, and none comes up: this can never be checked");
     if (e.metric == Metric::back && !any([&e](const Fault& f) { return f.at <= e.from; }))
-        t.add_problem("from_s", "is before all troubles: there is nothing to be back from");
+        t.add_error("from_s", "is before all troubles: there is nothing to be back from");
     return e;
 }
 
-Scenario plan_of(config::Document& file, const std::string& text, std::vector<std::string>& problems,
-                 std::size_t placers, std::size_t nodes) {
+tl::expected<Scenario, config::ConfigErrors> plan_of(config::Document& file, const std::string& text,
+                                                     const ScenarioOverrides& overrides) {
     Scenario p;
     config::Table root = file.root();
     if (root.has("like")) root.string("like");  // whose tables were added by whoever read the file
-    if (!root.has("day")) root.add_problem("day", "is missing: a table with length_s");
+    if (!root.has("day")) root.add_error("day", "is missing: a table with length_s");
     config::Table day = root.table("day");
     p.name = day.string("name", "day");
     p.length = day.duration("length_s", kSecond, 24 * 3600 * kSecond, 30 * kSecond);
     p.seed = static_cast<std::uint64_t>(day.integer("seed", 1, INT64_MAX, 1));
     p.placers = static_cast<std::size_t>(day.integer("placers", 1, 1000, 1));
-    if (placers) p.placers = placers;
+    if (overrides.placers) p.placers = overrides.placers;
     p.clients = static_cast<std::size_t>(day.integer("owners", 1, 1000, 1));
     p.discovery_pushes = day.boolean("list_pushes", true);
     p.slack = day.duration("slack_ms", kMillisecond, 10 * kSecond, p.slack);
     p.discovery_delay = day.duration("list_late_ms", 0, 3600 * kSecond, 500 * kMillisecond);
 
-    if (!root.has("fleet")) root.add_problem("fleet", "is missing: a table with nodes and zones");
+    if (!root.has("fleet")) root.add_error("fleet", "is missing: a table with nodes and zones");
     config::Table fleet = root.table("fleet");
     p.workers = static_cast<std::size_t>(fleet.integer("nodes", 1, 100'000));
     if (day.has("nodes")) p.workers = static_cast<std::size_t>(day.integer("nodes", 1, 100'000));
-    if (nodes) p.workers = nodes;
+    if (overrides.workers) p.workers = overrides.workers;
     p.zones = fleet.strings("zones");
     p.cells_per_zone = static_cast<int>(fleet.integer("cells_in_zone", 1, 10'000, 1));
     EmulatedWorkerSettings& n = p.worker;
@@ -228,14 +228,14 @@
         l.batch_size = static_cast<int>(t.integer("batch", 1, 10'000, 1));
         l.cores = amounts(t, "cores");
         l.memory = amounts(t, "memory");
-        if (l.cores.size() != l.memory.size()) t.add_problem("memory", "must have as many shapes as cores");
+        if (l.cores.size() != l.memory.size()) t.add_error("memory", "must have as many shapes as cores");
         l.queue_timeout = t.duration("queue_timeout_ms", 10 * kMillisecond, hour);
         l.min_runtime = t.duration("life_least_ms", kMillisecond, hour, l.min_runtime);
         l.max_runtime =
             t.duration("life_most_ms", l.min_runtime, hour, std::max(l.min_runtime, l.max_runtime));
         p.loads.push_back(l);
     }
-    if (p.loads.empty()) root.add_problem("load", "must name one load or more");
+    if (p.loads.empty()) root.add_error("load", "must name one load or more");
     p.first_placer_share = day.number("lean", 0, 1, 0);
     if (root.has("network")) {
         config::Table net = root.table("network");
@@ -259,8 +259,8 @@
     std::stable_sort(p.faults.begin(), p.faults.end(),
                      [](const Fault& a, const Fault& b) { return a.at < b.at; });
     for (config::Table& t : root.tables("expect")) p.expectations.push_back(read_expect(p, t, group_names));
-    problems = file.problems();
-    if (!problems.empty()) return p;
+    config::ConfigErrors errors = file.take_errors();
+    if (!errors.empty()) return tl::unexpected(std::move(errors));
     toml::table all = toml::parse(text);
     for (const char* own :
          {"like", "day", "fleet", "load", "fault", "expect", "list_at_start", "network", "placer", "list"})
@@ -275,10 +275,10 @@
 
 std::string_view to_string(Metric of) { return kOf[static_cast<std::size_t>(of)]; }
 
-Scenario parse_scenario(const std::string& text, const std::string& name, std::vector<std::string>& problems,
-                        std::size_t placers, std::size_t nodes) {
+tl::expected<Scenario, config::ConfigErrors> parse_scenario(const std::string& text, const std::string& name,
+                                                            const ScenarioOverrides& overrides) {
     config::Document file = config::Document::parse(text, name);
-    return plan_of(file, text, problems, placers, nodes);
+    return plan_of(file, text, overrides);
 }
 
 std::string placer_configuration(const Scenario& p, std::size_t i, const std::string& listen,
--- a/emulator/scenario_run.h
+++ b/emulator/scenario_run.h
@@ -6,6 +6,7 @@
 #include <map>
 #include <memory>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "config/document.h"
@@ -122,10 +123,14 @@
     std::string placer_tables;        // TOML: what all placers' files have in common
 };
 
-// Empty problems: the plan can be played.
-// `placers`, `nodes`: others than the script's, if not 0.
-Scenario parse_scenario(const std::string& text, const std::string& name, std::vector<std::string>& problems,
-                        std::size_t placers = 0, std::size_t nodes = 0);
+// Numbers that replace the script's own, where they are not 0.
+struct ScenarioOverrides {
+    std::size_t placers = 0, workers = 0;
+};
+// Checks the script whole. `name`: the file's, in errors.
+[[nodiscard]] tl::expected<Scenario, config::ConfigErrors> parse_scenario(const std::string& text,
+                                                                          const std::string& name,
+                                                                          const ScenarioOverrides& = {});
 // A whole placer's file.
 std::string placer_configuration(const Scenario&, std::size_t placer, const std::string& listen,
                                  const std::string& list);
--- a/fuzz/configuration_files.cpp
+++ b/fuzz/configuration_files.cpp
@@ -1,4 +1,4 @@
-// Any text as a placer's file, as a shape to move one to, or a day's script: values in range, or problems
+// Any text as a placer's file, as a shape to migrate one to, or as a scenario: values in range, or errors
 // that name the file; never a crash.
 #include "config/placer_file.h"
 #include "emulator/scenario_run.h"
@@ -29,24 +29,23 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
     const std::string text(reinterpret_cast<const char*>(data), size);
-    config::Document d = config::Document::parse(text, "f");
-    config::Table root = d.root();
+    config::Document document = config::Document::parse(text, "f");
+    config::Table root = document.root();
     config::placer_settings(root);
     const auto kinds = config::worker_kinds(root);
     const auto groups = config::queue_groups(root, kinds.size());
     config::worker_acceptance(root);
     config::discovery_service(root);
     config::connection_settings(root);
-    const std::vector<std::string> found = d.problems();
-    for (const std::string& p : found)
-        if (p.rfind("f:", 0) != 0) __builtin_trap();
+    const config::ConfigErrors found = document.take_errors();
+    for (const config::ConfigError& error : found)
+        if (to_string(error).rfind("f:", 0) != 0) __builtin_trap();
     if (found.empty() && (kinds.empty() || groups.empty())) __builtin_trap();
-    std::vector<std::string> problems;
-    const emulator::Scenario plan = emulator::parse_scenario(text, "f", problems);
-    if (problems.empty() && (plan.loads.empty() || plan.workers == 0)) __builtin_trap();
+    const auto scenario = emulator::parse_scenario(text, "f");
+    if (scenario && (scenario->loads.empty() || scenario->workers == 0)) __builtin_trap();
     // What stands as an old file or as a shape gives a file that passes, or problems.
-    for (const auto& c : {migrate::migrate_configuration({"f", kOld}, {"f", text}, "n"),
-                          migrate::migrate_configuration({"f", text}, {"f", text}, "n")})
-        if (c.problems.empty() == c.text.empty()) __builtin_trap();
+    for (const auto& result : {migrate::migrate_configuration({"f", kOld}, {"f", text}, "n"),
+                               migrate::migrate_configuration({"f", text}, {"f", text}, "n")})
+        if (result.errors.empty() == result.text.empty()) __builtin_trap();
     return 0;
 }
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -87,7 +87,7 @@
 
 std::string header(const std::string& table) { return table.substr(0, table.find('\n')); }
 
-std::string with_base(const std::string& text, std::string& problem) {
+tl::expected<std::string, ScenarioLoadError> with_base(const std::string& text) {
     const std::vector<std::string> own = tables(text);
     constexpr std::string_view kLike = "like = \"";
     const std::size_t at = own[0].rfind(kLike, 0) == 0 ? 0 : own[0].find("\n" + std::string(kLike)) + 1;
@@ -96,10 +96,8 @@
     const std::string name = own[0].substr(from, own[0].find('"', from) - from);
     const auto base = std::find_if(base_scenarios().begin(), base_scenarios().end(),
                                    [&](const BundledScenario& s) { return s.name == name; });
-    if (base == base_scenarios().end()) {
-        problem = "like: there is no base \"" + name + "\"";
-        return text;
-    }
+    if (base == base_scenarios().end())
+        return tl::unexpected(ScenarioLoadError{ScenarioLoadError::Kind::unknown_base, name});
     std::set<std::string> has;
     for (const std::string& t : own) has.insert(header(t));
     std::string whole = text + "\n";
@@ -111,15 +109,22 @@
 
 }  // namespace
 
-std::string load_scenario(const std::string& name, std::string& problem) {
+std::string to_string(const ScenarioLoadError& error) {
+    switch (error.kind) {
+        case ScenarioLoadError::Kind::unknown_scenario:
+            return error.name + ": no scenario of that name, and no file that can be read (see --list)";
+        case ScenarioLoadError::Kind::unknown_base:
+            return "like: there is no base \"" + error.name + "\"";
+    }
+    return "";
+}
+
+tl::expected<std::string, ScenarioLoadError> load_scenario(const std::string& name) {
     for (const BundledScenario& s : scenarios())
-        if (s.name == name) return with_base(s.text, problem);
+        if (s.name == name) return with_base(s.text);
     std::ifstream in(name, std::ios::binary);
-    if (!in) {
-        problem = name + ": no scenario of that name, and no file that can be read (see --list)";
-        return "";
-    }
-    return with_base({std::istreambuf_iterator<char>(in), {}}, problem);
+    if (!in) return tl::unexpected(ScenarioLoadError{ScenarioLoadError::Kind::unknown_scenario, name});
+    return with_base({std::istreambuf_iterator<char>(in), {}});
 }
 
 void run_scenario(const emulator::Scenario& plan, const std::string& planner,
@@ -144,13 +149,13 @@
 }
 
 int run_rehearsal(const RehearsalOptions& wish, std::ostream& to, std::ostream& err) {
-    std::string problem;
-    const std::string text = load_scenario(wish.scenario, problem);
     std::vector<std::string> problems;
-    if (!problem.empty()) problems.push_back(problem);
     emulator::Scenario plan;
-    if (problems.empty())
-        plan = emulator::parse_scenario(text, wish.scenario, problems, wish.placers, wish.workers);
+    if (const auto text = load_scenario(wish.scenario); !text) problems.push_back(to_string(text.error()));
+    else if (auto parsed = emulator::parse_scenario(*text, wish.scenario, {wish.placers, wish.workers}))
+        plan = std::move(*parsed);
+    else
+        for (const config::ConfigError& error : parsed.error()) problems.push_back(to_string(error));
     if (wish.planner != "whinpost" && !policy_of(wish.planner))
         problems.push_back("--planner: must be whinpost, random, least_asked or two_choices");
     if (wish.sockets && wish.planner != "whinpost")
--- a/simulation/rehearsal.h
+++ b/simulation/rehearsal.h
@@ -4,6 +4,7 @@
 #include <functional>
 #include <iosfwd>
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "emulator/scenario_run.h"
@@ -23,9 +24,15 @@
     bool quiet = false;
 };
 
-// The scenario's text, or a problem. Where it says `like = "name"`, the tables of that base that it does not
-// have itself stand after its own, so that its lines keep their numbers.
-std::string load_scenario(const std::string& name_or_file, std::string& problem);
+struct ScenarioLoadError {
+    enum class Kind { unknown_scenario, unknown_base } kind;
+    std::string name;
+};
+std::string to_string(const ScenarioLoadError&);
+
+// The scenario's text. Where it says `like = "name"`, the tables of that base that it does not have itself
+// stand after its own, so that its lines keep their numbers.
+[[nodiscard]] tl::expected<std::string, ScenarioLoadError> load_scenario(const std::string& name_or_file);
 
 // Plays it, writes progress and report to `to`, problems to `err`. 0: the rules held and all that is expected
 // was met; 1: not; 2: it could not be played.
--- a/simulation/scenario_generator.cpp
+++ b/simulation/scenario_generator.cpp
@@ -24,15 +24,12 @@
         const int wanted = 2 + roll(big_ ? 4 : 3);
         for (int have = 0, tried = 0; have < wanted && tried < 60; ++tried) {
             const std::string with = whole + fault();
-            std::vector<std::string> problems;
-            emulator::parse_scenario(with, "drawn", problems);
-            if (!problems.empty()) continue;
+            if (!emulator::parse_scenario(with, "drawn")) continue;
             whole = with;
             ++have;
         }
-        std::vector<std::string> problems;
-        emulator::parse_scenario(whole, "drawn", problems);
-        if (!problems.empty()) throw std::logic_error("a drawn scenario can't be read: " + problems[0]);
+        if (const auto drawn = emulator::parse_scenario(whole, "drawn"); !drawn)
+            throw std::logic_error("a drawn scenario can't be read: " + to_string(drawn.error().at(0)));
         return whole;
     }
 
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -32,15 +32,15 @@
     text.replace(text.find(list), list.size(), "address = \"10.255.0.1:1\"");
     if (text.find("[log]") == std::string::npos) text += "\n[log]\nlevel = \"off\"\n";
     config::Document document = config::Document::parse(text, "placer-" + std::to_string(i));
-    std::vector<std::string> problems;
     ++incarnations_;
-    placers_[i] = apps::EmbeddedPlacer::make(*processes_[i], document, i * 1000 + incarnations_,
-                                             incarnations_, problems, ledger);
-    if (!placers_[i]) throw std::runtime_error(problems.at(0));
-    placers_[i]->list = discovery_address();
+    auto placer = apps::EmbeddedPlacer::make(*processes_[i], document,
+                                             {i * 1000 + incarnations_, incarnations_, ledger});
+    if (!placer) throw std::runtime_error(to_string(placer.error().at(0)));
+    placers_[i] = std::move(*placer);
+    placers_[i]->discovery_address = discovery_address();
     if (made) made(i, *placers_[i]);
-    const std::string wrong = placers_[i]->start();
-    if (!wrong.empty()) throw std::runtime_error(wrong);
+    if (const auto listening = placers_[i]->start(); !listening)
+        throw std::runtime_error(placers_[i]->listen_address + ": " + to_string(listening.error()));
 }
 
 void SimulatedEnvironment::kill_placer(std::size_t i) {
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -34,7 +34,7 @@
     SimulatedProcess& placer_process(std::size_t i) { return *processes_[i]; }
     // To change a placer before it starts: a test's own planner or ledger.
     std::function<void(std::size_t, apps::EmbeddedPlacer&)> made;
-    apps::EmbeddedPlacer::MakeLedger ledger;
+    apps::LedgerFactory ledger;
 
 private:
     SimulatedNetwork& world_;
--- a/src/config/placer_file.h
+++ b/src/config/placer_file.h
@@ -1,6 +1,7 @@
 // The tables of a placer's file, each read as the plain values that one part of the program takes.
 #pragma once
 #include <string>
+#include <tl/expected.hpp>
 #include <vector>
 
 #include "admission/admission_controller.h"
@@ -14,7 +15,7 @@
 struct PlacerSettings {
     std::string name, listen;
     int zone = 0, zones = 0;
-    std::uint64_t seed = 0;  // 0: from chance, at each start
+    std::uint64_t seed = 0;  // 0: drawn at each start
 };
 struct NamedQueueGroup {
     std::string name;
@@ -32,7 +33,10 @@
     log::Format format = log::Format::text;
 };
 
+// Each takes the document's root and reads its own tables of it. What is wrong is found in
+// Document::take_errors() afterwards.
 PlacerSettings placer_settings(Table root);
+// `kinds`: how many kinds of workers the file names.
 std::vector<NamedQueueGroup> queue_groups(Table root, std::size_t kinds);
 std::vector<WorkerKind> worker_kinds(Table root);
 WorkerAcceptance worker_acceptance(Table root);
@@ -44,7 +48,25 @@
 worker_connection::ConnectionSettings connection_settings(Table root);
 DialLimits dial_limits(Table root);
 LogSettings log_settings(Table root);
-// All of them, for what is wrong alone: a file that passes can be run.
-std::vector<std::string> check(Document&);
+
+// Everything that a placer reads from its file.
+struct PlacerFile {
+    PlacerSettings placer;
+    std::vector<WorkerKind> worker_kinds;
+    std::vector<NamedQueueGroup> queue_groups;
+    WorkerAcceptance worker_acceptance;
+    SlowStartSettings slow_start;
+    DiscoveryService discovery;
+    RetrySettings retry;
+    Prices prices;
+    admission::AdmissionLimits admission;
+    worker_connection::ConnectionSettings connection;
+    DialLimits dial_limits;
+    LogSettings log;
+};
+// Never gives a file with errors: what it gives can be run.
+[[nodiscard]] tl::expected<PlacerFile, ConfigErrors> read_placer_file(Document&);
+// The same for its errors alone; none: the file can be run.
+[[nodiscard]] ConfigErrors check(Document&);
 
 }  // namespace whinpost::config
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -3,6 +3,7 @@
 #include <spdlog/sinks/stdout_sinks.h>
 #include <spdlog/spdlog.h>
 
+#include <algorithm>
 #include <cmath>
 #include <cstdio>
 
@@ -10,46 +11,67 @@
 
 namespace {
 
-void quoted(std::string& out, std::string_view v) {
+constexpr unsigned char kDelete = 0x7f;
+
+// Quoted and escaped in the same way in both formats.
+void append_quoted(std::string& out, std::string_view text) {
     out += '"';
-    for (const char c : v) {
-        const auto u = static_cast<unsigned char>(c);
-        if (c == '"' || c == '\\') (out += '\\') += c;
-        else if (c == '\n') out += "\\n";
-        else if (u < 0x20 || u == 0x7f) {
-            char code[8];
-            std::snprintf(code, sizeof code, "\\u%04x", u);
-            out += code;
-        } else out += c;
+    for (const char symbol : text) {
+        const auto code = static_cast<unsigned char>(symbol);
+        if (symbol == '"' || symbol == '\\') {
+            out += '\\';
+            out += symbol;
+        } else if (symbol == '\n') {
+            out += "\\n";
+        } else if (code < ' ' || code == kDelete) {
+            char escape[8];
+            std::snprintf(escape, sizeof escape, "\\u%04x", code);
+            out += escape;
+        } else {
+            out += symbol;
+        }
     }
     out += '"';
 }
 
-bool plain(std::string_view v) {
-    if (v.empty()) return false;
-    for (const char c : v)
-        if (static_cast<unsigned char>(c) <= 0x20 || c == '"' || c == '=' || c == '\\' || c == 0x7f)
-            return false;
-    return true;
+bool needs_quotes(std::string_view text) {
+    const auto is_special = [](char symbol) {
+        return static_cast<unsigned char>(symbol) <= ' ' || symbol == '"' || symbol == '=' ||
+               symbol == '\\' || symbol == kDelete;
+    };
+    return text.empty() || std::any_of(text.begin(), text.end(), is_special);
 }
 
-void value(std::string& out, Format form, const Field& f) {
-    if (const auto* s = std::get_if<std::string_view>(&f.value)) {
-        if (form == Format::text && plain(*s)) out += *s;
-        else quoted(out, *s);
-    } else if (const auto* i = std::get_if<std::int64_t>(&f.value)) out += std::to_string(*i);
-    else if (const auto* b = std::get_if<bool>(&f.value)) out += *b ? "true" : "false";
-    else {
-        const double d = std::get<double>(f.value);
+struct ValueWriter {
+    std::string& out;
+    Format format;
+
+    void operator()(std::string_view text) const {
+        if (format == Format::text && !needs_quotes(text)) out += text;
+        else append_quoted(out, text);
+    }
+    void operator()(std::int64_t number) const { out += std::to_string(number); }
+    void operator()(bool flag) const { out += flag ? "true" : "false"; }
+    void operator()(double number) const {
         char text[32];
-        std::snprintf(text, sizeof text, "%.6g", d);
-        if (std::isfinite(d)) out += text;
-        else out += "null";
+        std::snprintf(text, sizeof text, "%.6g", number);
+        out += std::isfinite(number) ? text : "null";  // JSON knows no others
+    }
+};
+
+void append_field(std::string& out, Format format, const Field& field) {
+    if (format == Format::json) {
+        append_quoted(out, field.key);
+        out += ':';
+    } else {
+        out += field.key;
+        out += '=';
     }
+    std::visit(ValueWriter{out, format}, field.value);
 }
 
-spdlog::level::level_enum to_spdlog(Level l) {
-    switch (l) {
+spdlog::level::level_enum to_spdlog(Level level) {
+    switch (level) {
         case Level::debug:
             return spdlog::level::debug;
         case Level::info:
@@ -66,26 +88,12 @@
 
 }  // namespace
 
-std::string line(Format form, std::string_view event, std::initializer_list<Field> fields) {
+std::string format_line(Format format, std::string_view event, std::initializer_list<Field> fields) {
     std::string out;
-    if (form == Format::json) {
-        out = "\"event\":";
-        quoted(out, event);
-    } else {
-        out = "event=";
-        value(out, form, {"", event});
-    }
-    for (const Field& f : fields) {
-        if (form == Format::json) {
-            out += ',';
-            quoted(out, f.key);
-            out += ':';
-        } else {
-            out += ' ';
-            out += f.key;
-            out += '=';
-        }
-        value(out, form, f);
+    append_field(out, format, {"event", event});
+    for (const Field& field : fields) {
+        out += format == Format::json ? ',' : ' ';
+        append_field(out, format, field);
     }
     return out;
 }
@@ -93,18 +101,18 @@
 Logger::Logger() = default;
 Logger::~Logger() = default;
 
-Logger::Logger(Level least, Format form) : level_(least), format_(form) {
+Logger::Logger(Level level, Format format) : level_(level), format_(format) {
     auto sink = std::make_shared<spdlog::sinks::stderr_sink_st>();
     logger_ = std::make_shared<spdlog::logger>("whinpost", std::move(sink));
-    logger_->set_level(to_spdlog(least));
-    logger_->set_pattern(form == Format::json ? "{\"at\":\"%Y-%m-%dT%H:%M:%S.%f\",\"level\":\"%l\",%v}"
-                                              : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
+    logger_->set_level(to_spdlog(level));
+    logger_->set_pattern(format == Format::json ? R"({"at":"%Y-%m-%dT%H:%M:%S.%f","level":"%l",%v})"
+                                                : "at=%Y-%m-%dT%H:%M:%S.%f level=%l %v");
 }
 
-bool Logger::enabled(Level l) const { return logger_ && l >= level_ && l != Level::off; }
+bool Logger::enabled(Level level) const { return logger_ && level >= level_ && level != Level::off; }
 
-void Logger::operator()(Level l, std::string_view event, std::initializer_list<Field> fields) const {
-    if (enabled(l)) logger_->log(to_spdlog(l), "{}", line(format_, event, fields));
+void Logger::operator()(Level level, std::string_view event, std::initializer_list<Field> fields) const {
+    if (enabled(level)) logger_->log(to_spdlog(level), "{}", format_line(format_, event, fields));
 }
 
 }  // namespace whinpost::log
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -1,4 +1,4 @@
-// Structured lines: each is one event with named fields, as key=value or as JSON.
+// Structured log lines: each is one event with named fields, as key=value pairs or as a JSON object.
 #pragma once
 #include <cstdint>
 #include <initializer_list>
@@ -17,28 +17,32 @@
 enum class Level { debug, info, warning, error, off };
 enum class Format { text, json };
 
+// Holds views of its key and of a text value: for use within one full expression.
 struct Field {
+    Field(std::string_view name, std::string_view text) : key(name), value(text) {}
+    Field(std::string_view name, const std::string& text) : key(name), value(std::string_view(text)) {}
+    Field(std::string_view name, const char* text) : key(name), value(std::string_view(text)) {}
+    Field(std::string_view name, bool flag) : key(name), value(flag) {}
+    Field(std::string_view name, double number) : key(name), value(number) {}
+    template <class Integer>
+    requires(std::is_integral_v<Integer> && !std::is_same_v<Integer, bool>)
+        Field(std::string_view name, Integer number)
+        : key(name), value(static_cast<std::int64_t>(number)) {}
+
     std::string_view key;
     std::variant<std::string_view, std::int64_t, double, bool> value;
-
-    Field(std::string_view k, std::string_view v) : key(k), value(v) {}
-    Field(std::string_view k, const std::string& v) : key(k), value(std::string_view(v)) {}
-    Field(std::string_view k, const char* v) : key(k), value(std::string_view(v)) {}
-    Field(std::string_view k, bool v) : key(k), value(v) {}
-    Field(std::string_view k, double v) : key(k), value(v) {}
-    template <class T>
-    requires(std::is_integral_v<T> && !std::is_same_v<T, bool>) Field(std::string_view k, T v)
-        : key(k), value(static_cast<std::int64_t>(v)) {}
 };
 
-// One line's text without time and level: for tests, and for what is written elsewhere in the same form.
-std::string line(Format, std::string_view event, std::initializer_list<Field>);
+// The text of one line without time and level: for tests, and for what is written elsewhere in the same form.
+std::string format_line(Format, std::string_view event, std::initializer_list<Field>);
 
+// Copies share one sink. Not for several threads.
 class Logger {
 public:
-    Logger();               // says nothing
+    Logger();               // logs nothing
     Logger(Level, Format);  // to standard error, written by the calling thread
     ~Logger();
+    // For callers whose fields are expensive to work out.
     bool enabled(Level) const;
     void operator()(Level, std::string_view event, std::initializer_list<Field>) const;
 
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -1,6 +1,7 @@
 #include "migrate/migrate.h"
 
 #include <algorithm>
+#include <iterator>
 #include <sstream>
 #include <string_view>
 
@@ -12,123 +13,148 @@
 
 namespace {
 
-// What describes a deployment; of links only the drain grace does.
-constexpr std::string_view kLists[] = {"machine_kind", "queue_group"};
-constexpr std::string_view kTables[] = {"acceptance", "cold", "launches", "prices"};
+// What describes a deployment's shape. Of [links] only the drain grace does.
+constexpr std::string_view kShapeLists[] = {"machine_kind", "queue_group"};
+constexpr std::string_view kShapeTables[] = {"acceptance", "cold", "launches", "prices"};
+constexpr std::string_view kLinks = "links";
 constexpr std::string_view kDrainGrace = "drain_grace_ms";
 
 template <std::size_t N>
-bool among(const std::string_view (&all)[N], std::string_view key) {
+bool contains(const std::string_view (&all)[N], std::string_view key) {
     return std::find(std::begin(all), std::end(all), key) != std::end(all);
 }
 
-std::string shown(const toml::node& n) {
+std::string to_text(const toml::node& node) {
     std::ostringstream out;
-    n.visit([&out](const auto& v) { out << v; });
+    node.visit([&out](const auto& value) { out << value; });
     return out.str();
 }
-std::string at(const NamedText& f, const toml::node& n, const std::string& key) {
-    return f.name + ":" + std::to_string(n.source().begin.line) + ": " + key;
-}
 
-std::string called(const toml::node& n) { return n.as_table()->at("name").value_or(std::string()); }
-const toml::table* named(const toml::array& all, const std::string& name) {
-    for (const toml::node& n : all)
-        if (called(n) == name) return n.as_table();
+std::string name_of(const toml::node& table) { return table.as_table()->at("name").value_or(std::string()); }
+
+const toml::table* find_by_name(const toml::array& tables, const std::string& name) {
+    for (const toml::node& table : tables)
+        if (name_of(table) == name) return table.as_table();
     return nullptr;
 }
 
-// What is wrong with the shape by itself, in its own lines.
-std::vector<std::string> wrong_with(const NamedText& shape) {
-    config::Document d = config::Document::parse(shape.text, shape.name);
-    config::Table root = d.root();
+// Checks the shape by itself, so that its errors carry its own lines.
+config::ConfigErrors check_shape(const NamedText& shape) {
+    config::Document document = config::Document::parse(shape.text, shape.name);
+    config::Table root = document.root();
     for (const char* key : {"placer", "list", "intake", "log"})
-        if (root.has(key)) root.add_problem(key, "is carried from the old file: a shape does not hold it");
+        if (root.has(key)) root.add_error(key, "is carried from the old file: a shape does not hold it");
     config::queue_groups(root, config::worker_kinds(root).size());
     config::worker_acceptance(root);
     config::slow_start_settings(root);
     config::retry_settings(root);
     config::prices(root);
-    config::Table links = root.table("links");
+    config::Table links = root.table(kLinks);
     if (links.has(kDrainGrace)) links.duration(kDrainGrace, 10 * kMillisecond, 3600 * kSecond);
-    return d.problems();
+    return document.take_errors();
 }
 
-struct Work {
-    const NamedText& old;
-    MigrationResult& out;
+// Merges a shape into an old file and notes what becomes of each key. Both have passed their checks.
+class Migration {
+public:
+    Migration(const NamedText& old, MigrationResult& result) : old_(old), result_(result) {}
+
+    // `merged` is the old file at first.
+    void merge(toml::table& merged, const toml::table& shape) {
+        note_old_tables(merged, shape);
+        for (auto&& [key, node] : shape) {
+            const std::string name(key.str());
+            if (name == kLinks) {
+                merge_drain_grace(merged, *node.as_table());
+                continue;
+            }
+            if (!merged.contains(name)) result_.replaced.push_back(name + ": new");
+            merged.insert_or_assign(name, node);
+        }
+    }
+
+private:
+    std::string position(const toml::node& node, const std::string& key) const {
+        return old_.name + ":" + std::to_string(node.source().begin.line) + ": " + key;
+    }
+
+    void note_old_tables(const toml::table& from, const toml::table& shape) {
+        for (auto&& [key, node] : from) {
+            const std::string name(key.str());
+            const toml::node* replacement = shape.get(name);
+            if (replacement && contains(kShapeLists, name))
+                compare_lists(*node.as_array(), *replacement->as_array(), name);
+            else if (replacement && contains(kShapeTables, name))
+                compare_tables(*node.as_table(), *replacement->as_table(), name);
+            else
+                result_.carried.push_back(position(node, name) +
+                                          (replacement ? ", but for " + std::string(kDrainGrace) : ""));
+        }
+    }
 
-    // `to` stands in place of `from`.
-    void table(const toml::table& from, const toml::table& to, const std::string& path) {
+    void compare_tables(const toml::table& from, const toml::table& replacement, const std::string& path) {
         for (auto&& [key, node] : from) {
             const std::string name = path + "." + std::string(key.str());
-            const toml::node* now = to.get(key.str());
-            if (!now)
-                out.left_behind.push_back(at(old, node, name) + " = " + shown(node) +
-                                          ": the shape does not name it, its default holds");
-            else if (shown(*now) != shown(node))
-                out.replaced.push_back(at(old, node, name) + ": " + shown(node) + " -> " + shown(*now));
+            const toml::node* value = replacement.get(key.str());
+            if (!value)
+                result_.left_behind.push_back(position(node, name) + " = " + to_text(node) +
+                                              ": the shape does not name it, its default holds");
+            else if (to_text(*value) != to_text(node))
+                result_.replaced.push_back(position(node, name) + ": " + to_text(node) + " -> " +
+                                           to_text(*value));
         }
-        for (auto&& [key, node] : to)
+        for (auto&& [key, node] : replacement)
             if (!from.contains(key.str()))
-                out.replaced.push_back(path + "." + std::string(key.str()) + ": new, " + shown(node));
+                result_.replaced.push_back(path + "." + std::string(key.str()) + ": new, " + to_text(node));
     }
-    void list(const toml::array& from, const toml::array& to, const std::string& path) {
-        for (const toml::node& n : from) {
-            const std::string name = path + "." + called(n);
-            if (const toml::table* now = named(to, called(n))) table(*n.as_table(), *now, name);
-            else out.left_behind.push_back(at(old, n, name) + ": the shape has none of this name");
+
+    void compare_lists(const toml::array& from, const toml::array& replacement, const std::string& path) {
+        for (const toml::node& node : from) {
+            const std::string name = path + "." + name_of(node);
+            const toml::table* table = find_by_name(replacement, name_of(node));
+            if (table) compare_tables(*node.as_table(), *table, name);
+            else result_.left_behind.push_back(position(node, name) + ": the shape has none of this name");
         }
-        for (const toml::node& n : to)
-            if (!named(from, called(n))) out.replaced.push_back(path + "." + called(n) + ": new");
+        for (const toml::node& node : replacement)
+            if (!find_by_name(from, name_of(node)))
+                result_.replaced.push_back(path + "." + name_of(node) + ": new");
     }
+
+    void merge_drain_grace(toml::table& merged, const toml::table& shape_links) {
+        const toml::node* grace = shape_links.get(kDrainGrace);
+        if (!grace) return;
+        if (!merged.contains(kLinks)) merged.insert(kLinks, toml::table{});
+        toml::table& links = *merged[kLinks].as_table();
+        const toml::node* before = links.get(kDrainGrace);
+        result_.replaced.push_back("links." + std::string(kDrainGrace) + ": " +
+                                   (before ? to_text(*before) : "the default") + " -> " + to_text(*grace));
+        links.insert_or_assign(kDrainGrace, *grace);
+    }
+
+    const NamedText& old_;
+    MigrationResult& result_;
 };
 
 }  // namespace
 
 MigrationResult migrate_configuration(const NamedText& old, const NamedText& shape,
                                       const std::string& new_name) {
-    MigrationResult out;
+    MigrationResult result;
     config::Document before = config::Document::parse(old.text, old.name);
-    out.problems = config::check(before);
-    for (std::string& p : wrong_with(shape)) out.problems.push_back(std::move(p));
-    if (!out.problems.empty()) return out;
-
-    toml::table all = toml::parse(old.text);
-    const toml::table to = toml::parse(shape.text);
-    Work work{old, out};
-    for (auto&& [key, node] : all) {
-        const std::string name(key.str());
-        const toml::node* now = to.get(name);
-        if (now && among(kLists, name)) work.list(*node.as_array(), *now->as_array(), name);
-        else if (now && among(kTables, name)) work.table(*node.as_table(), *now->as_table(), name);
-        else
-            out.carried.push_back(at(old, node, name) + (now ? ", but for " + std::string(kDrainGrace) : ""));
-    }
-    for (auto&& [key, node] : to) {
-        const std::string name(key.str());
-        if (name != "links") {
-            if (!all.contains(name)) out.replaced.push_back(name + ": new");
-            all.insert_or_assign(name, node);
-            continue;
-        }
-        const toml::node* grace = node.as_table()->get(kDrainGrace);
-        if (!grace) continue;
-        if (!all.contains("links")) all.insert("links", toml::table{});
-        toml::table& links = *all["links"].as_table();
-        const toml::node* stood = links.get(kDrainGrace);
-        out.replaced.push_back("links." + std::string(kDrainGrace) + ": " +
-                               (stood ? shown(*stood) : "the default") + " -> " + shown(*grace));
-        links.insert_or_assign(kDrainGrace, *grace);
-    }
+    result.errors = config::check(before);
+    for (config::ConfigError& error : check_shape(shape)) result.errors.push_back(std::move(error));
+    if (!result.errors.empty()) return result;
+
+    toml::table merged = toml::parse(old.text);
+    Migration(old, result).merge(merged, toml::parse(shape.text));
     std::ostringstream text;
     text << "# Written by whinpost migrate: what describes the deployment is from " << shape.name
          << ", all else from " << old.name << ".\n\n"
-         << toml::toml_formatter(all) << "\n";
+         << toml::toml_formatter(merged) << "\n";
     config::Document after = config::Document::parse(text.str(), new_name);
-    out.problems = config::check(after);
-    if (out.problems.empty()) out.text = text.str();
-    return out;
+    result.errors = config::check(after);
+    if (result.errors.empty()) result.text = text.str();
+    return result;
 }
 
 }  // namespace whinpost::migrate
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -342,7 +342,7 @@
     const migrate::NamedText old{"old.toml", read_file(fixture("placer.toml"))};
     const migrate::NamedText shape{"shape.toml", read_file(fixture("shape.toml"))};
     const migrate::MigrationResult c = migrate::migrate_configuration(old, shape, "new.toml");
-    CHECK(c.problems.empty());
+    CHECK(c.errors.empty());
     std::string out = c.text;
     for (const std::string& line : c.carried) out += "carried " + line + "\n";
     for (const std::string& line : c.replaced) out += "replaced " + line + "\n";
@@ -378,11 +378,10 @@
 
 TEST_CASE("a scenario with every fault and expectation, and a day, are read as they were") {
     const std::string name = GENERATE("scenario", "day");
-    std::vector<std::string> problems;
-    const emulator::Scenario plan =
-        emulator::parse_scenario(read_file(fixture(name + ".toml")), name + ".toml", problems);
-    INFO((problems.empty() ? "" : problems[0]));
-    REQUIRE(problems.empty());
+    const auto scenario = emulator::parse_scenario(read_file(fixture(name + ".toml")), name + ".toml");
+    INFO((scenario ? "" : to_string(scenario.error()[0])));
+    REQUIRE(scenario);
+    const emulator::Scenario& plan = *scenario;
     Values values;
     values.add("name", plan.name).add("length", plan.length).add("seed", plan.seed);
     values.add("placers", plan.placers).add("owners", plan.clients).add("nodes", plan.workers);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -31,11 +31,17 @@
 start_target_ms = 800
 )";
 
-std::vector<std::string> problems_of(const std::string& text) {
+config::ConfigErrors errors_of(const std::string& text) {
     config::Document d = config::Document::parse(text, "f.toml");
     return config::check(d);
 }
 
+std::string joined(const config::ConfigErrors& errors) {
+    std::string all;
+    for (const config::ConfigError& error : errors) all += to_string(error) + "\n";
+    return all;
+}
+
 std::string with(const std::string& from, const std::string& to) {
     std::string text = kGood;
     const std::size_t at = text.find(from);
@@ -46,7 +52,7 @@
 }  // namespace
 
 TEST_CASE("a whole file is read as the plain values that each part takes") {
-    CHECK(problems_of(kGood).empty());
+    CHECK(errors_of(kGood).empty());
     config::Document d = config::Document::parse(kGood, "f.toml");
     const config::PlacerSettings me = config::placer_settings(d.root());
     CHECK(me.zone == 1);
@@ -87,9 +93,7 @@
         {"[[machine_kind]]", "[machine_kind]", "f.toml:10: machine_kind: must be a list of tables"},
         {"[[machine_kind]]", "[[machine_knid]]", "machine_kind: must name one kind of machine or more"},
     }));
-    const std::vector<std::string> found = problems_of(with(w.from, w.to));
-    std::string all;
-    for (const std::string& p : found) all += p + "\n";
+    const std::string all = joined(errors_of(with(w.from, w.to)));
     INFO(all);
     CHECK(all.find(w.says) != std::string::npos);
 }
@@ -97,29 +101,28 @@
 TEST_CASE("all that is wrong is said at once, in the order of the file") {
     std::string text = with("name = \"p\"", "nmae = 1");
     text.replace(text.find("memory = 32.5"), 13, "memory = 0");
-    const std::vector<std::string> found = problems_of(text);
+    const config::ConfigErrors found = errors_of(text);
     REQUIRE(found.size() == 3);
-    CHECK(found[0].find(":1: placer.name") != std::string::npos);
-    CHECK(found[1].find(":2: placer.nmae") != std::string::npos);
-    CHECK(found[2].find(":13: machine_kind[0].memory") != std::string::npos);
+    CHECK(to_string(found[0]).find(":1: placer.name") != std::string::npos);
+    CHECK(to_string(found[1]).find(":2: placer.nmae") != std::string::npos);
+    CHECK(to_string(found[2]).find(":13: machine_kind[0].memory") != std::string::npos);
 }
 
 TEST_CASE("a day's script without zones, and faults that name one, is refused without more ado") {
     // Found by fuzzing: a zone's nodes were looked for among no zones.
-    std::vector<std::string> problems;
-    emulator::parse_scenario("[day]\n[fleet]\nnodes = 3\n[[fault]]\nat_s = 0\ndo = \"drain\"\nzone = \"a\"\n",
-                             "d.toml", problems);
-    std::string all;
-    for (const std::string& p : problems) all += p + "\n";
+    const auto scenario = emulator::parse_scenario(
+        "[day]\n[fleet]\nnodes = 3\n[[fault]]\nat_s = 0\ndo = \"drain\"\nzone = \"a\"\n", "d.toml");
+    REQUIRE_FALSE(scenario);
+    const std::string all = joined(scenario.error());
     CHECK(all.find("d.toml:2: fleet.zones: is missing") != std::string::npos);
     CHECK(all.find("d.toml:7: fault[0].zone: must be one of fleet.zones") != std::string::npos);
 }
 
 TEST_CASE("a folder in a file's place is a problem, not a crash") {
     config::Document d = config::Document::read(WHINPOST_SOURCE);
-    const std::vector<std::string> found = config::check(d);
+    const config::ConfigErrors found = config::check(d);
     REQUIRE_FALSE(found.empty());
-    CHECK(found[0].find(":0: file: can't be read") != std::string::npos);
+    CHECK(to_string(found[0]).find(":0: file: can't be read") != std::string::npos);
 }
 
 TEST_CASE("a file that says nothing of notes of pressure means that they come") {
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -100,9 +100,9 @@
 )";
 
 emulator::RunResult play(Does does, bool lax) {
-    std::vector<std::string> problems;
-    const emulator::Scenario plan = emulator::parse_scenario(kDay, "day", problems);
-    REQUIRE(problems.empty());
+    const auto parsed = emulator::parse_scenario(kDay, "day");
+    REQUIRE(parsed);
+    const emulator::Scenario& plan = *parsed;
     simulation::SimulatedNetwork world(9);
     simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
     std::vector<std::unique_ptr<Rogue>> rogues;
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -82,6 +82,11 @@
     for (const std::string& s : all) out += s + "\n";
     return out;
 }
+std::string joined(const config::ConfigErrors& errors) {
+    std::string out;
+    for (const config::ConfigError& error : errors) out += to_string(error) + "\n";
+    return out;
+}
 migrate::MigrationResult of(const std::string& old, const std::string& shape) {
     return migrate::migrate_configuration({"old.toml", old}, {"shape.toml", shape}, "new.toml");
 }
@@ -114,7 +119,7 @@
 
 TEST_CASE("the shape's tables replace the old ones, all else is carried, and what has no place is said") {
     const migrate::MigrationResult c = of(kOld, kShape);
-    REQUIRE(c.problems.empty());
+    REQUIRE(c.errors.empty());
     config::Document d = config::Document::parse(c.text, "new.toml");
     CHECK(config::check(d).empty());
     CHECK(config::placer_settings(d.root()).zone == 1);
@@ -140,7 +145,7 @@
     const migrate::MigrationResult c =
         of(kOld + "\n[[queue_group]]\nname = \"batch\"\neffect = \"idempotent\"\nstart_target_ms = 5000\n",
            with(kShape, "free_means = \"not_asked_for\"\n", ""));
-    REQUIRE(c.problems.empty());
+    REQUIRE(c.errors.empty());
     const std::string left = joined(c.left_behind);
     CHECK(left.find("old.toml:28: queue_group.batch: the shape has none of this name") != std::string::npos);
     CHECK(left.find("old.toml:22: acceptance.free_means = 'not_in_use'") != std::string::npos);
@@ -167,8 +172,8 @@
         {kOld, "", "machine_kind: must name one kind of machine or more"},
     }));
     const migrate::MigrationResult c = of(w.old, w.shape);
-    INFO(joined(c.problems));
-    CHECK(joined(c.problems).find(w.says) != std::string::npos);
+    INFO(joined(c.errors));
+    CHECK(joined(c.errors).find(w.says) != std::string::npos);
     CHECK(c.text.empty());
 }
 
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -14,18 +14,16 @@
 namespace {
 
 std::string text_of(const std::string& name) {
-    std::string problem;
-    const std::string text = simulation::load_scenario(name, problem);
-    REQUIRE(problem.empty());
-    return text;
+    const auto text = simulation::load_scenario(name);
+    REQUIRE(text);
+    return *text;
 }
 
 emulator::Scenario plan_of(const std::string& text) {
-    std::vector<std::string> problems;
-    emulator::Scenario p = emulator::parse_scenario(text, "s.toml", problems);
-    INFO((problems.empty() ? "" : problems[0]));
-    REQUIRE(problems.empty());
-    return p;
+    const auto scenario = emulator::parse_scenario(text, "s.toml");
+    INFO((scenario ? "" : to_string(scenario.error()[0])));
+    REQUIRE(scenario);
+    return *scenario;
 }
 
 struct Came {
@@ -133,13 +131,13 @@
 TEST_CASE("a scenario that makes no sense is refused whole, naming file, line and key") {
     const std::string base = text_of("zone-cut");
     const auto refused = [&](const std::string& more, const std::string& why) {
-        std::vector<std::string> problems;
-        emulator::parse_scenario(base + more, "s.toml", problems);
+        const auto scenario = emulator::parse_scenario(base + more, "s.toml");
+        REQUIRE_FALSE(scenario);
         std::string all;
-        for (const std::string& p : problems) all += p + "\n";
+        for (const config::ConfigError& error : scenario.error()) all += to_string(error) + "\n";
         INFO(more << " -> " << all);
-        REQUIRE_FALSE(problems.empty());
-        CHECK(problems[0].rfind("s.toml:", 0) == 0);
+        REQUIRE_FALSE(scenario.error().empty());
+        CHECK(all.rfind("s.toml:", 0) == 0);
         CHECK(all.find(why) != std::string::npos);
     };
     const std::string f = "\n[[fault]]\nat_s = 5\n", e = "\n[[expect]]\n";
@@ -178,9 +176,7 @@
     w.scenario = "no-such-scenario";
     CHECK(simulation::run_rehearsal(w, to, err) == 2);
     CHECK(err.str().find("--list") != std::string::npos);
-    std::string problem;
-    simulation::load_scenario("zone-cut", problem);
-    CHECK(problem.empty());
+    CHECK(simulation::load_scenario("zone-cut"));
     w.scenario = "drain-waves";
     w.workers = 5;  // the waves are for twelve
     CHECK(simulation::run_rehearsal(w, to, err) == 2);
--- a/tests/scenario_run_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -29,8 +29,7 @@
 // Not part of the ordinary run: whinpost_day_tests "[search]", with the first seed and how many in
 // SEEDS=first,count.
 TEST_CASE("the bad day keeps the rules with other seeds", "[.][search]") {
-    std::vector<std::string> problems;
-    emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml", problems);
+    emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml").value();
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
     for (unsigned long seed = first; seed < first + count; ++seed) {
@@ -48,9 +47,9 @@
 }
 
 TEST_CASE("the bad day keeps the rules in virtual time, and goes the same way twice") {
-    std::vector<std::string> problems;
-    const emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml", problems);
-    REQUIRE(problems.empty());
+    const auto parsed = emulator::parse_scenario(bad_day(), "bad-day.toml");
+    REQUIRE(parsed);
+    const emulator::Scenario& plan = *parsed;
     std::uint64_t digests[2];
     for (std::uint64_t& digest : digests) {
         simulation::SimulatedNetwork world(5);
@@ -77,9 +76,9 @@
     };
     swap("yes_on = \"acceptance\"", "yes_on = \"running\"\nfree_means = \"not_in_use\"");
     swap("list_late_ms = 500", "list_late_ms = 500\nlist_pushes = false");
-    std::vector<std::string> problems;
-    const emulator::Scenario plan = emulator::parse_scenario(text, "bad-day.toml", problems);
-    REQUIRE(problems.empty());
+    const auto parsed = emulator::parse_scenario(text, "bad-day.toml");
+    REQUIRE(parsed);
+    const emulator::Scenario& plan = *parsed;
     simulation::SimulatedNetwork world(6);
     simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
     emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -110,13 +110,14 @@
 
     void raise() {
         config::Document d = config::Document::parse(text, "stage");
-        std::vector<std::string> problems;
         placer_host = &world.process("10.0.0.1");
         ++incarnation;
-        placer = apps::EmbeddedPlacer::make(*placer_host, d, 7, incarnation, problems);
-        if (!placer) throw std::runtime_error(problems.at(0));
-        placer->list = "list:1";
-        if (!(error = placer->start()).empty()) throw std::runtime_error(error);
+        auto made = apps::EmbeddedPlacer::make(*placer_host, d, {7, incarnation, {}});
+        if (!made) throw std::runtime_error(to_string(made.error().at(0)));
+        placer = std::move(*made);
+        placer->discovery_address = "list:1";
+        if (const auto listening = placer->start(); !listening)
+            throw std::runtime_error(to_string(listening.error()));
     }
     void kill() {
         world.kill(*placer_host);
@@ -254,7 +255,7 @@
     }
 
     simulation::SimulatedNetwork world;
-    std::string text, error;
+    std::string text;
     std::uint64_t list_number = 0, incarnation = 0;
     simulation::SimulatedProcess *list_host = nullptr, *placer_host = nullptr;
     std::vector<std::unique_ptr<net::Listener>> listeners;
