--- /dev/null
+++ b/tests/placement_request_test.cpp
@@ -0,0 +1,63 @@
+// Requests of the platform's clients, parsed and checked.
+#include "platform/placement_request.h"
+
+#include <catch2/catch.hpp>
+
+#include "platform_codec/message.h"
+
+using namespace whinpost;
+using platform_codec::Message;
+using platform_codec::MessageType;
+
+namespace {
+
+Message valid_request() {
+    Message message;
+    message.type = MessageType::place_task;
+    message.task = 0x0123456789abcdef;
+    message.queue_group = "batch";
+    message.time_left_ms = "1500";
+    message.task_name = "7f3a9c21e0b4d655";
+    message.requirements = "cores:1;memory:2;service:00000000b4d65521";
+    message.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    message.description = std::string_view("\x00 any bytes \xff", 13);
+    return message;
+}
+std::string_view error_in(const Message& message) {
+    QueueGroup group;
+    group.effect = Effect::keyed;
+    const auto request = platform::parse_placement_request(message, {{"batch"}, {group}, {16, 32}});
+    return request ? std::string_view() : platform::to_string(request.error().kind);
+}
+
+}  // namespace
+
+TEST_CASE("a request is parsed whole or rejected with what is wrong") {
+    CHECK(error_in(valid_request()).empty());
+    const auto broken = [](auto change) {
+        Message message = valid_request();
+        change(message);
+        return !error_in(message).empty();
+    };
+    CHECK(broken([](Message& message) { message.task = 0; }));
+    CHECK(broken([](Message& message) { message.queue_group = "nothing"; }));
+    CHECK(broken([](Message& message) { message.queue_group.reset(); }));
+    CHECK(broken([](Message& message) { message.task_name = "short"; }));
+    CHECK(broken([](Message& message) { message.idempotency_key.reset(); }));
+    CHECK(broken([](Message& message) { message.description.reset(); }));
+    const std::string_view time_left_ms = GENERATE("", "soon", "-5", "99999999999999999999999", "1.5", "nan");
+    CHECK(broken([&](Message& message) { message.time_left_ms = time_left_ms; }));
+    const std::string_view requirements =
+        GENERATE("", "x", "cores:1;memory:2", "cores:nan;memory:2;service:a", "cores:-1;memory:2;service:a",
+                 "cores:1;memory:1e12;service:a", "cores:0;memory:2;service:a", "memory:2;service:a",
+                 "home:1;copies:0;top:99", "cores:inf;memory:2;service:a", "cores:17;memory:2;service:a");
+    CHECK(broken([&](Message& message) { message.requirements = requirements; }));
+}
+
+TEST_CASE("a report of a running task needs no time left that means anything") {
+    Message message = valid_request();
+    message.requirements = "cores:1;memory:2;service:00000000b4d65521;at:s-1";
+    message.time_left_ms = "4294967";
+    message.description.reset();
+    CHECK(error_in(message).empty());
+}
--- /dev/null
+++ b/tests/platform_clients_test.cpp
@@ -0,0 +1,217 @@
+// The platform's server and its clients: good, bad and gone; in virtual time.
+#include <catch2/catch.hpp>
+
+#include "support/platform_rig.h"
+#include "support/quiet_planner.h"
+
+using namespace whinpost;
+
+namespace {
+
+std::string health_checks(std::uint64_t count) {
+    std::string out;
+    for (std::uint64_t id = 0; id < count; ++id) {
+        Message message;
+        message.type = MessageType::health_check;
+        message.task = id;
+        message.cause = platform_codec::Cause::check_failed;
+        platform_codec::encode(out, message);
+    }
+    return out;
+}
+
+}  // namespace
+
+TEST_CASE("clients that ask once and hold their connection do not evict the one that is of use") {
+    SingleWorkerRig rig(128);
+    rig.request_placement(rig.client, 1, "free", 5000);
+    rig.worker.last_connection().answer(1);
+    rig.run(20 * kMillisecond);
+    std::uint64_t id = 1000;
+    for (int i = 0; i < 150; ++i) {
+        TestClient& once = rig.connect_client(2 + i);
+        rig.request_placement(once, ++id, "free", 5000);
+        rig.worker.last_connection().release(id, platform_codec::Cause::error);
+        if (i % 20 == 0)
+            rig.request_placement(rig.client, ++id,
+                                  "nothing known");  // refused at the door, and a sign of life
+    }
+    CHECK(!rig.client.closed);
+    CHECK(rig.server.connection_count() < 128);
+    rig.worker.connections[0]->release(1, platform_codec::Cause::ok);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.client.count(MessageType::release, 1) == 1);
+}
+
+TEST_CASE("a client that asked once keeps its connection while its task runs, however silent") {
+    SingleWorkerRig rig(128);
+    TestClient& quiet = rig.connect_client(2);
+    rig.request_placement(quiet, 1, "free", 5000);
+    rig.worker.last_connection().answer(1);
+    rig.run(20 * kMillisecond);
+    std::uint64_t id = 1000;
+    for (int i = 0; i < 150; ++i) {
+        rig.request_placement(rig.connect_client(3 + i), ++id, "free", 5000);
+        for (const auto& connection : rig.worker.connections)
+            if (connection->count(MessageType::place_task, id))
+                connection->release(id, platform_codec::Cause::error);
+    }
+    CHECK(!quiet.closed);
+    rig.worker.connections[0]->release(1, platform_codec::Cause::ok);
+    rig.run(20 * kMillisecond);
+    CHECK(quiet.count(MessageType::release, 1) == 1);
+}
+
+TEST_CASE("a release by the client cancels its running task at the worker and is owed nothing") {
+    SingleWorkerRig rig;
+    rig.request_placement(rig.client, 1);
+    rig.worker.last_connection().answer(1);
+    rig.run(20 * kMillisecond);
+    rig.client.release(1, platform_codec::Cause::cancelled);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.worker.count(MessageType::release, 1) == 1);
+    rig.worker.last_connection().release(1, platform_codec::Cause::cancelled);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.client.count(MessageType::release, 1) == 0);
+    CHECK(rig.server.task_count() == 0);
+}
+
+TEST_CASE("a client that cancels, or goes, is owed no answer, and its attempt is abandoned") {
+    SingleWorkerRig rig;
+    const bool goes = GENERATE(true, false);
+    rig.request_placement(rig.client, 1);
+    REQUIRE(rig.worker.attempts().size() == 1);
+    if (goes) rig.client.stream.reset();
+    else rig.client.release(1, platform_codec::Cause::given_up);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.worker.count(MessageType::release, 1) == 1);
+    CHECK(answer_count(rig.client, 1) == 0);
+    CHECK(rig.server.task_count() == 0);
+    CHECK(rig.planner.open_tasks() == 0);
+}
+
+TEST_CASE("bad clients are rejected or closed, cause no attempt, and cost the others nothing") {
+    SingleWorkerRig rig;
+    TestClient& bad = rig.connect_client(2);
+    rig.request_placement(bad, 10, "no such class");
+    CHECK(bad.count(MessageType::release, 10) == 1);
+    rig.request_placement(bad, 0);  // no id: a worker closes on it, whatever else is open there
+    CHECK(bad.count(MessageType::release, 0) == 1);
+    rig.request_placement(bad, 11, "free", -5);
+    CHECK(bad.count(MessageType::release, 11) == 1);
+    CHECK(rig.worker.attempts().empty());
+    rig.request_placement(rig.client, 12);
+    REQUIRE(rig.worker.attempts().size() == 1);
+    rig.request_placement(bad, 12);  // an open id of another's
+    CHECK(bad.count(MessageType::release, 12) == 1);
+    CHECK(rig.client.count(MessageType::release, 12) == 0);
+    TestClient& twice = rig.connect_client(3);
+    rig.request_placement(twice, 20);
+    rig.request_placement(twice, 20, "once");
+    CHECK(twice.closed);
+    CHECK(twice.count(MessageType::answer, 20) == 0);
+    TestClient &garbage = rig.connect_client(4), &silent = rig.connect_client(5),
+               &partial = rig.connect_client(6);
+    garbage.send_bytes("GET / HTTP/1.1\r\n\r\n");
+    partial.send_bytes(std::string("\x00\x20\x01\x01", 4));
+    rig.run(2200 * kMillisecond);
+    CHECK(garbage.closed);
+    CHECK(silent.closed);
+    CHECK(partial.closed);
+    rig.worker.connections[0]->answer(12);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.client.count(MessageType::answer, 12) == 1);
+}
+
+TEST_CASE("a client whose messages call for no answer is evicted in time, one with a running task is not") {
+    SingleWorkerRig rig;
+    TestClient &bad = rig.connect_client(2), &other = rig.connect_client(3), &good = rig.connect_client(4);
+    for (std::uint64_t id = 100; id < 5000; ++id) {
+        Message message;
+        message.type = MessageType::place_task;
+        message.task = id;
+        const std::string name = task_name_of(id);
+        message.queue_group = "free";
+        message.task_name = name;
+        message.requirements = "cores:1;memory:2;service:00000000b4d65521;at:nowhere";
+        bad.send(message);
+    }
+    other.release(77, platform_codec::Cause::given_up);
+    rig.request_placement(good, 9, "free", 4294967, ";at:h");
+    rig.run(2500 * kMillisecond);
+    CHECK(bad.closed);
+    CHECK(other.closed);
+    CHECK(!good.closed);
+    CHECK(rig.server.task_count() == 1);
+    CHECK(rig.server.pending_recovery_count() <= 2000);
+}
+
+TEST_CASE("a client that reads nothing holds bounded memory") {
+    SingleWorkerRig rig;
+    TestClient& stalled = rig.connect_client(2);
+    stalled.stream->set_reading(false);
+    for (int i = 0; i < 40; ++i) {
+        stalled.send_bytes(health_checks(200));
+        rig.run(5 * kMillisecond);
+    }
+    rig.run(kSecond);
+    CHECK(rig.server.connection_count() <= 2);
+}
+
+TEST_CASE(
+    "a client that reads none of its answers is ended between two rounds of the planner, never within one") {
+    constexpr std::size_t kAsked = 14'000;  // their refusals are over what a connection holds
+    struct AllAtOnce : QuietPlanner {
+        explicit AllAtOnce(platform::PlatformServer& platform_server) : server(platform_server) {}
+        void run_round(Nanos) override {
+            if (taken.size() < kAsked) return;
+            in_round = true;
+            for (std::size_t i = 0; i < kAsked - 50; ++i) server.reject(taken[i], kSecond * 1'000'000'000);
+            in_round = false;
+        }
+        void cancel(Nanos, planner::TaskNumber) override {
+            ++cancelled;
+            cancelled_in_round += in_round;
+        }
+        platform::PlatformServer& server;
+        bool in_round = false;
+        int cancelled = 0, cancelled_in_round = 0;
+    };
+    PlatformRig rig;
+    AllAtOnce planner(rig.server);
+    rig.server.set_planner(planner);
+    TestClient& client = rig.connect_client();
+    client.stream->set_reading(false);
+    Message message;
+    message.type = MessageType::place_task;
+    message.queue_group = "free";
+    message.time_left_ms = "60000";
+    message.requirements = "cores:1;memory:2;service:00000000b4d65521";
+    message.description = "asked";
+    for (std::uint64_t id = 1; id <= kAsked; ++id) {
+        const std::string name = task_name_of(id);
+        message.task = id;
+        message.task_name = name;
+        client.send(message);
+    }
+    rig.run(kSecond);
+    REQUIRE(planner.taken.size() == kAsked);
+    CHECK(planner.cancelled == 50);
+    CHECK(planner.cancelled_in_round == 0);
+    CHECK(rig.server.task_count() == 0);
+    rig.run(kSecond);
+    CHECK(rig.server.connection_count() == 0);
+}
+
+TEST_CASE("a client that reads nothing and has a request open is answered in the pass that shows it") {
+    SingleWorkerRig rig;
+    TestClient& stalled = rig.connect_client(2);
+    rig.request_placement(stalled, 7);
+    REQUIRE(rig.worker.attempts().size() == 1);
+    stalled.stream->set_reading(false);
+    stalled.send_bytes(health_checks(60'000));
+    // No sweep, which comes every 100 ms, is needed for it.
+    for (int i = 0; i < 90 && rig.server.task_count(); ++i) rig.run(kMillisecond);
+    CHECK(rig.server.task_count() == 0);
+    CHECK(rig.worker.count(MessageType::release, 7) == 1);  // given up
+}
--- /dev/null
+++ b/tests/platform_discovery_test.cpp
@@ -0,0 +1,36 @@
+// The platform's server and its watch on discovery; in virtual time.
+#include <catch2/catch.hpp>
+
+#include "support/platform_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("discovery breaks off, repeats events, falls silent, moves: watched again from the last event") {
+    PlatformRig rig;
+    rig.start();
+    PlatformRig::FakeWorker &a = rig.add_worker("a"), &b = rig.add_worker("b");
+    const std::string first = rig.event({PlatformRig::entry(a)}, true),
+                      second = rig.event({PlatformRig::entry(b)});
+    rig.publish_bytes(first + first + second.substr(0, second.size() / 2));
+    rig.run(20 * kMillisecond);
+    CHECK(rig.server.worker_count() == 1);
+    CHECK(rig.server.discovery_watch().last_sequence() == 1);
+    rig.watches.back()->stream.reset();
+    rig.run(500 * kMillisecond);
+    REQUIRE(rig.watches.size() == 2);
+    CHECK(rig.watches[1]->requests.find("Last-Event-ID: 1\r\n") != std::string::npos);
+    rig.publish_bytes(second);
+    rig.run(20 * kMillisecond);
+    CHECK(rig.server.worker_count() == 2);
+    rig.comments = false;  // silent, and open
+    rig.run(2500 * kMillisecond);
+    REQUIRE(rig.watches.size() >= 3);
+    CHECK(rig.watches[2]->requests.find("Last-Event-ID: 2\r\n") != std::string::npos);
+    rig.comments = true;
+    rig.open_discovery("10.0.9.1:2");
+    const std::size_t before = rig.watches.size();
+    rig.server.discovery_watch().move_to("10.0.9.1:2");
+    rig.run(50 * kMillisecond);
+    REQUIRE(rig.watches.size() == before + 1);
+    CHECK(rig.watches.back()->requests.find("Last-Event-ID: 2\r\n") != std::string::npos);
+}
--- /dev/null
+++ b/tests/platform_sockets_clients_test.cpp
@@ -0,0 +1,178 @@
+// Clients of the platform's server on real sockets: closes and cancels in the bad order each time.
+#include <catch2/catch.hpp>
+
+#include "support/platform_sockets_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("a client that closes as its attempt is rejected causes no other attempt") {
+    SocketRig rig;
+    ListeningSocket worker;
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    SocketPeer client = rig.connect_client();
+    const auto task = rig.start_attempt(client, worker, 7);
+    const bool ahead = GENERATE(false, true);  // bytes lie before its close
+    if (ahead)
+        for (std::uint64_t id = 100; id < 150; ++id)
+            client.send_bytes(SocketRig::place_task(id, "no such class"));
+    worker.connections.back()->release(7, platform_codec::Cause::full);
+    client.close();
+    rig.run_until([&] { return rig.server->task_count() == 0; });
+    rig.server->place(task, 0, kSecond);
+    rig.run_times(20);
+    worker.accept_and_read();
+    CHECK(worker.count(MessageType::place_task, 7) == 1);
+}
+
+TEST_CASE("a client that goes while its attempt waits for a connection: nothing is sent once that is up") {
+    SocketRig rig;
+    ListeningSocket worker(0);
+    SocketPeer backlog[] = {SocketPeer::dial(worker.port())};  // the line of a worker that accepts nothing
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    SocketPeer client = rig.connect_client();
+    client.send_bytes(SocketRig::place_task(7));
+    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.server->place(rig.planner.taken[0], 0, 10 * kSecond);
+    rig.run_times(5);
+    client.close();
+    rig.run_until([&] { return rig.server->task_count() == 0; });
+    rig.run_until([&] {
+        worker.accept_and_read();
+        return worker.connections.size() == 2;
+    });
+    rig.run_times(20);
+    worker.accept_and_read();
+    CHECK(worker.count(MessageType::place_task, 7) == 0);
+    backlog[0].close();
+}
+
+TEST_CASE("a client that cancels on another connection of its own has cancelled") {
+    SocketRig rig;
+    ListeningSocket worker;
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    SocketPeer client = rig.connect_client(), other = rig.connect_client();
+    const auto task = rig.start_attempt(client, worker, 7);
+    worker.connections.back()->release(7, platform_codec::Cause::full);
+    rig.run_until([&] { return rig.planner.outcomes.size() == 1; });
+    other.release(7, platform_codec::Cause::given_up);
+    rig.run_until([&] { return rig.server->task_count() == 0; });
+    rig.server->place(task, 0, kSecond);
+    rig.run_times(20);
+    worker.accept_and_read();
+    CHECK(worker.count(MessageType::place_task, 7) == 1);
+}
+
+TEST_CASE("a client that closes its side only is answered, and no attempt is made for it") {
+    SocketRig rig;
+    ListeningSocket worker;
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    SocketPeer client = rig.connect_client();
+    client.send_bytes(SocketRig::place_task(7));
+    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    client.half_close();
+    rig.run_until([&] {
+        client.read_available();
+        return client.count(MessageType::release, 7) == 1;
+    });
+    rig.server->place(rig.planner.taken[0], 0, kSecond);
+    rig.run_times(20);
+    worker.accept_and_read();
+    CHECK(worker.count(MessageType::place_task, 7) == 0);
+    CHECK(rig.server->task_count() == 0);
+}
+
+TEST_CASE("no attempt is sent for a client whose close or cancel lies unread") {
+    SocketRig rig;
+    ListeningSocket worker;
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    rig.server->check_health(0);  // so that a connection is up
+    rig.run_until([&] {
+        return rig.server->connection_count() == 1 &&
+               (worker.accept_and_read(), worker.received_byte_count() > 0);
+    });
+    SocketPeer client = rig.connect_client();
+    const int how = GENERATE(0, 1, 2);
+    constexpr int kFlood = 160 << 10;  // over twice what is read at once
+    client.set_send_buffer(kFlood);
+    std::string bytes = SocketRig::place_task(7);
+    if (how < 2) {  // behind more than one read takes: its cancel, or its close
+        Message message;
+        message.type = MessageType::progress;
+        message.task = 7;
+        while (bytes.size() < kFlood) platform_codec::encode(bytes, message);
+    }
+    client.send_bytes(bytes);
+    if (how == 0) client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
+    if (how == 1) client.close();
+    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
+    auto busy = rig.loop.make_timer([&] {
+        if (how == 2) {
+            client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
+            rig.block_for(80 * kMillisecond);
+        }
+        rig.server->place(rig.planner.taken[0], 0, 10 * kSecond);
+    });
+    busy->arm(rig.loop.now());
+    rig.run_until([&] { return rig.server->task_count() == 0; });
+    rig.run_times(20);
+    worker.accept_and_read();
+    CHECK(worker.count(MessageType::place_task, 7) == 0);
+}
+
+TEST_CASE(
+    "a full server does not evict a client whose request lies unread, nor one whose answer has not left") {
+    SocketRig rig(64);
+    // 40 of 64 are for connections, 30 of them for clients while workers hold none.
+    std::vector<SocketPeer> clients;
+    for (int i = 0; i < 30; ++i) {
+        clients.push_back(rig.connect_client());
+        clients.back().send_plain(MessageType::health_check, 1);
+        rig.run_until([&] {
+            clients.back().read_available();
+            return clients.back().count(MessageType::health_check_reply, 1) == 1;
+        });
+    }
+    REQUIRE(rig.server->connection_count() == 30);
+    // The new one has come first, so its turn is first in the pass; the request of the one that was of no use
+    // for the longest lies unread by then.
+    SocketPeer newcomer = rig.connect_client();
+    clients[0].send_bytes(SocketRig::place_task(7));
+    newcomer.send_plain(MessageType::health_check, 2);
+    rig.run_until([&] {
+        newcomer.read_available();
+        return newcomer.count(MessageType::health_check_reply, 2) == 1;
+    });
+    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    clients[0].read_available();
+    CHECK(!clients[0].peer_closed);
+    CHECK(!clients[0].was_reset);
+}
+
+TEST_CASE("a release that crossed its client's close is sent again on the next connection from there") {
+    SocketRig rig;
+    ListeningSocket worker;
+    rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
+    SocketPeer client = rig.connect_client();
+    rig.run_task(client, worker, 7);
+    rig.run_task(client, worker, 8);
+    worker.connections.front()->release(7, platform_codec::Cause::ok);
+    rig.run_until([&] {
+        client.read_available();
+        return client.count(MessageType::release, 7) == 1;
+    });
+    client.send_plain(MessageType::release_ack, 7);
+    worker.connections.front()->release(8, platform_codec::Cause::ok);
+    rig.run_until([&] { return rig.server->task_count() == 0; });
+    rig.run_times(3);
+    client.close();  // the release lies in its socket, unread
+    rig.run_until([&] { return rig.server->connection_count() == worker.connections.size(); });
+    SocketPeer next = rig.connect_client();
+    next.send_plain(MessageType::health_check, 1);
+    rig.run_until([&] {
+        next.read_available();
+        return next.count(MessageType::health_check_reply, 1) == 1;
+    });
+    CHECK(next.count(MessageType::release, 8) == 1);
+    CHECK(next.count(MessageType::release, 7) == 0);
+}
--- a/tests/support/platform_messages.h
+++ b/tests/support/platform_messages.h
@@ -24,49 +24,50 @@
     };
     virtual ~ProtocolPeer() = default;
     virtual void send_bytes(std::string_view bytes) = 0;
-    void send(const Message& m) {
+    void send(const Message& message) {
         std::string bytes;
-        platform_codec::encode(bytes, m);
+        platform_codec::encode(bytes, message);
         send_bytes(bytes);
     }
     void answer(std::uint64_t id, std::string_view description = "stands") {
-        Message m;
-        m.type = MessageType::answer;
-        m.task = id;
-        m.description = description;
-        send(m);
+        Message message;
+        message.type = MessageType::answer;
+        message.task = id;
+        message.description = description;
+        send(message);
     }
-    void release(std::uint64_t id, platform_codec::Cause cause, std::string_view why = {}) {
-        Message m;
-        m.type = MessageType::release;
-        m.task = id;
-        m.cause = cause;
-        if (!why.empty()) m.detail = why;
-        send(m);
+    void release(std::uint64_t id, platform_codec::Cause cause, std::string_view reason = {}) {
+        Message message;
+        message.type = MessageType::release;
+        message.task = id;
+        message.cause = cause;
+        if (!reason.empty()) message.detail = reason;
+        send(message);
     }
-    std::vector<ReceivedMessage> messages(MessageType t) const {
+    std::vector<ReceivedMessage> messages(MessageType type) const {
         std::vector<ReceivedMessage> out;
-        for (const ReceivedMessage& g : received)
-            if (g.type == t) out.push_back(g);
+        for (const ReceivedMessage& message : received)
+            if (message.type == type) out.push_back(message);
         return out;
     }
-    std::size_t count(MessageType t, std::uint64_t id) const {
-        std::size_t n = 0;
-        for (const ReceivedMessage& g : received) n += g.type == t && g.task == id;
-        return n;
+    std::size_t count(MessageType type, std::uint64_t id) const {
+        std::size_t count = 0;
+        for (const ReceivedMessage& message : received) count += message.type == type && message.task == id;
+        return count;
     }
     std::vector<ReceivedMessage> received;
 
 protected:
     // Keeps every whole message; gives back how many bytes they were.
     std::size_t decode_received(std::string_view in) {
-        const auto decoded = platform_codec::decode_all(in, [this](const Message& m) {
-            const auto text = [](const std::optional<std::string_view>& v) {
-                return std::string(v.value_or(""));
+        const auto decoded = platform_codec::decode_all(in, [this](const Message& message) {
+            const auto text = [](const std::optional<std::string_view>& value) {
+                return std::string(value.value_or(""));
             };
-            received.push_back({m.type, m.task, m.cause, text(m.queue_group), text(m.time_left_ms),
-                                text(m.task_name), text(m.idempotency_key), text(m.description),
-                                text(m.retry_after_ms)});
+            received.push_back({message.type, message.task, message.cause, text(message.queue_group),
+                                text(message.time_left_ms), text(message.task_name),
+                                text(message.idempotency_key), text(message.description),
+                                text(message.retry_after_ms)});
             return true;
         });
         return decoded.consumed;
@@ -79,22 +80,22 @@
     return out;
 }
 
-// A set-up as a good owner sends it.
-inline std::string place_task_bytes(std::uint64_t id, const std::string& group, int wait_ms,
+// A request as a good client sends it.
+inline std::string place_task_bytes(std::uint64_t id, const std::string& queue_group, int time_left_ms,
                                     const std::string& more) {
-    Message m;
-    m.type = MessageType::place_task;
-    m.task = id;
-    const std::string wait = std::to_string(wait_ms), name = task_name_of(id),
-                      figures = "cores:1;memory:2;service:00000000b4d65521" + more;
-    m.queue_group = group;
-    m.time_left_ms = wait;
-    m.task_name = name;
-    m.requirements = figures;
-    m.description = "asked";
-    if (group == "marked") m.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
+    Message message;
+    message.type = MessageType::place_task;
+    message.task = id;
+    const std::string time_left = std::to_string(time_left_ms), name = task_name_of(id),
+                      requirements = "cores:1;memory:2;service:00000000b4d65521" + more;
+    message.queue_group = queue_group;
+    message.time_left_ms = time_left;
+    message.task_name = name;
+    message.requirements = requirements;
+    message.description = "asked";
+    if (queue_group == "marked") message.idempotency_key = "5c0f6e1a2b3d4c59a8b7c6d5e4f30211";
     std::string out;
-    platform_codec::encode(out, m);
+    platform_codec::encode(out, message);
     return out;
 }
 
@@ -104,12 +105,12 @@
            R"(","share":1,"born_ms":0,"free":[16,32]})";
 }
 
-// The bus's event of that number.
+// Discovery's event of that number.
 inline std::string watch_event(std::int64_t number, const std::vector<std::string>& entries, bool whole) {
     std::string list;
-    for (const std::string& e : entries) list += (list.empty() ? "" : ",") + e;
-    const std::string n = std::to_string(number);
-    return "id: " + n + "\ndata: {\"offset\":" + n + R"(,"topology":{"seq":1,"whole":)" +
+    for (const std::string& entry : entries) list += (list.empty() ? "" : ",") + entry;
+    const std::string count = std::to_string(number);
+    return "id: " + count + "\ndata: {\"offset\":" + count + R"(,"topology":{"seq":1,"whole":)" +
            (whole ? "true" : "false") + R"(,"hosts":[)" + list + "]}}\n\n";
 }
 
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -1,4 +1,5 @@
-// The platform's front in virtual time, among owners, hosts and a bus that say just what a test has them say.
+// The platform's server in virtual time, among clients, workers and a discovery service that say just what a
+// test has them say.
 #pragma once
 #include <functional>
 #include <map>
@@ -34,17 +35,18 @@
         simulation::SimulatedProcess* process;
         std::unique_ptr<net::Listener> listener;
         std::vector<std::unique_ptr<TestClient>> connections;
-        // Every set-up that came, on any connection.
+        // Every attempt that came, on any connection.
         std::vector<TestClient::ReceivedMessage> attempts() const {
             std::vector<TestClient::ReceivedMessage> out;
-            for (const auto& c : connections)
-                for (const auto& g : c->messages(MessageType::place_task)) out.push_back(g);
+            for (const auto& connection : connections)
+                for (const auto& message : connection->messages(MessageType::place_task))
+                    out.push_back(message);
             return out;
         }
-        std::size_t count(MessageType t, std::uint64_t id) const {
-            std::size_t n = 0;
-            for (const auto& c : connections) n += c->count(t, id);
-            return n;
+        std::size_t count(MessageType type, std::uint64_t id) const {
+            std::size_t count = 0;
+            for (const auto& connection : connections) count += connection->count(type, id);
+            return count;
         }
         TestClient& last_connection() { return *connections.back(); }
     };
@@ -75,16 +77,16 @@
         open_discovery("10.0.9.1:1");
         require(server.listen("10.0.0.1:3868").has_value());
     }
-    static void require(bool well) {
-        if (!well) throw std::runtime_error("the rig does not stand");
+    static void require(bool holds) {
+        if (!holds) throw std::runtime_error("the rig does not stand");
     }
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
-        for (QueueGroup& g : out) {
-            g.start_objective = 800 * kMillisecond;
-            g.start_value_s = 10;
-            g.full_service_utilization = 0.8;
-            g.degradation_range = 0.25;
+        for (QueueGroup& message : out) {
+            message.start_objective = 800 * kMillisecond;
+            message.start_value_s = 10;
+            message.full_service_utilization = 0.8;
+            message.degradation_range = 0.25;
         }
         out[1].effect = Effect::keyed;
         out[1].deduplicated_by = FailureDomain::cell;
@@ -96,10 +98,10 @@
     static SlowStartSettings slow_start() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}; }
 
     void open_discovery(const std::string& address) {
-        auto listener = discovery_process.listen(address, [this](std::unique_ptr<net::Stream> s) {
+        auto listener = discovery_process.listen(address, [this](std::unique_ptr<net::Stream> accepted) {
             watches.push_back(std::make_unique<WatchConnection>());
-            net::Stream& stream = *s;
-            watches.back()->stream = std::move(s);
+            net::Stream& stream = *accepted;
+            watches.back()->stream = std::move(accepted);
             discovery_process.attach(stream, *watches.back());
             publish_bytes("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
         });
@@ -113,8 +115,8 @@
     void publish_bytes(std::string_view bytes) {
         if (!watches.empty() && watches.back()->stream) watches.back()->stream->write(bytes);
     }
-    static std::string entry(const FakeWorker& h, const char* state = "active") {
-        return endpoint_entry(h.name, h.address, state);
+    static std::string entry(const FakeWorker& worker, const char* state = "active") {
+        return endpoint_entry(worker.name, worker.address, state);
     }
     std::string event(const std::vector<std::string>& entries, bool whole = false) {
         return watch_event(++last_event, entries, whole);
@@ -123,7 +125,7 @@
         publish_bytes(event(entries, whole));
         run(20 * kMillisecond);
     }
-    // The bus stays alive: a comment comes every second.
+    // Discovery stays alive: a comment comes every second.
     void run(Nanos by) {
         for (const Nanos until = world.now() + by; world.now() < until;) {
             const Nanos step = std::min(until, next_comment);
@@ -135,37 +137,38 @@
         }
     }
     FakeWorker& add_worker(const std::string& name) {
-        FakeWorker& h = workers[name];
-        h.name = name;
+        FakeWorker& worker = workers[name];
+        worker.name = name;
         const std::string at = "10.0.1." + std::to_string(workers.size());
-        h.address = at + ":3868";
-        h.process = &world.process(at);
-        listen(h);
-        return h;
-    }
-    void listen(FakeWorker& h) {
-        auto listener = h.process->listen(h.address, [this, &h](std::unique_ptr<net::Stream> s) {
-            h.connections.push_back(std::make_unique<TestClient>());
-            net::Stream& stream = *s;
-            h.connections.back()->stream = std::move(s);
-            h.process->attach(stream, *h.connections.back());
-        });
+        worker.address = at + ":3868";
+        worker.process = &world.process(at);
+        listen(worker);
+        return worker;
+    }
+    void listen(FakeWorker& worker) {
+        auto listener =
+            worker.process->listen(worker.address, [this, &worker](std::unique_ptr<net::Stream> accepted) {
+                worker.connections.push_back(std::make_unique<TestClient>());
+                net::Stream& stream = *accepted;
+                worker.connections.back()->stream = std::move(accepted);
+                worker.process->attach(stream, *worker.connections.back());
+            });
         require(listener.has_value());
-        h.listener = std::move(*listener);
+        worker.listener = std::move(*listener);
     }
     TestClient& connect_client(int number = 1) {
-        simulation::SimulatedProcess*& p = client_processes[number];
-        if (!p) p = &world.process("10.0.2." + std::to_string(number));
+        simulation::SimulatedProcess*& process = client_processes[number];
+        if (!process) process = &world.process("10.0.2." + std::to_string(number));
         clients.push_back(std::make_unique<TestClient>());
-        TestClient& l = *clients.back();
-        l.stream = p->dial("10.0.0.1:3868", l);
+        TestClient& client = *clients.back();
+        client.stream = process->dial("10.0.0.1:3868", client);
         run(5 * kMillisecond);
-        return l;
+        return client;
     }
-    // A set-up as a good owner sends it.
-    void request_placement(TestClient& o, std::uint64_t id, const std::string& group = "free",
-                           int wait_ms = 5000, const std::string& more = "") {
-        o.send_bytes(place_task_bytes(id, group, wait_ms, more));
+    // A request as a good client sends it.
+    void request_placement(TestClient& client, std::uint64_t id, const std::string& group = "free",
+                           int time_left_ms = 5000, const std::string& more = "") {
+        client.send_bytes(place_task_bytes(id, group, time_left_ms, more));
         run(60 * kMillisecond);
     }
 
@@ -186,4 +189,19 @@
     bool comments = true;
 };
 
+// One worker, listed, and one client.
+struct SingleWorkerRig : PlatformRig {
+    explicit SingleWorkerRig(std::size_t descriptors = 256)
+        : PlatformRig(descriptors), worker(add_worker("h")), client(connect_client()) {
+        start();
+        publish({entry(worker)}, true);
+    }
+    FakeWorker& worker;
+    TestClient& client;
+};
+
+inline std::size_t answer_count(const TestClient& client, std::uint64_t id) {
+    return client.count(MessageType::answer, id) + client.count(MessageType::release, id);
+}
+
 }  // namespace whinpost
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -1,5 +1,6 @@
-// The platform's front on real sockets, among owners, hosts and a bus that a test plays by hand. The loop
-// turns only where the test says so: what is written between two turns has come, all of it, before the next.
+// The platform's server on real sockets, among clients, workers and a discovery service that a test plays by
+// hand. The loop runs only where the test says so: what is written between two passes has come, all of it,
+// before the next.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -24,14 +25,14 @@
 namespace whinpost {
 
 inline sockaddr_in loopback(int port) {
-    sockaddr_in a{};
-    a.sin_family = AF_INET;
-    a.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    a.sin_port = htons(static_cast<std::uint16_t>(port));
-    return a;
+    sockaddr_in address{};
+    address.sin_family = AF_INET;
+    address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+    address.sin_port = htons(static_cast<std::uint16_t>(port));
+    return address;
 }
-inline void require(bool well, const char* what) {
-    if (!well) throw std::runtime_error(std::string("the rig: ") + what);
+inline void require(bool holds, const char* what) {
+    if (!holds) throw std::runtime_error(std::string("the rig: ") + what);
 }
 
 // One end of a connection.
@@ -39,23 +40,23 @@
 public:
     SocketPeer() = default;
     explicit SocketPeer(int fd) : fd_(fd) {}
-    SocketPeer(SocketPeer&& o) noexcept { *this = std::move(o); }
-    SocketPeer& operator=(SocketPeer&& o) noexcept {
-        std::swap(fd_, o.fd_);
-        std::swap(undecoded_, o.undecoded_);
-        std::swap(received_bytes, o.received_bytes);
-        std::swap(received, o.received);
-        std::swap(peer_closed, o.peer_closed);
-        std::swap(was_reset, o.was_reset);
+    SocketPeer(SocketPeer&& other) noexcept { *this = std::move(other); }
+    SocketPeer& operator=(SocketPeer&& other) noexcept {
+        std::swap(fd_, other.fd_);
+        std::swap(undecoded_, other.undecoded_);
+        std::swap(received_bytes, other.received_bytes);
+        std::swap(received, other.received);
+        std::swap(peer_closed, other.peer_closed);
+        std::swap(was_reset, other.was_reset);
         return *this;
     }
     ~SocketPeer() override { close(); }
 
     static SocketPeer dial(int port) {
-        SocketPeer p(::socket(AF_INET, SOCK_STREAM, 0));
+        SocketPeer peer(::socket(AF_INET, SOCK_STREAM, 0));
         const sockaddr_in to = loopback(port);
-        require(::connect(p.fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0, "connect");
-        return p;
+        require(::connect(peer.fd_, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0, "connect");
+        return peer;
     }
     bool is_open() const { return fd_ >= 0; }
     void send_bytes(std::string_view bytes) override {
@@ -64,25 +65,27 @@
     }
     void send_plain(MessageType type, std::uint64_t id,
                     platform_codec::Cause cause = platform_codec::Cause::check_failed) {
-        Message m;
-        m.type = type;
-        m.task = id;
-        if (type == MessageType::health_check || type == MessageType::health_check_reply) m.cause = cause;
-        send(m);
+        Message message;
+        message.type = type;
+        message.task = id;
+        if (type == MessageType::health_check || type == MessageType::health_check_reply)
+            message.cause = cause;
+        send(message);
     }
     // Reads all that is there.
     void read_available() {
         if (fd_ < 0) return;
         char bytes[4096];
         for (;;) {
-            const ssize_t n = ::recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
-            if (n > 0) {
-                undecoded_.append(bytes, static_cast<std::size_t>(n));
-                received_bytes.append(bytes, static_cast<std::size_t>(n));
+            const ssize_t count = ::recv(fd_, bytes, sizeof bytes, MSG_DONTWAIT);
+            if (count > 0) {
+                undecoded_.append(bytes, static_cast<std::size_t>(count));
+                received_bytes.append(bytes, static_cast<std::size_t>(count));
                 continue;
             }
-            peer_closed = peer_closed || n == 0;
-            was_reset = was_reset || (n < 0 && errno != EAGAIN);  // after an end it shows as a broken pipe
+            peer_closed = peer_closed || count == 0;
+            was_reset =
+                was_reset || (count < 0 && errno != EAGAIN);  // after an end it shows as a broken pipe
             break;
         }
         int error = 0;
@@ -116,12 +119,12 @@
     explicit ListeningSocket(int backlog = 64, int port = 0) : fd_(::socket(AF_INET, SOCK_STREAM, 0)) {
         const int on = 1;
         setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-        sockaddr_in a = loopback(port);
-        require(::bind(fd_, reinterpret_cast<sockaddr*>(&a), sizeof a) == 0, "bind");
+        sockaddr_in address = loopback(port);
+        require(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0, "bind");
         require(::listen(fd_, backlog) == 0, "listen");
-        socklen_t length = sizeof a;
-        getsockname(fd_, reinterpret_cast<sockaddr*>(&a), &length);
-        port_ = ntohs(a.sin_port);
+        socklen_t length = sizeof address;
+        getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &length);
+        port_ = ntohs(address.sin_port);
         fcntl(fd_, F_SETFL, O_NONBLOCK);
     }
     ~ListeningSocket() { close(); }
@@ -133,17 +136,17 @@
     void accept_and_read() {
         for (int fd; fd_ >= 0 && (fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK)) >= 0;)
             connections.push_back(std::make_unique<SocketPeer>(fd));
-        for (const auto& l : connections) l->read_available();
+        for (const auto& connection : connections) connection->read_available();
     }
-    std::size_t count(MessageType t, std::uint64_t id) const {
-        std::size_t n = 0;
-        for (const auto& l : connections) n += l->count(t, id);
-        return n;
+    std::size_t count(MessageType type, std::uint64_t id) const {
+        std::size_t count = 0;
+        for (const auto& connection : connections) count += connection->count(type, id);
+        return count;
     }
     std::size_t received_byte_count() const {
-        std::size_t n = 0;
-        for (const auto& l : connections) n += l->received_bytes.size();
-        return n;
+        std::size_t count = 0;
+        for (const auto& connection : connections) count += connection->received_bytes.size();
+        return count;
     }
     void close() {
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
@@ -158,9 +161,9 @@
     struct RecordingPlanner : QuietPlanner {
         void cancel(Nanos, planner::TaskNumber) override { ++cancelled; }
         void on_load_report(Nanos, planner::WorkerNumber, const LoadReport&) override { ++load_reports; }
-        void on_attempt_ended(Nanos, planner::TaskNumber, int, AttemptOutcome how, OutcomeReason, bool,
+        void on_attempt_ended(Nanos, planner::TaskNumber, int, AttemptOutcome outcome, OutcomeReason, bool,
                               const LoadReport&) override {
-            outcomes.push_back(how);
+            outcomes.push_back(outcome);
         }
         void run_round(Nanos) override {
             if (on_round) on_round();
@@ -197,11 +200,11 @@
     }
 
     void run_once() { loop.run_once(false); }
-    void run_times(int n) {
-        while (n-- > 0) run_once();
+    void run_times(int count) {
+        while (count-- > 0) run_once();
     }
-    // Turns until it holds; a failure of the test where it does not for very long, though less than any
-    // set-up waits.
+    // Runs the loop until it holds; a failure of the test where it does not for very long, though less than
+    // any request waits.
     void run_until(const std::function<bool()>& holds) {
         const Nanos give_up = loop.now() + 20 * kSecond;
         while (!holds()) {
@@ -210,7 +213,7 @@
             usleep(100);
         }
     }
-    // Time passes, and the loop stands still.
+    // Time passes, and the loop does not run.
     void block_for(Nanos by) {
         for (const Nanos to = loop.now() + by; loop.now() < to;) usleep(1000);
     }
@@ -228,33 +231,34 @@
     }
     // Told by the events of the start, which need no connection.
     void publish_initial(const std::vector<std::string>& entries, bool whole = false) {
-        const std::string e = event(entries, whole);
-        const std::size_t from = e.find("data: ") + 6;
-        server->discovery_watch().apply_initial_event(std::string_view(e).substr(from, e.size() - from - 2));
+        const std::string published = event(entries, whole);
+        const std::size_t from = published.find("data: ") + 6;
+        server->discovery_watch().apply_initial_event(
+            std::string_view(published).substr(from, published.size() - from - 2));
     }
     static std::string place_task(std::uint64_t id, const std::string& group = "free",
-                                  const std::string& more = "", int wait_ms = 60'000) {
-        return place_task_bytes(id, group, wait_ms, more);
+                                  const std::string& more = "", int time_left_ms = 60'000) {
+        return place_task_bytes(id, group, time_left_ms, more);
     }
-    // A container of `o` that is launched on host 0, the set-up come whole to it.
-    planner::TaskNumber start_attempt(SocketPeer& o, ListeningSocket& host, std::uint64_t id,
+    // A task of the client with an attempt at worker 0, which has received it whole.
+    planner::TaskNumber start_attempt(SocketPeer& other, ListeningSocket& worker, std::uint64_t id,
                                       const std::string& group = "free") {
         const std::size_t before = planner.taken.size();
-        o.send_bytes(place_task(id, group));
+        other.send_bytes(place_task(id, group));
         run_until([&] { return planner.taken.size() == before + 1; });
         server->place(planner.taken.back(), 0, 10 * kSecond);
         run_until([&] {
-            host.accept_and_read();
-            return host.count(MessageType::place_task, id) == 1;
+            worker.accept_and_read();
+            return worker.count(MessageType::place_task, id) == 1;
         });
         return planner.taken.back();
     }
-    void run_task(SocketPeer& o, ListeningSocket& host, std::uint64_t id) {
-        start_attempt(o, host, id);
-        host.connections.back()->answer(id);
+    void run_task(SocketPeer& other, ListeningSocket& worker, std::uint64_t id) {
+        start_attempt(other, worker, id);
+        worker.connections.back()->answer(id);
         run_until([&] {
-            o.read_available();
-            return o.count(MessageType::answer, id) == 1;
+            other.read_available();
+            return other.count(MessageType::answer, id) == 1;
         });
     }
 
--- /dev/null
+++ b/tests/task_recovery_test.cpp
@@ -0,0 +1,78 @@
+// Reports of running tasks whose worker is not listed yet.
+#include "platform/task_recovery.h"
+
+#include <catch2/catch.hpp>
+#include <set>
+#include <string>
+#include <vector>
+
+using namespace whinpost;
+using platform::RunningTaskReport;
+
+namespace {
+
+struct FakeAdopter : platform::TaskAdopter {
+    bool adopt(const RunningTaskReport& report, platform::ClientConnection* client) override {
+        if (!listed.contains(report.request.running_on)) return false;
+        adopted.push_back(report.id);
+        with_client += client != nullptr;
+        return true;
+    }
+    std::set<std::string> listed;
+    std::vector<std::uint64_t> adopted;
+    int with_client = 0;
+};
+
+RunningTaskReport report(std::uint64_t id, const std::string& worker, Nanos since = 0) {
+    RunningTaskReport made{id, {}, "10.0.0.1", since};
+    made.request.running_on = worker;
+    return made;
+}
+
+struct RecoveryFixture {
+    int storage = 0;  // only its address is passed on
+    platform::ClientConnection& client = reinterpret_cast<platform::ClientConnection&>(storage);
+    FakeAdopter adopter;
+    platform::TaskRecovery recovery{adopter};
+};
+
+}  // namespace
+
+TEST_CASE("a task on a listed worker is adopted at once, with its client") {
+    RecoveryFixture fixture;
+    fixture.adopter.listed = {"w1"};
+    fixture.recovery.on_report(report(1, "w1"), fixture.client);
+    CHECK(fixture.recovery.size() == 0);
+    CHECK(fixture.adopter.adopted == std::vector<std::uint64_t>{1});
+    CHECK(fixture.adopter.with_client == 1);
+}
+
+TEST_CASE("reports wait, in order and without their client, until their worker is listed") {
+    RecoveryFixture fixture;
+    for (std::uint64_t id = 1; id <= 4; ++id)
+        fixture.recovery.on_report(report(id, id % 2 ? "w1" : "w2"), fixture.client);
+    fixture.adopter.listed = {"w2"};
+    fixture.recovery.retry_all();
+    CHECK(fixture.adopter.adopted == std::vector<std::uint64_t>{2, 4});
+    CHECK(fixture.recovery.size() == 2);
+    fixture.adopter.listed = {"w1"};
+    fixture.recovery.retry_all();
+    CHECK(fixture.adopter.adopted == std::vector<std::uint64_t>{2, 4, 1, 3});
+    CHECK(fixture.adopter.with_client == 0);
+}
+
+TEST_CASE("reports are dropped when cancelled, after 20 s, and beyond 2000") {
+    RecoveryFixture fixture;
+    fixture.recovery.on_report(report(1, "w1", 0), fixture.client);
+    fixture.recovery.on_report(report(2, "w1", kSecond), fixture.client);
+    fixture.recovery.on_report(report(3, "w1", kSecond), fixture.client);
+    fixture.recovery.cancel(2);
+    CHECK(fixture.recovery.size() == 2);
+    fixture.recovery.expire(20 * kSecond + 1);
+    CHECK(fixture.recovery.size() == 1);
+    for (std::uint64_t id = 10; id < 2100; ++id) fixture.recovery.on_report(report(id, "w1"), fixture.client);
+    CHECK(fixture.recovery.size() == 2000);
+    fixture.adopter.listed = {"w1"};
+    fixture.recovery.retry_all();
+    CHECK(fixture.adopter.adopted.front() == 100);
+}
--- a/tests/task_table_test.cpp
+++ b/tests/task_table_test.cpp
@@ -1,60 +1,72 @@
-// The tasks that the server holds, and their attempts, by number.
-#include "server/task_table.h"
+// The table of tasks that the platform's server holds.
+#include "platform/task_table.h"
 
 #include <catch2/catch.hpp>
+#include <memory>
 
 using namespace whinpost;
+using platform::InFlightTask;
 
 namespace {
-struct IgnoredDeadlines final : server::TaskDeadlineHandler {
-    void on_answer_deadline(server::InFlightTask&) override {}
-    void on_attempt_deadline(server::InFlightTask&) override {}
-    void on_retention_end(server::InFlightTask&) override {}
-};
 
-struct TestTasks {
-    server::InFlightTask& add(server::ClientConnection* client) {
-        ResourceRequest request;
-        request.time_left = kSecond;
-        ledger::TaskRecord& record = ledger.create_task(0, "key", 1, request);
-        server::InFlightTask& task = table.add(std::make_unique<server::InFlightTask>(handler, record));
-        task.client = client;
-        return task;
+struct TableFixture : platform::AnswerDeadlineHandler, platform::AttemptTimeoutHandler {
+    void on_answer_deadline(InFlightTask&, Nanos) override { ++deadlines; }
+    void on_attempt_timeout(InFlightTask&) override { ++timeouts; }
+    InFlightTask& create(std::uint64_t number, std::uint64_t id,
+                         platform::ClientConnection* client = nullptr) {
+        records.push_back(std::make_unique<ledger::TaskRecord>());
+        records.back()->number = number;
+        return table.create(id, *records.back(), client, "10.0.0.1");
     }
-
-    ledger::Ledger ledger{{QueueGroup{}}, {4, true}, {}};
-    IgnoredDeadlines handler;
-    server::TaskTable table;
+    std::vector<std::unique_ptr<ledger::TaskRecord>> records;
+    int deadlines = 0, timeouts = 0;
+    platform::TaskTable table{*this, *this};
 };
+
 }  // namespace
 
-TEST_CASE("a client's tasks are given in the order in which they were created, without those of others") {
-    TestTasks test;
-    // Only compared, never used.
-    auto* const one = reinterpret_cast<server::ClientConnection*>(0x100);
-    auto* const other = reinterpret_cast<server::ClientConnection*>(0x200);
-    std::vector<server::InFlightTask*> expected;
-    for (int i = 0; i < 100; ++i) {
-        server::InFlightTask& task = test.add(i % 2 ? one : other);
-        if (i % 2) expected.push_back(&task);
-    }
-    CHECK(test.table.size() == 100);
-    CHECK(test.table.tasks_of(*one) == expected);
+TEST_CASE("a task is found by number, by client id and, once it runs, by name") {
+    TableFixture fixture;
+    InFlightTask& task = fixture.create(3, 77);
+    task.name = "name";
+    CHECK(fixture.table.find(3) == &task);
+    CHECK(fixture.table.find_by_id(77) == &task);
+    CHECK(fixture.table.find_running("name") == nullptr);
+    CHECK(fixture.table.find(77) == nullptr);
+    CHECK(fixture.table.find_by_id(3) == nullptr);
+    fixture.table.add_running(task);
+    CHECK(fixture.table.find_running("name") == &task);
 }
 
-TEST_CASE("an erased task is not found any more, nor are its attempts") {
-    TestTasks test;
-    server::InFlightTask& task = test.add(nullptr);
-    const std::uint64_t number = task.record->number;
-    ledger::WorkerRecord& worker = test.ledger.add_worker("worker");
-    test.ledger.on_endpoint(0, worker, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
-    ledger::Attempt& attempt = **test.ledger.start_attempt(0, *task.record, worker, kSecond);
-    test.table.add_attempt(attempt);
-    REQUIRE(test.table.find(number) == &task);
-    REQUIRE(test.table.find_attempt(attempt.number) == &attempt);
-    const std::uint64_t attempt_number = attempt.number;
-    test.table.erase(task);
-    CHECK(test.table.find(number) == nullptr);
-    CHECK(test.table.find_attempt(attempt_number) == nullptr);
-    CHECK(test.table.size() == 0);
+TEST_CASE("a removed task is found no more, its timers are disarmed, and it lives until it is freed") {
+    TableFixture fixture;
+    InFlightTask& task = fixture.create(1, 10);
+    task.name = "name";
+    fixture.table.add_running(task);
+    timer_wheel::TimerWheel wheel(0);
+    wheel.arm(task.answer_deadline, kSecond);
+    wheel.arm(task.attempt_timeout, kSecond);
+    CHECK(fixture.table.remove(task));
+    CHECK_FALSE(fixture.table.remove(task));
+    CHECK(fixture.table.size() == 0);
+    CHECK(fixture.table.find_by_id(10) == nullptr);
+    CHECK(fixture.table.find_running("name") == nullptr);
+    wheel.run_timers(2 * kSecond);
+    CHECK(fixture.deadlines + fixture.timeouts == 0);
+    CHECK(task.name == "name");
+    fixture.table.free_removed();
+}
+
+TEST_CASE("tasks of a client come in the order in which they were created") {
+    TableFixture fixture;
+    int client_storage = 0, other_storage = 0;  // only their addresses are compared
+    auto* client = reinterpret_cast<platform::ClientConnection*>(&client_storage);
+    auto* other = reinterpret_cast<platform::ClientConnection*>(&other_storage);
+    std::vector<InFlightTask*> expected;
+    for (std::uint64_t number = 1; number <= 20; ++number) {
+        InFlightTask& task = fixture.create(number, 1000 - 37 * number, number % 3 ? client : other);
+        if (number % 3) expected.push_back(&task);
+    }
+    CHECK(fixture.table.tasks_of(*client) == expected);
+    CHECK_FALSE(fixture.table.all_running());
 }
