--- a/emulator/emulated_worker.cpp
+++ b/emulator/emulated_worker.cpp
@@ -130,8 +130,9 @@
       sending_away_(std::make_unique<ScheduledCall>([this] { send_one_away(); })),
       sweeping_(std::make_unique<ScheduledCall>([this] { left_.clear(); })),
       giving_(std::make_unique<ScheduledCall>([this] {
-          if (!faults_.paused && !faults_.silent) giver_.bears(fleet_.loop.now(), bears(fleet_.loop.now()));
-          if (pace(fleet_.loop.now()) < 1) wake(fleet_.loop.now() + 100 * kMillisecond);
+          if (!faults_.paused && !faults_.silent)
+              giver_.set_capacity(fleet_.loop.now(), bears(fleet_.loop.now()));
+          if (pace(fleet_.loop.now()) < 1) wake_at(fleet_.loop.now() + 100 * kMillisecond);
       })) {
     fleet_.arm(*noting_, fleet_.loop.now() + terms_.note_every);
 }
@@ -218,10 +219,10 @@
     }
     if (m.has_request_tokens()) {
         const Nanos now = node.fleet_.loop.now();
-        node.giver_.bears(now, node.bears(now));
-        node.giver_.asked(now, turns, m.request_tokens().sequence(),
-                          static_cast<int>(std::min(m.request_tokens().held(), 1000u)),
-                          static_cast<int>(std::min(m.request_tokens().wanted(), 1000u)));
+        node.giver_.set_capacity(now, node.bears(now));
+        node.giver_.on_request(now, turns, m.request_tokens().sequence(),
+                               static_cast<int>(std::min(m.request_tokens().held(), 1000u)),
+                               static_cast<int>(std::min(m.request_tokens().wanted(), 1000u)));
         return true;
     }
     if (m.has_start_attempt()) {
@@ -363,7 +364,7 @@
 // falls over.
 void EmulatedWorker::pressure(Session& from) {
     const Nanos now = fleet_.loop.now();
-    giver_.offer(now, from.turns);
+    giver_.on_attempt(now, from.turns);
     if (fallen_ || pace(now) >= 1) return;
     while (!offers_.empty() && now - offers_.front() >= terms_.fall_window) offers_.pop_front();
     offers_.push_back(now);
@@ -383,14 +384,14 @@
                                              static_cast<double>(terms_.fall_window) / 1e9);
 }
 
-void EmulatedWorker::give(slow_start::TokenHolder& h, std::uint64_t number, int turns) {
+void EmulatedWorker::send_tokens(slow_start::TokenHolder& h, std::uint64_t number, int turns) {
     v1::FromWorker m;
     m.mutable_tokens_granted()->set_sequence(number);
     m.mutable_tokens_granted()->set_tokens(static_cast<std::uint32_t>(turns));
     static_cast<Session*>(h.tag)->send(m);
 }
 
-void EmulatedWorker::wake(Nanos at) {
+void EmulatedWorker::wake_at(Nanos at) {
     if (!giving_->armed() || at < giving_->deadline()) fleet_.arm(*giving_, at);
 }
 
--- a/emulator/emulated_worker.h
+++ b/emulator/emulated_worker.h
@@ -159,8 +159,8 @@
     void notes();
     void pressure(Session&);
     double bears(Nanos now) const;
-    void give(slow_start::TokenHolder&, std::uint64_t number, int turns) override;
-    void wake(Nanos at) override;
+    void send_tokens(slow_start::TokenHolder&, std::uint64_t number, int turns) override;
+    void wake_at(Nanos at) override;
     double pace(Nanos now) const;
     double share(int group) const;  // of full service, as crowded as it is
     bool over_rate(int group);
--- a/src/admission/admission_controller.h
+++ b/src/admission/admission_controller.h
@@ -15,13 +15,13 @@
 namespace whinpost::admission {
 
 struct AdmissionLimits {
-    std::int64_t waiting = 20'000;  // taken and without an answer, in all
-    std::int64_t waiting_an_owner = 5'000;
-    std::int64_t a_second = 20'000;  // taken, in any second
-    std::int64_t owners = 1'000;     // connections
+    std::int64_t max_waiting = 20'000;  // taken and without an answer, in all
+    std::int64_t max_waiting_per_client = 5'000;
+    std::int64_t max_per_second = 20'000;  // taken, in any second
+    std::int64_t max_clients = 1'000;      // connections
 };
 
-enum class AdmissionLimit { none, waiting, owner_waiting, group_waiting, rate, owner_rate, closing };
+enum class AdmissionLimit { none, waiting, client_waiting, group_waiting, rate, client_rate, draining };
 // The name that the owner is told and the log shows.
 std::string_view to_string(AdmissionLimit);
 
@@ -37,39 +37,39 @@
 
 private:
     friend class AdmissionController;
-    AdmissionController& intake_;
-    ShareHolder waiting_, taken_;
+    AdmissionController& controller_;
+    ShareHolder waiting_, rate_;
     std::deque<std::pair<std::int64_t, std::int64_t>>
-        lately_;  // a tenth of a second, and how many were taken in it
+        recent_;  // a tenth of a second, and how many were taken in it
 };
 
 class AdmissionController {
 public:
     AdmissionController(AdmissionLimits, std::size_t groups);
 
-    AdmissionLimit take(Nanos now, ClientShare&, int group);  // none: taken, and counted as waiting
-    void answered(ClientShare*, int group);                   // null: the owner has left
-    void close() { closed_ = true; }                          // from here on nothing is taken
+    AdmissionLimit admit(Nanos now, ClientShare&, int group);  // none: taken, and counted as waiting
+    void on_answered(ClientShare*, int group);                 // null: the owner has left
+    void start_drain() { is_draining_ = true; }                // from here on nothing is taken
 
     std::int64_t waiting() const { return groups_waiting_.held(); }
-    std::int64_t turned_away(AdmissionLimit l) const { return turned_away_[static_cast<std::size_t>(l)]; }
+    std::int64_t rejected(AdmissionLimit l) const { return rejected_[static_cast<std::size_t>(l)]; }
     const AdmissionLimits& limits() const { return limits_; }
 
 private:
     friend class ClientShare;
-    AdmissionLimit judge(Nanos now, ClientShare&, int group);
-    void pass(Nanos now);
+    AdmissionLimit check(Nanos now, ClientShare&, int group);
+    void expire_rates(Nanos now);
 
     AdmissionLimits limits_;
     // A part of the room is kept for those that come later: with less the flood would shut them out, with
     // more what stands idle could not be lent. Of the waiting, as much for owners as for queue groups.
     static constexpr double kGuaranteedWaiting = 0.35, kGuaranteedRate = 0.5;
-    FairShares owners_waiting_, groups_waiting_, owners_rate_;
+    FairShares clients_waiting_, groups_waiting_, clients_rate_;
     std::vector<std::unique_ptr<ShareHolder>> groups_;
-    std::vector<ClientShare*> owners_;
+    std::vector<ClientShare*> clients_;
     std::int64_t bucket_ = 0;
-    std::vector<std::int64_t> turned_away_;
-    bool closed_ = false;
+    std::vector<std::int64_t> rejected_;
+    bool is_draining_ = false;
 };
 
 }  // namespace whinpost::admission
--- a/src/admission/fair_shares.cpp
+++ b/src/admission/fair_shares.cpp
@@ -2,25 +2,25 @@
 
 namespace whinpost::admission {
 
-ShareHolder::ShareHolder(FairShares& shares) : shares_(shares), at_(shares.members_.size()) {
+ShareHolder::ShareHolder(FairShares& shares) : shares_(shares), index_(shares.members_.size()) {
     shares_.members_.push_back(this);
-    shares_.recount();
+    shares_.recompute();
 }
 
 ShareHolder::~ShareHolder() {
     shares_.held_ -= held_;
-    shares_.members_[at_] = shares_.members_.back();
-    shares_.members_[at_]->at_ = at_;
+    shares_.members_[index_] = shares_.members_.back();
+    shares_.members_[index_]->index_ = index_;
     shares_.members_.pop_back();
-    shares_.recount();
+    shares_.recompute();
 }
 
-bool ShareHolder::below() const { return held_ < shares_.guaranteed_; }
+bool ShareHolder::is_below_guarantee() const { return held_ < shares_.guaranteed_; }
 
 bool ShareHolder::fits() const {
     // A member that has just joined a full house waits until something is given back.
     if (shares_.held_ >= shares_.capacity_) return false;
-    if (below()) return true;
+    if (is_below_guarantee()) return true;
     return shares_.held_ + shares_.reserved_ < shares_.capacity_;
 }
 
@@ -37,10 +37,11 @@
     shares_.reserved_ += shares_.unused(*this);
 }
 
-void FairShares::recount() {
-    guaranteed_ = members_.empty() ? 0
-                                   : static_cast<std::int64_t>(part_ * static_cast<double>(capacity_)) /
-                                         static_cast<std::int64_t>(members_.size());
+void FairShares::recompute() {
+    guaranteed_ = members_.empty()
+                      ? 0
+                      : static_cast<std::int64_t>(guaranteed_part_ * static_cast<double>(capacity_)) /
+                            static_cast<std::int64_t>(members_.size());
     reserved_ = 0;
     for (const ShareHolder* m : members_) reserved_ += unused(*m);
 }
--- a/src/admission/fair_shares.h
+++ b/src/admission/fair_shares.h
@@ -17,8 +17,8 @@
     ShareHolder(const ShareHolder&) = delete;
     ShareHolder& operator=(const ShareHolder&) = delete;
 
-    bool fits() const;   // one more
-    bool below() const;  // its guarantee
+    bool fits() const;                // one more
+    bool is_below_guarantee() const;  // its guarantee
     void add();
     void remove(std::int64_t count = 1);
     std::int64_t held() const { return held_; }
@@ -27,13 +27,13 @@
     friend class FairShares;
     FairShares& shares_;
     std::int64_t held_ = 0;
-    std::size_t at_ = 0;
+    std::size_t index_ = 0;
 };
 
 class FairShares {
 public:
     // `part` of the capacity, in [0, 1], is guaranteed in equal parts; the rest is first come, first served.
-    FairShares(std::int64_t capacity, double part) : capacity_(capacity), part_(part) {}
+    FairShares(std::int64_t capacity, double part) : capacity_(capacity), guaranteed_part_(part) {}
 
     std::int64_t held() const { return held_; }
     std::int64_t capacity() const { return capacity_; }
@@ -47,10 +47,10 @@
         return m.held_ < guaranteed_ ? guaranteed_ - m.held_ : 0;
     }
     // Members come and go by the connection, asks by the thousand: the walk is made where it is rare.
-    void recount();
+    void recompute();
 
     std::int64_t capacity_;
-    double part_;
+    double guaranteed_part_;
     std::int64_t held_ = 0, guaranteed_ = 0, reserved_ = 0;
     std::vector<ShareHolder*> members_;
 };
--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -159,10 +159,11 @@
 admission::AdmissionLimits admission_limits(Table root) {
     Table table = root.table("intake");
     admission::AdmissionLimits limits;
-    limits.waiting = table.integer("waiting", 1, 10'000'000, limits.waiting);
-    limits.waiting_an_owner = table.integer("waiting_an_owner", 1, 10'000'000, limits.waiting_an_owner);
-    limits.a_second = table.integer("a_second", 1, 10'000'000, limits.a_second);
-    limits.owners = table.integer("owners", 1, 1'000'000, limits.owners);
+    limits.max_waiting = table.integer("waiting", 1, 10'000'000, limits.max_waiting);
+    limits.max_waiting_per_client =
+        table.integer("waiting_an_owner", 1, 10'000'000, limits.max_waiting_per_client);
+    limits.max_per_second = table.integer("a_second", 1, 10'000'000, limits.max_per_second);
+    limits.max_clients = table.integer("owners", 1, 1'000'000, limits.max_clients);
     return limits;
 }
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -58,13 +58,13 @@
             return "serving";
         case WorkerState::unconfirmed:
             return "unconfirmed";
-        case WorkerState::away:
+        case WorkerState::unreachable:
             return "away";
-        case WorkerState::unsteady:
+        case WorkerState::flapping:
             return "unsteady";
         case WorkerState::draining:
             return "draining";
-        case WorkerState::leaving:
+        case WorkerState::delisted:
             return "leaving";
         case WorkerState::gone:
             return "gone";
@@ -73,60 +73,62 @@
 }
 
 WorkerEntry::WorkerEntry(Membership& f, std::string n, std::uint32_t num)
-    : name(std::move(n)), number(num), fleet_(f), held_(*this), lives_(kLivesOver) {}
+    : name(std::move(n)), number(num), membership_(f), hold_timer_(*this), restarts_(kLivesOver) {}
 
-void WorkerEntry::Held::on_deadline(Nanos now) { member.fleet_.settle(now, member); }
+void WorkerEntry::HoldTimer::on_deadline(Nanos now) { entry.membership_.update_worker(now, entry); }
 
 Membership::Membership(MembershipHandler& port, Nanos now, Nanos drain_grace, bool report_is_free)
-    : port_(port), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
-      by_standing_(8, 0), doubt_(*this) {}
+    : handler_(port), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
+      count_by_state_(8, 0), doubt_timer_(*this) {}
 
-WorkerEntry& Membership::meet(std::string_view name) {
+WorkerEntry& Membership::find_or_add(std::string_view name) {
     if (WorkerEntry* m = find(name)) return *m;
-    members_.push_back(
-        std::make_unique<WorkerEntry>(*this, std::string(name), static_cast<std::uint32_t>(members_.size())));
-    WorkerEntry& m = *members_.back();
-    names_[m.name] = &m;
-    ++by_standing_[static_cast<std::size_t>(WorkerState::unknown)];
+    workers_.push_back(
+        std::make_unique<WorkerEntry>(*this, std::string(name), static_cast<std::uint32_t>(workers_.size())));
+    WorkerEntry& m = *workers_.back();
+    by_name_[m.name] = &m;
+    ++count_by_state_[static_cast<std::size_t>(WorkerState::unknown)];
     return m;
 }
 
 WorkerEntry* Membership::find(std::string_view name) {
-    const auto it = names_.find(name);
-    return it == names_.end() ? nullptr : it->second;
+    const auto it = by_name_.find(name);
+    return it == by_name_.end() ? nullptr : it->second;
 }
 
 void Membership::arm(timer_wheel::Timer& t, Nanos at) {
     wheel_.arm(t, at);
-    port_.turn_at(at);
+    handler_.wake_at(at);
 }
 
-void Membership::turn(Nanos now) {
+void Membership::run_timers(Nanos now) {
     wheel_.run_timers(now);
-    if (const Nanos next = wheel_.next_deadline()) port_.turn_at(next);
+    if (const Nanos next = wheel_.next_deadline()) handler_.wake_at(next);
 }
 
 // ---------------------------------------------------------------- what follows
 
-WorkerState Membership::judge(Nanos now, const WorkerEntry& m) const {
-    if (!m.list.ever) return WorkerState::unknown;
-    if (m.list.entry.phase == EndpointPhase::gone)
-        return m.connection.up ? WorkerState::leaving : WorkerState::gone;
-    if (m.list.entry.phase == EndpointPhase::draining || m.node.drains) return WorkerState::draining;
-    if (now < m.steady_at_) return WorkerState::unsteady;
-    if (!m.connection.up && (m.connection.ever || m.connection.failed > 0)) return WorkerState::away;
-    if (!m.connection.ever && m.list.age_when_told > kOld) return WorkerState::unconfirmed;
+WorkerState Membership::evaluate_state(Nanos now, const WorkerEntry& m) const {
+    if (!m.listed.is_known) return WorkerState::unknown;
+    if (m.listed.endpoint.phase == EndpointPhase::gone)
+        return m.connection.is_up ? WorkerState::delisted : WorkerState::gone;
+    if (m.listed.endpoint.phase == EndpointPhase::draining || m.reported.is_draining)
+        return WorkerState::draining;
+    if (now < m.hold_until_) return WorkerState::flapping;
+    if (!m.connection.is_up && (m.connection.was_ever_up || m.connection.failed_dials > 0))
+        return WorkerState::unreachable;
+    if (!m.connection.was_ever_up && m.listed.age_on_arrival > kOld) return WorkerState::unconfirmed;
     return WorkerState::serving;
 }
 
-EndpointState Membership::tell(Nanos now, const WorkerEntry& m) const {
-    EndpointState l = m.list.entry;
-    switch (judge(now, m)) {
+EndpointState Membership::effective_endpoint(Nanos now, const WorkerEntry& m) const {
+    EndpointState l = m.listed.endpoint;
+    switch (evaluate_state(now, m)) {
         case WorkerState::serving:
             l.phase = EndpointPhase::serving;
             break;
         case WorkerState::unknown:
-        case WorkerState::leaving:
+        case WorkerState::delisted:
         case WorkerState::gone:
             l.phase = EndpointPhase::gone;
             break;
@@ -134,86 +136,87 @@
             l.phase = EndpointPhase::draining;
             break;
     }
-    l.started_at = later_start(l.started_at, m.node.started);
-    if (report_is_free_ && m.node.reported > m.list.as_of && now - m.list.as_of > kOld) {
-        if (m.node.report.has_free_cores) l.free_cores = m.node.report.free_cores;
-        if (m.node.report.has_free_memory) l.free_memory = m.node.report.free_memory;
+    l.started_at = later_start(l.started_at, m.reported.started_at);
+    if (report_is_free_ && m.reported.load_reported_at > m.listed.as_of && now - m.listed.as_of > kOld) {
+        if (m.reported.load.has_free_cores) l.free_cores = m.reported.load.free_cores;
+        if (m.reported.load.has_free_memory) l.free_memory = m.reported.load.free_memory;
     }
     return l;
 }
 
 // All that follows is worked out anew from what was said: it costs nothing worth keeping state for, and no
 // order of events can leave it half done.
-void Membership::settle(Nanos now, WorkerEntry& m) {
-    const WorkerState standing = judge(now, m);
-    const EndpointState told = tell(now, m);
-    const bool drains = standing == WorkerState::draining || standing == WorkerState::leaving ||
+void Membership::update_worker(Nanos now, WorkerEntry& m) {
+    const WorkerState standing = evaluate_state(now, m);
+    const EndpointState told = effective_endpoint(now, m);
+    const bool drains = standing == WorkerState::draining || standing == WorkerState::delisted ||
                         standing == WorkerState::gone;
-    const bool was = takes_none(m.standing);
-    if (standing == m.standing && same(told, m.told)) return;
-    if (standing != m.standing) {
-        --by_standing_[static_cast<std::size_t>(m.standing)];
-        ++by_standing_[static_cast<std::size_t>(standing)];
+    const bool was = takes_none(m.state);
+    if (standing == m.state && same(told, m.effective_endpoint)) return;
+    if (standing != m.state) {
+        --count_by_state_[static_cast<std::size_t>(m.state)];
+        ++count_by_state_[static_cast<std::size_t>(standing)];
     }
-    m.standing = standing;
-    m.told = told;
-    if (drains && !m.drains_since) {
-        m.drains_since = now;
-        port_.drains(now, m);
-    } else if (!drains && m.drains_since) {
-        m.drains_since = 0;
-        port_.back(now, m);
+    m.state = standing;
+    m.effective_endpoint = told;
+    if (drains && !m.draining_since) {
+        m.draining_since = now;
+        handler_.on_drain_started(now, m);
+    } else if (!drains && m.draining_since) {
+        m.draining_since = 0;
+        handler_.on_drain_revoked(now, m);
     }
-    port_.stands(now, m, takes_none(standing) && !was);
+    handler_.on_worker_changed(now, m, takes_none(standing) && !was);
 }
 
 // ---------------------------------------------------------------- the list
 
-void Membership::list_begins(Nanos now, Nanos age, bool whole) {
-    ++turn_;
-    turn_age_ = std::max<Nanos>(age, 0);
-    turn_as_of_ = now - turn_age_;
-    turn_whole_ = whole;
-    named_.clear();
+void Membership::begin_update(Nanos now, Nanos age, bool whole) {
+    ++update_number_;
+    update_age_ = std::max<Nanos>(age, 0);
+    update_as_of_ = now - update_age_;
+    update_is_snapshot_ = whole;
+    updated_workers_.clear();
 }
 
-void Membership::entry(Nanos now, WorkerEntry& m, const EndpointState& listed, std::string_view address) {
-    if (m.turn_ == turn_) {
-        ++counts_.contradictions;
-        return named_twice(m, listed, address);
+void Membership::on_endpoint(Nanos now, WorkerEntry& m, const EndpointState& listed,
+                             std::string_view address) {
+    if (m.latest_update_ == update_number_) {
+        ++statistics_.contradictions;
+        return merge_duplicate(m, listed, address);
     }
-    m.turn_ = turn_;
+    m.latest_update_ = update_number_;
     // Rule 1. A view that was kept somewhere for an hour says nothing of what a newer one has named.
-    if (m.list.ever && turn_as_of_ < m.list.as_of) {
-        ++counts_.older;
+    if (m.listed.is_known && update_as_of_ < m.listed.as_of) {
+        ++statistics_.stale_entries;
         return;
     }
-    m.doubted_ = false;
-    const bool newer = listed.started_at && m.list.entry.started_at &&
-                       listed.started_at > m.list.entry.started_at + kSameStart;
+    m.is_doubtfully_omitted_ = false;
+    const bool newer = listed.started_at && m.listed.endpoint.started_at &&
+                       listed.started_at > m.listed.endpoint.started_at + kSameStart;
     EndpointState l = listed;
     // One start, told twice with ages that the network bent.
-    if (l.started_at && m.list.entry.started_at &&
-        std::abs(l.started_at - m.list.entry.started_at) < kSameStart)
-        l.started_at = m.list.entry.started_at;
-    m.list.ever = true;
-    m.list.left_out = false;
-    m.list.entry = l;
-    m.list.as_of = turn_as_of_;
-    m.list.age_when_told = turn_age_;
+    if (l.started_at && m.listed.endpoint.started_at &&
+        std::abs(l.started_at - m.listed.endpoint.started_at) < kSameStart)
+        l.started_at = m.listed.endpoint.started_at;
+    m.listed.is_known = true;
+    m.listed.is_omitted = false;
+    m.listed.endpoint = l;
+    m.listed.as_of = update_as_of_;
+    m.listed.age_on_arrival = update_age_;
     const bool moved = !address.empty() && address != m.address;
     if (moved) m.address = address;
-    named_.push_back(&m);
+    updated_workers_.push_back(&m);
     // Rule 5. It stands elsewhere now, by a list that knows a later life than the one that greeted here.
-    if (moved && m.connection.up && newer && l.started_at > m.node.started + kSameStart)
-        port_.dial_anew(now, m);
+    if (moved && m.connection.is_up && newer && l.started_at > m.reported.started_at + kSameStart)
+        handler_.on_address_changed(now, m);
 }
 
 // Rule 10.
-void Membership::named_twice(WorkerEntry& m, const EndpointState& other, std::string_view address) {
-    EndpointState& l = m.list.entry;
+void Membership::merge_duplicate(WorkerEntry& m, const EndpointState& other, std::string_view address) {
+    EndpointState& l = m.listed.endpoint;
     if (!address.empty() && address != m.address) {
-        if (!m.connection.up && other.started_at > l.started_at) m.address = address;
+        if (!m.connection.is_up && other.started_at > l.started_at) m.address = address;
     }
     l.phase = std::max(l.phase, other.phase);  // serving, draining, gone: in the order of care
     l.free_cores = std::min(l.free_cores, other.free_cores);
@@ -221,150 +224,154 @@
     l.started_at = later_start(l.started_at, other.started_at);
 }
 
-void Membership::leave_out(Nanos now, WorkerEntry& m, Nanos as_of) {
-    m.doubted_ = false;
-    m.list.left_out = true;
-    m.list.entry.phase = EndpointPhase::gone;
-    m.list.as_of = as_of;
-    settle(now, m);
+void Membership::omit(Nanos now, WorkerEntry& m, Nanos as_of) {
+    m.is_doubtfully_omitted_ = false;
+    m.listed.is_omitted = true;
+    m.listed.endpoint.phase = EndpointPhase::gone;
+    m.listed.as_of = as_of;
+    update_worker(now, m);
 }
 
-void Membership::list_ends(Nanos now) {
-    list_as_of_ = std::max(list_as_of_, turn_as_of_);
-    for (WorkerEntry* m : named_) settle(now, *m);
-    named_.clear();
-    if (!turn_whole_) return;
+void Membership::end_update(Nanos now) {
+    endpoints_as_of_ = std::max(endpoints_as_of_, update_as_of_);
+    for (WorkerEntry* m : updated_workers_) update_worker(now, *m);
+    updated_workers_.clear();
+    if (!update_is_snapshot_) return;
     std::vector<WorkerEntry*> absent;
     std::size_t stood = 0, alive = 0;
-    for (const auto& m : members_) {
-        if (!m->list.ever || m->list.entry.phase == EndpointPhase::gone) continue;
+    for (const auto& m : workers_) {
+        if (!m->listed.is_known || m->listed.endpoint.phase == EndpointPhase::gone) continue;
         ++stood;
-        if (m->turn_ == turn_ || turn_as_of_ < m->list.as_of) continue;
+        if (m->latest_update_ == update_number_ || update_as_of_ < m->listed.as_of) continue;
         absent.push_back(m.get());
-        alive += m->connection.up;
+        alive += m->connection.is_up;
     }
     // Rule 4.
     const bool odd = absent.size() >= kDoubtLeast && 2 * alive > absent.size() &&
                      static_cast<double>(absent.size()) > kDoubtPart * static_cast<double>(stood);
     if (odd && (!doubt_until_ || now < doubt_until_)) {
-        for (WorkerEntry* m : absent) m->doubted_ = true;
+        for (WorkerEntry* m : absent) m->is_doubtfully_omitted_ = true;
         if (!doubt_until_) {
-            ++counts_.doubts;
+            ++statistics_.doubtful_snapshots;
             doubt_until_ = now + drain_grace_ / kDoubtUses;
-            arm(doubt_, doubt_until_);
-            port_.list_again(now);
+            arm(doubt_timer_, doubt_until_);
+            handler_.on_snapshot_needed(now);
         }
         return;
     }
     if (doubt_until_) {  // named again, all or nearly all
         doubt_until_ = 0;
-        doubt_.disarm();
+        doubt_timer_.disarm();
     }
-    for (WorkerEntry* m : absent) leave_out(now, *m, turn_as_of_);
+    for (WorkerEntry* m : absent) omit(now, *m, update_as_of_);
 }
 
-void Membership::doubt_over(Nanos now) {
+void Membership::on_doubt_timeout(Nanos now) {
     doubt_until_ = 0;
     std::size_t believed = 0;
-    for (const auto& m : members_) {
-        if (!m->doubted_) continue;
+    for (const auto& m : workers_) {
+        if (!m->is_doubtfully_omitted_) continue;
         ++believed;
-        leave_out(now, *m, now);
+        omit(now, *m, now);
     }
-    counts_.doubts_right += believed > 0;
+    statistics_.confirmed_snapshots += believed > 0;
 }
 
 // ---------------------------------------------------------------- the node and the connection to it
 
-void Membership::new_life(Nanos now, WorkerEntry& m) {
-    ++counts_.lives;
-    m.node = {};
-    m.lives_.add(now, 1);
-    const double lives = m.lives_.sum(now);
+void Membership::on_restart(Nanos now, WorkerEntry& m) {
+    ++statistics_.restarts;
+    m.reported = {};
+    m.restarts_.add(now, 1);
+    const double lives = m.restarts_.sum(now);
     if (lives < kManyLives) return;
     // Rule 6.
-    ++counts_.unsteady;
+    ++statistics_.flapping;
     const int doublings = static_cast<int>(std::min(lives - kManyLives, 10.0));
-    m.steady_at_ = now + std::min(kLongestHold, kFirstHold << doublings);
-    arm(m.held_, m.steady_at_);
+    m.hold_until_ = now + std::min(kLongestHold, kFirstHold << doublings);
+    arm(m.hold_timer_, m.hold_until_);
 }
 
-void Membership::greeted(Nanos now, WorkerEntry& m, std::uint64_t incarnation, Nanos up_for, bool drains,
-                         const LoadReport& report) {
-    if (m.node.incarnation && m.node.incarnation != incarnation) new_life(now, m);
-    m.node.incarnation = incarnation;
-    m.node.greeted = now;
+void Membership::on_greeting(Nanos now, WorkerEntry& m, std::uint64_t incarnation, Nanos up_for, bool drains,
+                             const LoadReport& report) {
+    if (m.reported.incarnation && m.reported.incarnation != incarnation) on_restart(now, m);
+    m.reported.incarnation = incarnation;
+    m.reported.greeted_at = now;
     const Nanos started = up_for > 0 ? now - up_for : 0;
-    if (!m.node.started || std::abs(started - m.node.started) >= kSameStart) m.node.started = started;
+    if (!m.reported.started_at || std::abs(started - m.reported.started_at) >= kSameStart)
+        m.reported.started_at = started;
     // The list told of this very start: one number for it, or the planner would take it for another life.
-    if (m.node.started && m.list.entry.started_at &&
-        std::abs(m.node.started - m.list.entry.started_at) < kSameStart)
-        m.node.started = m.list.entry.started_at;
-    m.node.drains = drains;
-    m.connection.up = m.connection.ever = true;
-    m.connection.failed = 0;
-    m.connection.since = now;
+    if (m.reported.started_at && m.listed.endpoint.started_at &&
+        std::abs(m.reported.started_at - m.listed.endpoint.started_at) < kSameStart)
+        m.reported.started_at = m.listed.endpoint.started_at;
+    m.reported.is_draining = drains;
+    m.connection.is_up = m.connection.was_ever_up = true;
+    m.connection.failed_dials = 0;
+    m.connection.changed_at = now;
     if (report.has_free_cores || report.has_free_memory) {
-        m.node.report = report;
-        m.node.reported = now;
+        m.reported.load = report;
+        m.reported.load_reported_at = now;
     }
-    settle(now, m);
+    update_worker(now, m);
 }
 
-void Membership::says_drain(Nanos now, WorkerEntry& m) {
-    m.node.drains = true;
-    settle(now, m);
+void Membership::on_drain_announced(Nanos now, WorkerEntry& m) {
+    m.reported.is_draining = true;
+    update_worker(now, m);
 }
 
-void Membership::reported(Nanos now, WorkerEntry& m, const LoadReport& r) {
+void Membership::on_load_report(Nanos now, WorkerEntry& m, const LoadReport& r) {
     if (!r.has_free_cores && !r.has_free_memory) return;
-    m.node.report = r;
-    m.node.reported = now;
-    if (!report_is_free_ || now - m.list.as_of <= kOld || now - m.corrected_ < kCorrectEvery) return;
-    m.corrected_ = now;
-    ++counts_.corrected;
-    settle(now, m);
+    m.reported.load = r;
+    m.reported.load_reported_at = now;
+    if (!report_is_free_ || now - m.listed.as_of <= kOld || now - m.corrected_at_ < kCorrectEvery) return;
+    m.corrected_at_ = now;
+    ++statistics_.corrected_amounts;
+    update_worker(now, m);
 }
 
-void Membership::broken(Nanos now, WorkerEntry& m) {
-    if (!m.connection.up) return;
-    m.connection.up = false;
-    m.connection.since = now;
-    settle(now, m);
+void Membership::on_disconnected(Nanos now, WorkerEntry& m) {
+    if (!m.connection.is_up) return;
+    m.connection.is_up = false;
+    m.connection.changed_at = now;
+    update_worker(now, m);
 }
 
-void Membership::dial_failed(Nanos now, WorkerEntry& m) {
-    m.connection.up = false;
-    ++m.connection.failed;
-    settle(now, m);
+void Membership::on_dial_failed(Nanos now, WorkerEntry& m) {
+    m.connection.is_up = false;
+    ++m.connection.failed_dials;
+    update_worker(now, m);
 }
 
-void Membership::stranger() { ++counts_.strange; }
+void Membership::on_name_mismatch() { ++statistics_.name_mismatches; }
 
 // ---------------------------------------------------------------- for people
 
-std::string Membership::why(Nanos now, const WorkerEntry& m) const {
-    std::string out(to_string(m.standing));
+std::string Membership::explain(Nanos now, const WorkerEntry& m) const {
+    std::string out(to_string(m.state));
     const auto add = [&out](const std::string& s) { out += "; " + s; };
-    if (m.list.ever) {
-        const char* stage = m.list.left_out                                 ? "leaves it out"
-                            : m.list.entry.phase == EndpointPhase::gone     ? "calls it gone"
-                            : m.list.entry.phase == EndpointPhase::draining ? "says it drains"
-                                                                            : "says it serves";
-        add(std::string("the list ") + stage + ", as of " + seconds(now - m.list.as_of) + " ago");
+    if (m.listed.is_known) {
+        const char* stage = m.listed.is_omitted                                  ? "leaves it out"
+                            : m.listed.endpoint.phase == EndpointPhase::gone     ? "calls it gone"
+                            : m.listed.endpoint.phase == EndpointPhase::draining ? "says it drains"
+                                                                                 : "says it serves";
+        add(std::string("the list ") + stage + ", as of " + seconds(now - m.listed.as_of) + " ago");
     } else {
         add("no list has named it");
     }
-    if (m.doubted_) add("a list that leaves it out is doubted");
-    if (m.node.greeted)
-        add("it greeted " + seconds(now - m.node.greeted) + " ago" +
-            (m.node.started ? ", then up for " + seconds(m.node.greeted - m.node.started) : ""));
-    if (m.node.drains) add("it says that it drains");
-    if (m.connection.up) add("connected");
-    else if (m.connection.failed) add(std::to_string(m.connection.failed) + " dials in a row have failed");
-    else if (m.connection.ever) add("its connection broke " + seconds(now - m.connection.since) + " ago");
-    if (now < m.steady_at_)
-        add("it came back too often: held off for " + seconds(m.steady_at_ - now) + " more");
+    if (m.is_doubtfully_omitted_) add("a list that leaves it out is doubted");
+    if (m.reported.greeted_at)
+        add("it greeted " + seconds(now - m.reported.greeted_at) + " ago" +
+            (m.reported.started_at ? ", then up for " + seconds(m.reported.greeted_at - m.reported.started_at)
+                                   : ""));
+    if (m.reported.is_draining) add("it says that it drains");
+    if (m.connection.is_up) add("connected");
+    else if (m.connection.failed_dials)
+        add(std::to_string(m.connection.failed_dials) + " dials in a row have failed");
+    else if (m.connection.was_ever_up)
+        add("its connection broke " + seconds(now - m.connection.changed_at) + " ago");
+    if (now < m.hold_until_)
+        add("it came back too often: held off for " + seconds(m.hold_until_ - now) + " more");
     return out;
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -39,10 +39,10 @@
     unknown,      // no list has named it
     serving,      // it may be given work
     unconfirmed,  // only an old list names it, and it has not greeted
-    away,         // named, and it can't be reached
-    unsteady,     // it came back too often
+    unreachable,  // named, and it can't be reached
+    flapping,     // it came back too often
     draining,     // by the list or by its own word
-    leaving,      // gone by the list, and it still answers: nothing new, what it holds is held
+    delisted,     // gone by the list, and it still answers: nothing new, what it holds is held
     gone,         // and it can't be reached: what it held is lost
 };
 std::string_view to_string(WorkerState);
@@ -57,45 +57,45 @@
     const std::uint32_t number;  // counted from 0 in the order in which they were met
 
     // ---- what follows
-    WorkerState standing = WorkerState::unknown;
-    EndpointState told;      // as the planner is to take it
-    std::string address;     // where it is to be dialled
-    Nanos drains_since = 0;  // it drains or is gone, and since when that is known
+    WorkerState state = WorkerState::unknown;
+    EndpointState effective_endpoint;  // as the planner is to take it
+    std::string address;               // where it is to be dialled
+    Nanos draining_since = 0;          // it drains or is gone, and since when that is known
 
     // ---- what was said, and by whom
-    struct ByList {
-        bool ever = false;
-        EndpointState entry;
-        Nanos as_of = 0;          // the time of which it speaks
-        Nanos age_when_told = 0;  // how old that was when it came
-        bool left_out = false;    // not called gone, but in a whole list no more
-    } list;
-    struct ByNode {
+    struct ListedState {
+        bool is_known = false;
+        EndpointState endpoint;
+        Nanos as_of = 0;           // the time of which it speaks
+        Nanos age_on_arrival = 0;  // how old that was when it came
+        bool is_omitted = false;   // not called gone, but in a whole list no more
+    } listed;
+    struct ReportedState {
         std::uint64_t incarnation = 0;
-        Nanos greeted = 0, started = 0;  // started: 0 where it has not said, or long ago
-        bool drains = false;
-        LoadReport report;
-        Nanos reported = 0;
-    } node;
+        Nanos greeted_at = 0, started_at = 0;  // started: 0 where it has not said, or long ago
+        bool is_draining = false;
+        LoadReport load;
+        Nanos load_reported_at = 0;
+    } reported;
     struct Connection {
-        bool up = false, ever = false;
-        int failed = 0;  // dials in a row
-        Nanos since = 0;
+        bool is_up = false, was_ever_up = false;
+        int failed_dials = 0;  // dials in a row
+        Nanos changed_at = 0;
     } connection;
 
 private:
     friend class Membership;
-    struct Held final : timer_wheel::Timer {
-        explicit Held(WorkerEntry& m) : member(m) {}
+    struct HoldTimer final : timer_wheel::Timer {
+        explicit HoldTimer(WorkerEntry& m) : entry(m) {}
         void on_deadline(Nanos) override;
-        WorkerEntry& member;
+        WorkerEntry& entry;
     };
-    Membership& fleet_;
-    Held held_;                 // the end of a time in which it gets nothing new
-    SlidingCounter<12> lives_;  // new ones, over a minute
-    Nanos steady_at_ = 0, corrected_ = 0;
-    std::uint64_t turn_ = 0;  // the list message that named it last
-    bool doubted_ = false;
+    Membership& membership_;
+    HoldTimer hold_timer_;         // the end of a time in which it gets nothing new
+    SlidingCounter<12> restarts_;  // new ones, over a minute
+    Nanos hold_until_ = 0, corrected_at_ = 0;
+    std::uint64_t latest_update_ = 0;  // the list message that named it last
+    bool is_doubtfully_omitted_ = false;
 };
 
 // What the fleet asks of its embedder. Called within the calls below; none may be made from within them.
@@ -103,17 +103,18 @@
 public:
     virtual ~MembershipHandler() = default;
     // `told`, `standing` or `address` changed. Careful: it may take less than before, and this can't wait.
-    virtual void stands(Nanos now, WorkerEntry&, bool careful) = 0;
-    virtual void drains(Nanos now, WorkerEntry&) = 0;     // first heard now; before stands()
-    virtual void back(Nanos now, WorkerEntry&) = 0;       // it drains no more; before stands()
-    virtual void list_again(Nanos now) = 0;               // ask for the whole list, whatever the mode
-    virtual void dial_anew(Nanos now, WorkerEntry&) = 0;  // another life of it stands at another address
-    virtual void turn_at(Nanos at) = 0;                   // call turn() then
+    virtual void on_worker_changed(Nanos now, WorkerEntry&, bool careful) = 0;
+    virtual void on_drain_started(Nanos now, WorkerEntry&) = 0;  // first heard now; before stands()
+    virtual void on_drain_revoked(Nanos now, WorkerEntry&) = 0;  // it drains no more; before stands()
+    virtual void on_snapshot_needed(Nanos now) = 0;              // ask for the whole list, whatever the mode
+    virtual void on_address_changed(Nanos now,
+                                    WorkerEntry&) = 0;  // another life of it stands at another address
+    virtual void wake_at(Nanos at) = 0;                 // call turn() then
 };
 
 struct MembershipStatistics {
-    std::uint64_t contradictions = 0, older = 0, doubts = 0, doubts_right = 0, lives = 0, unsteady = 0,
-                  corrected = 0, strange = 0;
+    std::uint64_t contradictions = 0, stale_entries = 0, doubtful_snapshots = 0, confirmed_snapshots = 0,
+                  restarts = 0, flapping = 0, corrected_amounts = 0, name_mismatches = 0;
 };
 
 class Membership {
@@ -124,70 +125,70 @@
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
-    WorkerEntry& meet(std::string_view name);
+    WorkerEntry& find_or_add(std::string_view name);
     WorkerEntry* find(std::string_view name);
-    WorkerEntry& at(std::uint32_t number) { return *members_.at(number); }
-    std::size_t size() const { return members_.size(); }
+    WorkerEntry& at(std::uint32_t number) { return *workers_.at(number); }
+    std::size_t size() const { return workers_.size(); }
 
     // ---- the list: one message is list_begins, its entries, list_ends
     // `age`: how old the list service says its view is; 0 where it says nothing.
-    void list_begins(Nanos now, Nanos age, bool whole);
-    void entry(Nanos now, WorkerEntry&, const EndpointState&, std::string_view address);
-    void list_ends(Nanos now);
+    void begin_update(Nanos now, Nanos age, bool whole);
+    void on_endpoint(Nanos now, WorkerEntry&, const EndpointState&, std::string_view address);
+    void end_update(Nanos now);
 
     // ---- the node itself
     // `up_for`: 0 where it does not say, or very long.
-    void greeted(Nanos now, WorkerEntry&, std::uint64_t incarnation, Nanos up_for, bool drains,
-                 const LoadReport&);
-    void says_drain(Nanos now, WorkerEntry&);
-    void reported(Nanos now, WorkerEntry&, const LoadReport&);
+    void on_greeting(Nanos now, WorkerEntry&, std::uint64_t incarnation, Nanos up_for, bool drains,
+                     const LoadReport&);
+    void on_drain_announced(Nanos now, WorkerEntry&);
+    void on_load_report(Nanos now, WorkerEntry&, const LoadReport&);
 
     // ---- the connection
-    void broken(Nanos now, WorkerEntry&);
-    void dial_failed(Nanos now, WorkerEntry&);
-    void stranger();  // another node greeted at an address; the dial counts as failed
+    void on_disconnected(Nanos now, WorkerEntry&);
+    void on_dial_failed(Nanos now, WorkerEntry&);
+    void on_name_mismatch();  // another node greeted at an address; the dial counts as failed
 
-    void turn(Nanos now);
+    void run_timers(Nanos now);
 
-    const MembershipStatistics& counts() const { return counts_; }
-    std::size_t count(WorkerState s) const { return by_standing_[static_cast<std::size_t>(s)]; }
+    const MembershipStatistics& statistics() const { return statistics_; }
+    std::size_t count(WorkerState s) const { return count_by_state_[static_cast<std::size_t>(s)]; }
     // How old the newest word of the list is; 0 before the first.
-    Nanos list_age(Nanos now) const { return list_as_of_ ? now - list_as_of_ : 0; }
-    bool doubts() const { return doubt_until_ != 0; }
+    Nanos endpoints_age(Nanos now) const { return endpoints_as_of_ ? now - endpoints_as_of_ : 0; }
+    bool has_doubtful_snapshot() const { return doubt_until_ != 0; }
     // For people: the standing and all that speaks for and against it, with ages.
-    std::string why(Nanos now, const WorkerEntry&) const;
+    std::string explain(Nanos now, const WorkerEntry&) const;
 
 private:
     friend class WorkerEntry;
-    struct Doubt final : timer_wheel::Timer {
-        explicit Doubt(Membership& f) : fleet(f) {}
-        void on_deadline(Nanos now) override { fleet.doubt_over(now); }
-        Membership& fleet;
+    struct DoubtTimer final : timer_wheel::Timer {
+        explicit DoubtTimer(Membership& f) : membership(f) {}
+        void on_deadline(Nanos now) override { membership.on_doubt_timeout(now); }
+        Membership& membership;
     };
-    WorkerState judge(Nanos now, const WorkerEntry&) const;
-    EndpointState tell(Nanos now, const WorkerEntry&) const;
-    void settle(Nanos now, WorkerEntry&);
-    void leave_out(Nanos now, WorkerEntry&, Nanos as_of);
-    void named_twice(WorkerEntry&, const EndpointState&, std::string_view address);
-    void new_life(Nanos now, WorkerEntry&);
-    void doubt_over(Nanos now);
+    WorkerState evaluate_state(Nanos now, const WorkerEntry&) const;
+    EndpointState effective_endpoint(Nanos now, const WorkerEntry&) const;
+    void update_worker(Nanos now, WorkerEntry&);
+    void omit(Nanos now, WorkerEntry&, Nanos as_of);
+    void merge_duplicate(WorkerEntry&, const EndpointState&, std::string_view address);
+    void on_restart(Nanos now, WorkerEntry&);
+    void on_doubt_timeout(Nanos now);
     void arm(timer_wheel::Timer&, Nanos at);
 
-    MembershipHandler& port_;
+    MembershipHandler& handler_;
     Nanos drain_grace_;
     bool report_is_free_;
     timer_wheel::TimerWheel wheel_;
-    std::vector<std::unique_ptr<WorkerEntry>> members_;  // by number
-    std::map<std::string, WorkerEntry*, std::less<>> names_;
-    std::vector<std::size_t> by_standing_;
-    Doubt doubt_;
-    Nanos doubt_until_ = 0, list_as_of_ = 0;
+    std::vector<std::unique_ptr<WorkerEntry>> workers_;  // by number
+    std::map<std::string, WorkerEntry*, std::less<>> by_name_;
+    std::vector<std::size_t> count_by_state_;
+    DoubtTimer doubt_timer_;
+    Nanos doubt_until_ = 0, endpoints_as_of_ = 0;
     // of the message that is being read
-    std::uint64_t turn_ = 0;
-    Nanos turn_as_of_ = 0, turn_age_ = 0;
-    bool turn_whole_ = false;
-    std::vector<WorkerEntry*> named_;
-    MembershipStatistics counts_;
+    std::uint64_t update_number_ = 0;
+    Nanos update_as_of_ = 0, update_age_ = 0;
+    bool update_is_snapshot_ = false;
+    std::vector<WorkerEntry*> updated_workers_;
+    MembershipStatistics statistics_;
 };
 
 }  // namespace whinpost::membership
--- a/src/recovery/recovery_queue.cpp
+++ b/src/recovery/recovery_queue.cpp
@@ -14,69 +14,72 @@
 constexpr Nanos kBelieved = 60 * kSecond;
 }  // namespace
 
-PendingRecovery& RecoveryQueue::wait(Nanos now, std::string_view node, void* tag) {
-    all_.push_back({std::string(node), now, tag});
-    const auto at = std::prev(all_.end());
-    by_node_.emplace(at->node, at);
-    ++counts_.waited;
-    if (list_ && !ask_at_) {
-        ask_at_ = now;
-        pause_ = kFirstPause;
-        port_.wake_at(ask_at_);
+PendingRecovery& RecoveryQueue::add(Nanos now, std::string_view node, void* tag) {
+    pending_.push_back({std::string(node), now, tag});
+    const auto at = std::prev(pending_.end());
+    by_worker_.emplace(at->worker, at);
+    ++statistics_.queued;
+    if (has_endpoints_ && !refresh_at_) {
+        refresh_at_ = now;
+        backoff_ = kFirstPause;
+        handler_.wake_at(refresh_at_);
     }
     return *at;
 }
 
-void RecoveryQueue::drop(PendingRecovery& h) {
-    for (auto [it, last] = by_node_.equal_range(h.node); it != last; ++it)
+void RecoveryQueue::remove(PendingRecovery& h) {
+    for (auto [it, last] = by_worker_.equal_range(h.worker); it != last; ++it)
         if (&*it->second == &h) {
-            all_.erase(it->second);
-            by_node_.erase(it);
+            pending_.erase(it->second);
+            by_worker_.erase(it);
             return;
         }
 }
 
-void RecoveryQueue::end(Where::iterator at, Nanos now, bool found) {
+void RecoveryQueue::finish(ByWorker::iterator at, Nanos now, bool found) {
     const auto it = at->second;
-    by_node_.erase(at);
+    by_worker_.erase(at);
     PendingRecovery h = std::move(*it);
-    all_.erase(it);
-    ++(found ? counts_.found : counts_.lost);
-    if (found) port_.found(now, h);
-    else port_.lost(now, h);
+    pending_.erase(it);
+    ++(found ? statistics_.recovered : statistics_.lost);
+    if (found) handler_.on_worker_known(now, h);
+    else handler_.on_worker_gone(now, h);
 }
 
-void RecoveryQueue::named(Nanos now, std::string_view node) {
-    for (auto it = by_node_.find(node); it != by_node_.end(); it = by_node_.find(node)) end(it, now, true);
+void RecoveryQueue::on_worker_listed(Nanos now, std::string_view node) {
+    for (auto it = by_worker_.find(node); it != by_worker_.end(); it = by_worker_.find(node))
+        finish(it, now, true);
 }
 
-void RecoveryQueue::listed(Nanos now, Nanos as_of, bool whole) {
-    list_ = true;
+void RecoveryQueue::on_update(Nanos now, Nanos as_of, bool whole) {
+    has_endpoints_ = true;
     if (whole) {
-        std::vector<Where::iterator> out;
-        for (auto it = by_node_.begin(); it != by_node_.end(); ++it)
-            if (as_of > it->second->since || now - it->second->since >= kBelieved) out.push_back(it);
+        std::vector<ByWorker::iterator> out;
+        for (auto it = by_worker_.begin(); it != by_worker_.end(); ++it)
+            if (as_of > it->second->handed_over_at || now - it->second->handed_over_at >= kBelieved)
+                out.push_back(it);
         // In the order in which they were handed over: by age, not by name.
-        std::stable_sort(out.begin(), out.end(),
-                         [](auto& a, auto& b) { return a->second->since < b->second->since; });
-        for (const auto& it : out) end(it, now, false);
+        std::stable_sort(out.begin(), out.end(), [](auto& a, auto& b) {
+            return a->second->handed_over_at < b->second->handed_over_at;
+        });
+        for (const auto& it : out) finish(it, now, false);
     }
-    if (!all_.empty() && !ask_at_) {
-        pause_ = kFirstPause;
-        ask_at_ = now + pause_;
-        port_.wake_at(ask_at_);
+    if (!pending_.empty() && !refresh_at_) {
+        backoff_ = kFirstPause;
+        refresh_at_ = now + backoff_;
+        handler_.wake_at(refresh_at_);
     }
 }
 
-void RecoveryQueue::turn(Nanos now) {
-    if (!ask_at_ || now < ask_at_) return;
-    ask_at_ = 0;
-    if (all_.empty()) return;
-    ++counts_.asked;
-    ask_at_ = now + pause_;
-    pause_ = std::min(kLongestPause, 2 * pause_);
-    port_.wake_at(ask_at_);
-    port_.list_again(now);
+void RecoveryQueue::run_timers(Nanos now) {
+    if (!refresh_at_ || now < refresh_at_) return;
+    refresh_at_ = 0;
+    if (pending_.empty()) return;
+    ++statistics_.snapshots_requested;
+    refresh_at_ = now + backoff_;
+    backoff_ = std::min(kLongestPause, 2 * backoff_);
+    handler_.wake_at(refresh_at_);
+    handler_.on_snapshot_needed(now);
 }
 
 }  // namespace whinpost::recovery
--- a/src/recovery/recovery_queue.h
+++ b/src/recovery/recovery_queue.h
@@ -16,53 +16,54 @@
 
 // One container that was handed over. The owner of the handle is the embedder; drop() ends it.
 struct PendingRecovery {
-    std::string node;
-    Nanos since = 0;
+    std::string worker;
+    Nanos handed_over_at = 0;
     void* tag = nullptr;  // the embedder's own
 };
 
 class RecoveryHandler {
 public:
     virtual ~RecoveryHandler() = default;
-    virtual void found(Nanos now, PendingRecovery&) = 0;  // its node is known; the handle has ended
-    virtual void lost(Nanos now, PendingRecovery&) = 0;   // its node is not there; the handle has ended
-    virtual void list_again(Nanos now) = 0;               // ask for the whole list
-    virtual void wake_at(Nanos at) = 0;                   // call turn() then
+    virtual void on_worker_known(Nanos now, PendingRecovery&) = 0;  // its node is known; the handle has ended
+    virtual void on_worker_gone(Nanos now,
+                                PendingRecovery&) = 0;  // its node is not there; the handle has ended
+    virtual void on_snapshot_needed(Nanos now) = 0;     // ask for the whole list
+    virtual void wake_at(Nanos at) = 0;                 // call turn() then
 };
 
 struct RecoveryStatistics {
-    std::uint64_t waited = 0, found = 0, lost = 0, asked = 0;
+    std::uint64_t queued = 0, recovered = 0, lost = 0, snapshots_requested = 0;
 };
 
 class RecoveryQueue {
 public:
-    explicit RecoveryQueue(RecoveryHandler& port) : port_(port) {}
+    explicit RecoveryQueue(RecoveryHandler& port) : handler_(port) {}
     RecoveryQueue(const RecoveryQueue&) = delete;
     RecoveryQueue& operator=(const RecoveryQueue&) = delete;
 
     // A container on a node that no list has named. Valid until found(), lost() or drop().
-    PendingRecovery& wait(Nanos now, std::string_view node, void* tag);
-    void drop(PendingRecovery&);
+    PendingRecovery& add(Nanos now, std::string_view node, void* tag);
+    void remove(PendingRecovery&);
 
-    void named(Nanos now, std::string_view node);  // a list names it, and not as gone
+    void on_worker_listed(Nanos now, std::string_view node);  // a list names it, and not as gone
     // All entries of a message were told by named(). `as_of`: the time of which it speaks.
-    void listed(Nanos now, Nanos as_of, bool whole);
-    void turn(Nanos now);
+    void on_update(Nanos now, Nanos as_of, bool whole);
+    void run_timers(Nanos now);
 
-    std::size_t waiting() const { return all_.size(); }
-    const RecoveryStatistics& counts() const { return counts_; }
+    std::size_t size() const { return pending_.size(); }
+    const RecoveryStatistics& statistics() const { return statistics_; }
 
 private:
-    using Where = std::multimap<std::string, std::list<PendingRecovery>::iterator, std::less<>>;
+    using ByWorker = std::multimap<std::string, std::list<PendingRecovery>::iterator, std::less<>>;
     void ask(Nanos now);
-    void end(Where::iterator, Nanos now, bool found);
+    void finish(ByWorker::iterator, Nanos now, bool found);
 
-    RecoveryHandler& port_;
-    std::list<PendingRecovery> all_;  // by age
-    Where by_node_;
-    bool list_ = false;  // any came
-    Nanos ask_at_ = 0, pause_ = 0;
-    RecoveryStatistics counts_;
+    RecoveryHandler& handler_;
+    std::list<PendingRecovery> pending_;  // by age
+    ByWorker by_worker_;
+    bool has_endpoints_ = false;  // any came
+    Nanos refresh_at_ = 0, backoff_ = 0;
+    RecoveryStatistics statistics_;
 };
 
 }  // namespace whinpost::recovery
--- a/src/server/attempt_controller.cpp
+++ b/src/server/attempt_controller.cpp
@@ -57,14 +57,14 @@
     ledger::Attempt& attempt = **started;
     context_.rounds.on_attempt_started();
     ++unaccepted_;
-    tokens_.spend(now, peer.warming);
+    tokens_.use_token(now, peer.warming);
     tasks_.add_attempt(attempt);
     context_.timers.arm(task->attempt_deadline, attempt.deadline);
     if (context_.log.enabled(Level::debug))
         context_.log(
             Level::debug, "attempt_started",
             {{"task", task->record->key}, {"attempt", attempt.number}, {"worker", attempt.worker->name}});
-    peer.connection.offer(now, attempt);
+    peer.connection.send(now, attempt);
 }
 
 // The planner counts the attempt as in flight: once its round is over it hears that nothing was sent.
@@ -96,7 +96,7 @@
     context_.rounds.defer([this, attempt_number = task->record->in_flight->number] {
         ledger::Attempt* attempt = tasks_.find_attempt(attempt_number);
         if (!attempt || attempt->ended || attempt->accepted) return;
-        const bool unsent = workers_.find(attempt->worker->name)->connection.take_back(*attempt);
+        const bool unsent = workers_.find(attempt->worker->name)->connection.withdraw(*attempt);
         end_attempt(*attempt, unsent ? AttemptOutcome::not_sent : AttemptOutcome::cancelled,
                     OutcomeReason::unspecified, {});
     });
@@ -139,7 +139,7 @@
 void AttemptController::on_ended(ledger::Attempt& attempt, const v1::AttemptEnded& message) {
     const AttemptOutcome outcome = attempt_outcome(attempt, message);
     const LoadReport report = load_report(message.report());
-    membership_.reported(context_.now(), workers_.find(attempt.worker->name)->entry, report);
+    membership_.on_load_report(context_.now(), workers_.find(attempt.worker->name)->entry, report);
     end_attempt(attempt, outcome, outcome_reason(message.reason()), report);
 }
 
@@ -206,8 +206,8 @@
     WorkerPeer* peer = workers_.find(attempt.worker->name);
     if (!peer) return;
     const bool given_up = outcome == AttemptOutcome::timed_out || outcome == AttemptOutcome::cancelled;
-    peer->connection.forget(attempt, !given_up);
-    if (outcome == AttemptOutcome::not_sent) tokens_.unsent(peer->warming);
+    peer->connection.on_attempt_ended(attempt, !given_up);
+    if (outcome == AttemptOutcome::not_sent) tokens_.on_attempt_not_sent(peer->warming);
     if (given_up && attempt.task->queue_group->effect == Effect::idempotent && !attempt.accepted)
         send_cancellation(attempt);
 }
@@ -222,7 +222,7 @@
 void AttemptController::on_deadline(InFlightTask& task) {
     ledger::Attempt* attempt = task.record->in_flight;
     if (!attempt || attempt->accepted) return;
-    const bool unsent = workers_.find(attempt->worker->name)->connection.take_back(*attempt);
+    const bool unsent = workers_.find(attempt->worker->name)->connection.withdraw(*attempt);
     end_attempt(*attempt, unsent ? AttemptOutcome::not_sent : AttemptOutcome::timed_out,
                 OutcomeReason::unspecified, {});
 }
@@ -230,13 +230,13 @@
 void AttemptController::cancel_in_flight(InFlightTask& task) {
     ledger::Attempt* attempt = task.record->in_flight;
     if (!attempt) return;
-    const bool unsent = workers_.find(attempt->worker->name)->connection.take_back(*attempt);
+    const bool unsent = workers_.find(attempt->worker->name)->connection.withdraw(*attempt);
     if (unsent) end_attempt(*attempt, AttemptOutcome::not_sent, OutcomeReason::unspecified, {});
     else send_cancellation(*attempt);
 }
 
 void AttemptController::resend_cancellations(WorkerPeer& peer) {
-    for (const ledger::Attempt* attempt : peer.connection.in_order()) {
+    for (const ledger::Attempt* attempt : peer.connection.attempts_in_order()) {
         const InFlightTask* task = tasks_.find(attempt->task->number);
         if (task && task->is_cancelled && !attempt->ended) send_cancellation(*attempt);
     }
--- a/src/server/client_endpoint.cpp
+++ b/src/server/client_endpoint.cpp
@@ -18,7 +18,7 @@
 }
 
 void ClientEndpoint::accept(std::unique_ptr<net::Stream> accepted) {
-    if (static_cast<std::int64_t>(connections_.size()) >= context.admission.limits().owners) {
+    if (static_cast<std::int64_t>(connections_.size()) >= context.admission.limits().max_clients) {
         MessageWriter<v1::ToClient> writer;
         v1::ToClient message;
         message.mutable_error()->set_text("intake.owners: as many owners are connected as are allowed");
--- a/src/server/drain_controller.cpp
+++ b/src/server/drain_controller.cpp
@@ -16,7 +16,7 @@
     clients_ = clients;
     done_ = std::move(done);
     state_ = State::draining;
-    context_.admission.close();
+    context_.admission.start_drain();
     if (clients_) clients_->stop_listening();
     context_.log(Level::info, "drain_started", {{"waiting", context_.admission.waiting()}});
     poll_timer_ = context_.loop.make_timer([this] { check(); });
--- a/src/server/membership_controller.cpp
+++ b/src/server/membership_controller.cpp
@@ -36,14 +36,15 @@
     const Nanos age = std::max<Nanos>(update.age(), 0);
     ++context_.statistics.endpoint_updates;
     discovery_failing_ = false;
-    membership_.list_begins(now, age, update.is_snapshot());
+    membership_.begin_update(now, age, update.is_snapshot());
     for (const v1::Endpoint& endpoint : update.endpoints()) update_entry(now, endpoint);
-    membership_.list_ends(now);
+    membership_.end_update(now);
     // The planner learns of all workers before it learns of what runs on them.
     recovery::RecoveryQueue& queue = recovery_.queue();
     for (const v1::Endpoint& endpoint : update.endpoints())
-        if (queue.waiting() && endpoint.phase() != v1::Endpoint::GONE) queue.named(now, endpoint.worker());
-    queue.listed(now, now - age, update.is_snapshot());
+        if (queue.size() && endpoint.phase() != v1::Endpoint::GONE)
+            queue.on_worker_listed(now, endpoint.worker());
+    queue.on_update(now, now - age, update.is_snapshot());
     complete_planner_view(now);
     if (!planner_started_) {
         planner_started_ = true;
@@ -67,7 +68,7 @@
     state.free_memory = endpoint.free_memory();
     state.phase = endpoint_phase(endpoint.phase());
     state.started_at = endpoint.uptime() > 0 ? now - endpoint.uptime() : 0;
-    membership_.entry(now, peer.entry, state, endpoint.address());
+    membership_.on_endpoint(now, peer.entry, state, endpoint.address());
 }
 
 void MembershipController::on_discovery_failed(std::string_view reason) {
@@ -80,31 +81,31 @@
 void MembershipController::refresh_endpoints(Nanos now) {
     context_.log(Level::info, "endpoints_refetched",
                  {{"workers", membership_.size()},
-                  {"snapshot_suspected", membership_.doubts()},
-                  {"pending_recoveries", recovery_.queue().waiting()},
-                  {"age_ms", membership_.list_age(now) / kMillisecond}});
+                  {"snapshot_suspected", membership_.has_doubtful_snapshot()},
+                  {"pending_recoveries", recovery_.queue().size()},
+                  {"age_ms", membership_.endpoints_age(now) / kMillisecond}});
     discovery_->fetch();
 }
 
-void MembershipController::stands(Nanos now, membership::WorkerEntry& entry, bool) {
+void MembershipController::on_worker_changed(Nanos now, membership::WorkerEntry& entry, bool) {
     WorkerPeer& peer = workers_.at(entry.number);
     // The ledger is given what the endpoint list says, not what was concluded from it: it is a guard of its
     // own.
-    EndpointState listed = entry.list.entry;
-    listed.started_at = entry.told.started_at;
-    if (entry.list.left_out) context_.ledger.on_removed(now, peer.record);
+    EndpointState listed = entry.listed.endpoint;
+    listed.started_at = entry.effective_endpoint.started_at;
+    if (entry.listed.is_omitted) context_.ledger.on_removed(now, peer.record);
     else context_.ledger.on_endpoint(now, peer.record, listed);
-    context_.planner->on_endpoint(now, peer.number, stable_hash(entry.name), entry.told);
+    context_.planner->on_endpoint(now, peer.number, stable_hash(entry.name), entry.effective_endpoint);
     slow_start_.update_tokens(now, peer.warming);
-    slow_start_.tokens().stands(now, peer.warming, entry.standing == membership::WorkerState::serving,
-                                entry.told.started_at);
-    if (entry.told.phase == EndpointPhase::gone) peer.connection.gone(now);
-    else peer.connection.want(now, true);
+    slow_start_.tokens().on_worker_changed(now, peer.warming, entry.state == membership::WorkerState::serving,
+                                           entry.effective_endpoint.started_at);
+    if (entry.effective_endpoint.phase == EndpointPhase::gone) peer.connection.on_worker_gone(now);
+    else peer.connection.set_wanted(now, true);
     if (context_.log.enabled(Level::debug))
         context_.log(Level::debug, "worker_state",
                      {{"worker", entry.name},
-                      {"state", membership::to_string(entry.standing)},
-                      {"because", membership_.why(now, entry)}});
+                      {"state", membership::to_string(entry.state)},
+                      {"because", membership_.explain(now, entry)}});
     if (!planner_view_changed_) {
         planner_view_changed_ = true;
         context_.timers.arm(planner_view_timer_, now + kPlannerViewInterval);
@@ -112,27 +113,27 @@
     context_.rounds.schedule_round();
 }
 
-void MembershipController::drains(Nanos now, membership::WorkerEntry& entry) {
-    workers_.at(entry.number).connection.drain_heard(now);
+void MembershipController::on_drain_started(Nanos now, membership::WorkerEntry& entry) {
+    workers_.at(entry.number).connection.on_drain(now);
     context_.log(Level::info, "worker_draining",
-                 {{"worker", entry.name}, {"because", membership_.why(now, entry)}});
+                 {{"worker", entry.name}, {"because", membership_.explain(now, entry)}});
 }
 
-void MembershipController::back(Nanos now, membership::WorkerEntry& entry) {
+void MembershipController::on_drain_revoked(Nanos now, membership::WorkerEntry& entry) {
     context_.log(Level::info, "worker_drain_revoked",
-                 {{"worker", entry.name}, {"because", membership_.why(now, entry)}});
+                 {{"worker", entry.name}, {"because", membership_.explain(now, entry)}});
 }
 
-void MembershipController::dial_anew(Nanos, membership::WorkerEntry& entry) {
-    context_.rounds.defer([this, &entry] { workers_.at(entry.number).connection.dial_anew(context_.now()); });
+void MembershipController::on_address_changed(Nanos, membership::WorkerEntry& entry) {
+    context_.rounds.defer([this, &entry] { workers_.at(entry.number).connection.reconnect(context_.now()); });
 }
 
-void MembershipController::turn_at(Nanos at) {
+void MembershipController::wake_at(Nanos at) {
     if (!membership_timer_.armed() || at < membership_timer_.deadline())
         context_.timers.arm(membership_timer_, at);
 }
 
-void MembershipController::on_membership_deadline() { membership_.turn(context_.now()); }
+void MembershipController::on_membership_deadline() { membership_.run_timers(context_.now()); }
 
 void MembershipController::on_planner_view_due() {
     if (planner_view_changed_) complete_planner_view(context_.now());
--- a/src/server/membership_controller.h
+++ b/src/server/membership_controller.h
@@ -45,12 +45,12 @@
         MembershipController& controller;
     };
 
-    void stands(Nanos now, membership::WorkerEntry&, bool careful) override;
-    void drains(Nanos now, membership::WorkerEntry&) override;
-    void back(Nanos now, membership::WorkerEntry&) override;
-    void list_again(Nanos now) override { refresh_endpoints(now); }
-    void dial_anew(Nanos now, membership::WorkerEntry&) override;
-    void turn_at(Nanos at) override;
+    void on_worker_changed(Nanos now, membership::WorkerEntry&, bool careful) override;
+    void on_drain_started(Nanos now, membership::WorkerEntry&) override;
+    void on_drain_revoked(Nanos now, membership::WorkerEntry&) override;
+    void on_snapshot_needed(Nanos now) override { refresh_endpoints(now); }
+    void on_address_changed(Nanos now, membership::WorkerEntry&) override;
+    void wake_at(Nanos at) override;
 
     void update_entry(Nanos now, const v1::Endpoint&);
     void on_membership_deadline();
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -71,13 +71,13 @@
 }
 
 void PlacerServer::run_round(Nanos now) {
-    recovery_.queue().turn(now);
+    recovery_.queue().run_timers(now);
     context_.planner->run_round(now);
 }
 
 void PlacerServer::after_round(Nanos now) {
     const std::int64_t waiting = context_.admission.waiting() - attempts_.unaccepted();
-    slow_start_.tokens().waiting(now, static_cast<std::size_t>(std::max<std::int64_t>(0, waiting)));
+    slow_start_.tokens().request_for(now, static_cast<std::size_t>(std::max<std::int64_t>(0, waiting)));
     drain_.check();
 }
 
--- a/src/server/slow_start_controller.h
+++ b/src/server/slow_start_controller.h
@@ -19,8 +19,10 @@
     const slow_start::TokenClient& tokens() const { return tokens_; }
 
 private:
-    void ask(slow_start::WarmingWorker&, std::uint64_t sequence, int held, int more) override;
-    void holds(Nanos now, slow_start::WarmingWorker& warming) override { update_tokens(now, warming); }
+    void send_request(slow_start::WarmingWorker&, std::uint64_t sequence, int held, int more) override;
+    void on_tokens_changed(Nanos now, slow_start::WarmingWorker& warming) override {
+        update_tokens(now, warming);
+    }
 
     ServerContext& context_;
     slow_start::TokenClient tokens_;
--- a/src/server/task_answers.cpp
+++ b/src/server/task_answers.cpp
@@ -105,7 +105,8 @@
 
 void TaskAnswers::stop_counting_as_waiting(InFlightTask& task) {
     if (!std::exchange(task.counted_as_waiting, false)) return;
-    context_.admission.answered(task.client ? &*task.client->share : nullptr, task.record->queue_group_index);
+    context_.admission.on_answered(task.client ? &*task.client->share : nullptr,
+                                   task.record->queue_group_index);
 }
 
 void TaskAnswers::retire_if_closed(InFlightTask& task) {
--- a/src/server/task_controller.cpp
+++ b/src/server/task_controller.cpp
@@ -40,7 +40,7 @@
     const Nanos now = context_.now();
     ResourceRequest request = resource_request(message, queue_groups_);
     request.time_left -= answer_margin(message.time_left());
-    const admission::AdmissionLimit limit = context_.admission.take(now, *client.share, request.queue_group);
+    const admission::AdmissionLimit limit = context_.admission.admit(now, *client.share, request.queue_group);
     if (limit != admission::AdmissionLimit::none) return reject_at_admission(client, message, limit);
     const std::uint64_t service = stable_hash(message.service());
     ledger::TaskRecord& record = context_.ledger.create_task(now, message.task(), service, request);
@@ -51,7 +51,7 @@
     reply.mutable_received()->set_id(message.id());
     client.send(reply);
     context_.planner->submit(now, record.number, service, request);
-    tokens_.taken(now);
+    tokens_.on_task_submitted(now);
     context_.rounds.schedule_round();
 }
 
--- a/src/server/task_recovery.h
+++ b/src/server/task_recovery.h
@@ -30,9 +30,9 @@
     const recovery::RecoveryQueue& queue() const { return queue_; }
 
 private:
-    void found(Nanos now, recovery::PendingRecovery&) override;
-    void lost(Nanos now, recovery::PendingRecovery&) override;
-    void list_again(Nanos now) override;
+    void on_worker_known(Nanos now, recovery::PendingRecovery&) override;
+    void on_worker_gone(Nanos now, recovery::PendingRecovery&) override;
+    void on_snapshot_needed(Nanos now) override;
     void wake_at(Nanos at) override;
 
     ServerContext& context_;
--- a/src/server/worker_endpoint.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -24,8 +24,8 @@
     if (WorkerPeer* peer = find(name)) return *peer;
     // Another jitter for each connection and each placer, and the same one for the same seed.
     const std::uint64_t seed = (context.identity.seed ^ stable_hash(name)) * kSeedMultiplier;
-    peers_.push_back(
-        std::make_unique<WorkerPeer>(*this, context.ledger.add_worker(name), membership.meet(name), seed));
+    peers_.push_back(std::make_unique<WorkerPeer>(*this, context.ledger.add_worker(name),
+                                                  membership.find_or_add(name), seed));
     by_name_[std::string(name)] = peers_.back().get();
     return *peers_.back();
 }
@@ -40,13 +40,13 @@
     peer.stream = context.loop.dial(peer.entry.address, peer);
 }
 
-void WorkerEndpoint::drop(WorkerConnection& connection, bool at_once) {
+void WorkerEndpoint::close(WorkerConnection& connection, bool at_once) {
     WorkerPeer& peer = peer_of(connection);
     if (peer.stream && at_once) peer.stream->abort();
     peer.stream.reset();
 }
 
-void WorkerEndpoint::write(WorkerConnection& connection, ledger::Attempt& attempt) {
+void WorkerEndpoint::write_attempt(WorkerConnection& connection, ledger::Attempt& attempt) {
     const ledger::TaskRecord& record = *attempt.task;
     v1::ToWorker message;
     v1::StartAttempt& start = *message.mutable_start_attempt();
@@ -58,55 +58,55 @@
     start.set_memory(record.request.memory);
     start.set_expected_runtime(record.request.expected_runtime);
     start.set_request(record.number);
-    start.set_not_after(connection.there(attempt.deadline));
+    start.set_not_after(connection.to_worker_time(attempt.deadline));
     peer_of(connection).send(message);
 }
 
-void WorkerEndpoint::ask_for_life(WorkerConnection& connection) {
+void WorkerEndpoint::send_keepalive(WorkerConnection& connection) {
     v1::ToWorker message;
     message.mutable_health_check()->set_id(0);  // none of the planner's: the reply is only a sign of life
     peer_of(connection).send(message);
 }
 
-void WorkerEndpoint::ask_after(WorkerConnection& connection, ledger::Attempt& attempt) {
+void WorkerEndpoint::send_adoption(WorkerConnection& connection, ledger::Attempt& attempt) {
     v1::ToWorker message;
     message.mutable_adopt_attempt()->set_attempt(attempt.number);
     message.mutable_adopt_attempt()->set_task(attempt.task->key);
     peer_of(connection).send(message);
 }
 
-std::size_t WorkerEndpoint::unsent(const WorkerConnection& connection) const {
+std::size_t WorkerEndpoint::unsent_bytes(const WorkerConnection& connection) const {
     const WorkerPeer& peer = peer_of(connection);
     return peer.stream ? peer.stream->unsent() : 0;
 }
 
-std::uint64_t WorkerEndpoint::handed(const WorkerConnection& connection) const {
+std::uint64_t WorkerEndpoint::handed_over_bytes(const WorkerConnection& connection) const {
     const WorkerPeer& peer = peer_of(connection);
     return peer.stream ? peer.stream->handed_over() : 0;
 }
 
-std::uint64_t WorkerEndpoint::written(const WorkerConnection& connection) const {
-    return handed(connection) + unsent(connection);
+std::uint64_t WorkerEndpoint::written_bytes(const WorkerConnection& connection) const {
+    return handed_over_bytes(connection) + unsent_bytes(connection);
 }
 
 bool WorkerEndpoint::may_still_send(Nanos now, const ledger::Attempt& attempt) const {
     return context.ledger.may_still_send(now, attempt);
 }
 
-void WorkerEndpoint::over(Nanos, ledger::Attempt& attempt, AttemptOutcome outcome) {
+void WorkerEndpoint::on_attempt_ended(Nanos, ledger::Attempt& attempt, AttemptOutcome outcome) {
     attempts.defer_end(attempt.number, outcome);
 }
 
-void WorkerEndpoint::wake(WorkerConnection& connection, Nanos at) {
+void WorkerEndpoint::wake_at(WorkerConnection& connection, Nanos at) {
     context.timers.arm(peer_of(connection).timer, std::max(at, context.now()));
 }
 
 // A worker that closes within the greeting is as unreachable as one that can't be dialled.
-void WorkerEndpoint::down(Nanos now, WorkerConnection& connection, bool was_up) {
+void WorkerEndpoint::on_disconnected(Nanos now, WorkerConnection& connection, bool was_up) {
     WorkerPeer& peer = peer_of(connection);
-    if (was_up) membership.broken(now, peer.entry);
-    else membership.dial_failed(now, peer.entry);
-    tokens.broken(now, peer.warming);
+    if (was_up) membership.on_disconnected(now, peer.entry);
+    else membership.on_dial_failed(now, peer.entry);
+    tokens.on_disconnected(now, peer.warming);
 }
 
 }  // namespace whinpost::server
--- a/src/server/worker_endpoint.h
+++ b/src/server/worker_endpoint.h
@@ -29,17 +29,17 @@
     std::size_t size() const { return peers_.size(); }
 
     void dial(worker_connection::WorkerConnection&) override;
-    void drop(worker_connection::WorkerConnection&, bool at_once) override;
-    void write(worker_connection::WorkerConnection&, ledger::Attempt&) override;
-    void ask_for_life(worker_connection::WorkerConnection&) override;
-    void ask_after(worker_connection::WorkerConnection&, ledger::Attempt&) override;
-    std::size_t unsent(const worker_connection::WorkerConnection&) const override;
-    std::uint64_t handed(const worker_connection::WorkerConnection&) const override;
-    std::uint64_t written(const worker_connection::WorkerConnection&) const override;
+    void close(worker_connection::WorkerConnection&, bool at_once) override;
+    void write_attempt(worker_connection::WorkerConnection&, ledger::Attempt&) override;
+    void send_keepalive(worker_connection::WorkerConnection&) override;
+    void send_adoption(worker_connection::WorkerConnection&, ledger::Attempt&) override;
+    std::size_t unsent_bytes(const worker_connection::WorkerConnection&) const override;
+    std::uint64_t handed_over_bytes(const worker_connection::WorkerConnection&) const override;
+    std::uint64_t written_bytes(const worker_connection::WorkerConnection&) const override;
     bool may_still_send(Nanos now, const ledger::Attempt&) const override;
-    void over(Nanos now, ledger::Attempt&, AttemptOutcome) override;
-    void wake(worker_connection::WorkerConnection&, Nanos at) override;
-    void down(Nanos now, worker_connection::WorkerConnection&, bool was_up) override;
+    void on_attempt_ended(Nanos now, ledger::Attempt&, AttemptOutcome) override;
+    void wake_at(worker_connection::WorkerConnection&, Nanos at) override;
+    void on_disconnected(Nanos now, worker_connection::WorkerConnection&, bool was_up) override;
 
     // For the peers.
     ServerContext& context;
--- a/src/server/worker_peer.cpp
+++ b/src/server/worker_peer.cpp
@@ -30,7 +30,7 @@
 }
 
 void WorkerPeer::on_connected() {
-    connection.connected(endpoint.context.now());
+    connection.on_connected(endpoint.context.now());
     v1::ToWorker message;
     introduce(*message.mutable_hello(), endpoint.context.identity);
     send(message);
@@ -38,7 +38,7 @@
     incarnation_ = 0;
 }
 
-void WorkerPeer::on_drained() { connection.drained(endpoint.context.now()); }
+void WorkerPeer::on_drained() { connection.on_drained(endpoint.context.now()); }
 
 void WorkerPeer::on_closed(net::CloseReason reason) {
     ServerContext& context = endpoint.context;
@@ -47,8 +47,8 @@
     stream.reset();
     context.log(Level::debug, "worker_connection_closed",
                 {{"worker", record.name}, {"reason", net::to_string(reason)}});
-    if (connection.state() == ConnectionState::dialling) connection.dial_failed(now);
-    else connection.broken(now, handed_over);
+    if (connection.state() == ConnectionState::dialling) connection.on_dial_failed(now);
+    else connection.on_disconnected(now, handed_over);
     context.rounds.schedule_round();
 }
 
@@ -61,14 +61,14 @@
     writer_.send(stream.get(), message);
     const std::uint64_t handed_over = stream->handed_over();
     stream.reset();
-    connection.broken(context.now(), handed_over);
+    connection.on_disconnected(context.now(), handed_over);
     context.rounds.schedule_round();
     return false;
 }
 
 std::size_t WorkerPeer::on_received(std::string_view bytes) {
     bool too_long = false;
-    connection.heard(endpoint.context.now());
+    connection.on_data(endpoint.context.now());
     // A message may close the stream, or replace it by another one.
     net::Stream* const current = stream.get();
     const std::size_t consumed = net::decode_frames(
@@ -96,7 +96,7 @@
     if (hello.version() != kProtocolVersion) return reject(unsupported_version(hello.version()));
     // Another worker may be at the address now: what is meant for one is not told to the other.
     if (hello.name() != record.name) {
-        endpoint.membership.stranger();
+        endpoint.membership.on_name_mismatch();
         return reject("hello.name: not the node that the list has at this address");
     }
     if (hello.incarnation() == 0) return reject("hello.incarnation: must not be 0");
@@ -116,13 +116,13 @@
         context.ledger.on_restarted(now, record);
     context.ledger.on_drain_announced(now, record, state.draining());
     const LoadReport report = load_report(state.report());
-    endpoint.membership.greeted(now, entry, incarnation_, std::max<Nanos>(state.uptime(), 0),
-                                state.draining(), report);
+    endpoint.membership.on_greeting(now, entry, incarnation_, std::max<Nanos>(state.uptime(), 0),
+                                    state.draining(), report);
     context.planner->on_load_report(now, number, report);
-    connection.clock(now, state.clock());
-    connection.greeted(now, incarnation_, held_attempts, state.remembers_for());
+    connection.on_clock(now, state.clock());
+    connection.on_greeting(now, incarnation_, held_attempts, state.remembers_for());
     endpoint.attempts.resend_cancellations(*this);
-    endpoint.tokens.greeted(now, warming, state.issues_tokens());
+    endpoint.tokens.on_greeting(now, warming, state.issues_tokens());
     for (const v1::HeldAttempt& held : state.attempts()) {
         // One that is unknown is of long ago, or another worker's: it is the worker's to clean up.
         ledger::Attempt* attempt = find_attempt(held.attempt());
@@ -162,8 +162,8 @@
         case v1::FromWorker::kState:
             return on_state(message.state());
         case v1::FromWorker::kAttemptsRead:
-            connection.clock(now, message.attempts_read().clock());
-            connection.received(now, message.attempts_read().attempts());
+            connection.on_clock(now, message.attempts_read().clock());
+            connection.on_attempts_read(now, message.attempts_read().attempts());
             return true;
         case v1::FromWorker::kAccepted:
             return with_attempt(message.accepted().attempt(),
@@ -184,13 +184,13 @@
             if (message.health_check_reply().id() != 0) on_load_report(message.health_check_reply().report());
             return true;
         case v1::FromWorker::kTokensGranted:
-            endpoint.tokens.given(
+            endpoint.tokens.on_granted(
                 now, warming, message.tokens_granted().sequence(),
                 static_cast<int>(std::min(message.tokens_granted().tokens(), kMaxTokensGranted)));
             return true;
         case v1::FromWorker::kDraining:
             context.ledger.on_drain_announced(now, record, true);
-            endpoint.membership.says_drain(now, entry);
+            endpoint.membership.on_drain_announced(now, entry);
             return true;
         case v1::FromWorker::kError:
             log_reported_error(message);
@@ -206,7 +206,7 @@
     const Nanos now = context.now();
     const LoadReport report = load_report(message);
     context.planner->on_load_report(now, number, report);
-    endpoint.membership.reported(now, entry, report);
+    endpoint.membership.on_load_report(now, entry, report);
     context.rounds.schedule_round();
 }
 
--- a/src/server/worker_peer.h
+++ b/src/server/worker_peer.h
@@ -30,7 +30,7 @@
 
     struct ConnectionTimer final : timer_wheel::Timer {
         explicit ConnectionTimer(WorkerPeer& owner) : peer(owner) {}
-        void on_deadline(Nanos now) override { peer.connection.tick(now); }
+        void on_deadline(Nanos now) override { peer.connection.run_timers(now); }
         WorkerPeer& peer;
     };
 
--- a/src/slow_start/token_client.h
+++ b/src/slow_start/token_client.h
@@ -22,33 +22,34 @@
     WarmingWorker(const WarmingWorker&) = delete;
     WarmingWorker& operator=(const WarmingWorker&) = delete;
     void* tag = nullptr;  // the embedder's own
-    bool gives() const { return up_ && gives_; }
+    bool issues_tokens() const { return is_connected_ && issues_tokens_; }
     // How many offers may be sent to it now while it is cold; -1: as they are dealt out among all placers.
     // Before it has greeted nobody knows whether it gives turns: offers that wait for its connection would
     // come on top of those that it gave.
-    int allowed() const { return !up_ ? 0 : gives_ ? held_ : -1; }
+    int allowed_attempts() const { return !is_connected_ ? 0 : issues_tokens_ ? held_ : -1; }
     int held() const { return held_; }
-    int asked() const { return more_; }
+    int requested() const { return requested_; }
 
 private:
     friend class TokenClient;
-    TokenClient& taker_;
-    bool up_ = false, gives_ = false, serving_ = false;
-    int held_ = 0, more_ = 0;
-    std::uint64_t number_ = 0;
-    Nanos young_until_ = 0, since_ = 0, not_before_ = 0, pause_ = 0;
+    TokenClient& client_;
+    bool is_connected_ = false, issues_tokens_ = false, is_serving_ = false;
+    int held_ = 0, requested_ = 0;
+    std::uint64_t sequence_ = 0;
+    Nanos slow_start_until_ = 0, held_since_ = 0, next_request_at_ = 0, backoff_ = 0;
 };
 
 class TokenClientHandler {
 public:
     virtual ~TokenClientHandler() = default;
     // Tell the node: held so many, so many more are wanted.
-    virtual void ask(WarmingWorker&, std::uint64_t number, int held, int more) = 0;
-    virtual void holds(Nanos now, WarmingWorker&) = 0;  // held() changed: for the planner and the ledger
+    virtual void send_request(WarmingWorker&, std::uint64_t number, int held, int more) = 0;
+    virtual void on_tokens_changed(Nanos now,
+                                   WarmingWorker&) = 0;  // held() changed: for the planner and the ledger
 };
 
 struct TokenClientStatistics {
-    std::uint64_t asks = 0, given = 0, spent = 0, back = 0, stray = 0;
+    std::uint64_t requests = 0, granted = 0, used = 0, returned = 0, stray_grants = 0;
 };
 
 class TokenClient {
@@ -56,36 +57,37 @@
     // `cold_for`: how long after its start a node is treated as cold.
     TokenClient(TokenClientHandler& port, Nanos cold_for);
 
-    void greeted(Nanos now, WarmingWorker&, bool gives);
-    void broken(Nanos now, WarmingWorker&);
+    void on_greeting(Nanos now, WarmingWorker&, bool gives);
+    void on_disconnected(Nanos now, WarmingWorker&);
     // Whether it may be given work at all, and its start (0: long ago).
-    void stands(Nanos now, WarmingWorker&, bool serving, Nanos started);
-    void given(Nanos now, WarmingWorker&, std::uint64_t number, int turns);
+    void on_worker_changed(Nanos now, WarmingWorker&, bool serving, Nanos started);
+    void on_granted(Nanos now, WarmingWorker&, std::uint64_t number, int turns);
     // An offer is sent to it.
-    void spend(Nanos now, WarmingWorker&);
+    void use_token(Nanos now, WarmingWorker&);
     // One for which a turn was spent has never left: the node is told what is held, and takes that turn back.
-    void unsent(WarmingWorker&);
+    void on_attempt_not_sent(WarmingWorker&);
     // A container was taken to be placed.
-    void taken(Nanos now) { taken_.add(now, 1); }
+    void on_task_submitted(Nanos now) { submissions_.add(now, 1); }
     // After the planner's round: containers that wait without a launch out. Asks, and gives back.
-    void waiting(Nanos now, std::size_t containers);
+    void request_for(Nanos now, std::size_t containers);
 
-    const TokenClientStatistics& counts() const { return counts_; }
+    const TokenClientStatistics& statistics() const { return statistics_; }
 
 private:
     friend class WarmingWorker;
-    bool wanted(Nanos now, const WarmingWorker& c) const {
-        return c.gives() && c.serving_ && now < c.young_until_;
+    bool may_request(Nanos now, const WarmingWorker& c) const {
+        return c.issues_tokens() && c.is_serving_ && now < c.slow_start_until_;
     }
-    void tell(Nanos now, WarmingWorker&, int held, int more);
-    void list(Nanos now, WarmingWorker&);
+    void update_request(Nanos now, WarmingWorker&, int held, int more);
+    void update_candidate(Nanos now, WarmingWorker&);
 
-    TokenClientHandler& port_;
-    Nanos cold_for_;
-    std::vector<WarmingWorker*> cold_;  // those that may be asked: a fleet has few, and each round walks them
-    std::size_t from_ = 0;              // where the next asking begins
-    SlidingCounter<10> taken_;          // over a second
-    TokenClientStatistics counts_;
+    TokenClientHandler& handler_;
+    Nanos slow_start_time_;
+    std::vector<WarmingWorker*>
+        candidates_;                  // those that may be asked: a fleet has few, and each round walks them
+    std::size_t next_candidate_ = 0;  // where the next asking begins
+    SlidingCounter<10> submissions_;  // over a second
+    TokenClientStatistics statistics_;
 };
 
 }  // namespace whinpost::slow_start
--- a/src/slow_start/token_issuer.cpp
+++ b/src/slow_start/token_issuer.cpp
@@ -4,67 +4,67 @@
 
 namespace whinpost::slow_start {
 
-TokenHolder::TokenHolder(TokenIssuer& g) : giver_(g) {}
+TokenHolder::TokenHolder(TokenIssuer& g) : issuer_(g) {}
 
 // With its connection all that it held is free again: nothing of it can arrive any more.
 TokenHolder::~TokenHolder() {
-    giver_.out_ -= out_;
-    if (in_line_) giver_.line_.remove(this);
+    issuer_.outstanding_ -= outstanding_;
+    if (is_queued_) issuer_.queue_.remove(this);
 }
 
-int TokenIssuer::lately(Nanos now) {
-    while (!offers_.empty() && now - offers_.front() >= window_) offers_.pop_front();
-    return static_cast<int>(offers_.size());
+int TokenIssuer::recent_attempts(Nanos now) {
+    while (!attempts_.empty() && now - attempts_.front() >= window_) attempts_.pop_front();
+    return static_cast<int>(attempts_.size());
 }
 
-void TokenIssuer::bears(Nanos now, double offers) {
-    bears_ = offers;
-    give(now);
+void TokenIssuer::set_capacity(Nanos now, double offers) {
+    capacity_ = offers;
+    issue(now);
 }
 
-void TokenIssuer::asked(Nanos now, TokenHolder& h, std::uint64_t number, int held, int more) {
+void TokenIssuer::on_request(Nanos now, TokenHolder& h, std::uint64_t number, int held, int more) {
     // It can't hold more than was given to it; what it says beyond that is a mistake of its own.
-    held = std::clamp(held, 0, h.out_);
-    out_ -= h.out_ - held;
-    h.out_ = held;
-    h.more_ = std::max(0, more);
-    h.number_ = number;
-    if (h.more_ > 0 && !h.in_line_) {
-        line_.push_back(&h);
-        h.in_line_ = true;
+    held = std::clamp(held, 0, h.outstanding_);
+    outstanding_ -= h.outstanding_ - held;
+    h.outstanding_ = held;
+    h.wanted_ = std::max(0, more);
+    h.sequence_ = number;
+    if (h.wanted_ > 0 && !h.is_queued_) {
+        queue_.push_back(&h);
+        h.is_queued_ = true;
     }
-    give(now);
+    issue(now);
 }
 
-void TokenIssuer::offer(Nanos now, TokenHolder& h) {
-    if (h.out_ > 0) {
-        --h.out_;
-        --out_;
+void TokenIssuer::on_attempt(Nanos now, TokenHolder& h) {
+    if (h.outstanding_ > 0) {
+        --h.outstanding_;
+        --outstanding_;
     }
-    offers_.push_back(now);
-    give(now);
+    attempts_.push_back(now);
+    issue(now);
 }
 
-void TokenIssuer::turn(Nanos now) { give(now); }
+void TokenIssuer::run_timers(Nanos now) { issue(now); }
 
-void TokenIssuer::give(Nanos now) {
-    int room = static_cast<int>(bears_) - lately(now) - out_;
-    while (room > 0 && !line_.empty()) {
-        TokenHolder& h = *line_.front();
-        line_.pop_front();
-        h.in_line_ = false;
-        if (h.more_ <= 0) continue;
-        --h.more_;
-        ++h.out_;
-        ++out_;
+void TokenIssuer::issue(Nanos now) {
+    int room = static_cast<int>(capacity_) - recent_attempts(now) - outstanding_;
+    while (room > 0 && !queue_.empty()) {
+        TokenHolder& h = *queue_.front();
+        queue_.pop_front();
+        h.is_queued_ = false;
+        if (h.wanted_ <= 0) continue;
+        --h.wanted_;
+        ++h.outstanding_;
+        ++outstanding_;
         --room;
-        if (h.more_ > 0) {
-            line_.push_back(&h);
-            h.in_line_ = true;
+        if (h.wanted_ > 0) {
+            queue_.push_back(&h);
+            h.is_queued_ = true;
         }
-        port_.give(h, h.number_, 1);
+        handler_.send_tokens(h, h.sequence_, 1);
     }
-    if (!line_.empty() && !offers_.empty()) port_.wake(offers_.front() + window_);
+    if (!queue_.empty() && !attempts_.empty()) handler_.wake_at(attempts_.front() + window_);
 }
 
 }  // namespace whinpost::slow_start
--- a/src/slow_start/token_issuer.h
+++ b/src/slow_start/token_issuer.h
@@ -26,50 +26,50 @@
     TokenHolder(const TokenHolder&) = delete;
     TokenHolder& operator=(const TokenHolder&) = delete;
     void* tag = nullptr;  // the embedder's own
-    int out() const { return out_; }
+    int outstanding() const { return outstanding_; }
 
 private:
     friend class TokenIssuer;
-    TokenIssuer& giver_;
-    int out_ = 0, more_ = 0;
-    std::uint64_t number_ = 0;
-    bool in_line_ = false;
+    TokenIssuer& issuer_;
+    int outstanding_ = 0, wanted_ = 0;
+    std::uint64_t sequence_ = 0;
+    bool is_queued_ = false;
 };
 
 class TokenIssuerHandler {
 public:
     virtual ~TokenIssuerHandler() = default;
     // Tell it: so many turns more, by its request of that number.
-    virtual void give(TokenHolder&, std::uint64_t number, int turns) = 0;
-    virtual void wake(Nanos at) = 0;  // call turn() then
+    virtual void send_tokens(TokenHolder&, std::uint64_t number, int turns) = 0;
+    virtual void wake_at(Nanos at) = 0;  // call turn() then
 };
 
 class TokenIssuer {
 public:
     // `window`: over which offers count, over 0.
-    TokenIssuer(TokenIssuerHandler& port, Nanos window) : port_(port), window_(window) {}
+    TokenIssuer(TokenIssuerHandler& port, Nanos window) : handler_(port), window_(window) {}
 
     // What it bears in a window from now on. Falling takes nothing back that is out.
-    void bears(Nanos now, double offers);
+    void set_capacity(Nanos now, double offers);
     // A placer holds `held` turns, all others that were given to it it has not taken, and wants `more`.
-    void asked(Nanos now, TokenHolder&, std::uint64_t number, int held, int more);
+    void on_request(Nanos now, TokenHolder&, std::uint64_t number, int held, int more);
     // An offer came, of whoever.
-    void offer(Nanos now, TokenHolder&);
-    void turn(Nanos now);
+    void on_attempt(Nanos now, TokenHolder&);
+    void run_timers(Nanos now);
 
-    int out() const { return out_; }
-    int lately(Nanos now);  // offers within the window
+    int outstanding() const { return outstanding_; }
+    int recent_attempts(Nanos now);  // offers within the window
 
 private:
     friend class TokenHolder;
-    void give(Nanos now);
+    void issue(Nanos now);
 
-    TokenIssuerHandler& port_;
+    TokenIssuerHandler& handler_;
     Nanos window_;
-    double bears_ = 0;
-    int out_ = 0;
-    std::deque<Nanos> offers_;
-    std::list<TokenHolder*> line_;  // who wants more, in turn: one each time
+    double capacity_ = 0;
+    int outstanding_ = 0;
+    std::deque<Nanos> attempts_;
+    std::list<TokenHolder*> queue_;  // who wants more, in turn: one each time
 };
 
 }  // namespace whinpost::slow_start
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -38,134 +38,135 @@
 
 // ---------------------------------------------------------------- the dialler
 
-bool DialLimiter::may(Nanos now, WorkerConnection& l) {
-    while (!lately_.empty() && now - lately_.front() >= kSecond) lately_.pop_front();
-    const bool first = line_.empty() || line_.front() == &l;
-    if (first && dialling_ < at_once_ && static_cast<int>(lately_.size()) < a_second_) {
-        if (!line_.empty()) line_.pop_front();
-        l.in_line_ = false;
+bool DialLimiter::try_acquire(Nanos now, WorkerConnection& l) {
+    while (!recent_dials_.empty() && now - recent_dials_.front() >= kSecond) recent_dials_.pop_front();
+    const bool first = queue_.empty() || queue_.front() == &l;
+    if (first && dialling_ < max_concurrent_ && static_cast<int>(recent_dials_.size()) < max_per_second_) {
+        if (!queue_.empty()) queue_.pop_front();
+        l.awaits_permit_ = false;
         ++dialling_;
-        lately_.push_back(now);
+        recent_dials_.push_back(now);
         wake_first(now);
         return true;
     }
-    if (!l.in_line_) line_.push_back(&l);
-    l.in_line_ = true;
+    if (!l.awaits_permit_) queue_.push_back(&l);
+    l.awaits_permit_ = true;
     return false;
 }
 
 // Only the first in line is woken, and it wakes the next: with ten thousand nodes to dial, all that wait
 // would else look again each time one may go.
 void DialLimiter::wake_first(Nanos now) {
-    if (const Nanos at = next(now); at && !line_.empty()) line_.front()->wire_.wake(*line_.front(), at);
+    if (const Nanos at = next_dial_at(now); at && !queue_.empty())
+        queue_.front()->handler_.wake_at(*queue_.front(), at);
 }
 
-void DialLimiter::done(WorkerConnection&) {
+void DialLimiter::release(WorkerConnection&) {
     --dialling_;
-    if (!line_.empty()) line_.front()->wire_.wake(*line_.front(), 0);
+    if (!queue_.empty()) queue_.front()->handler_.wake_at(*queue_.front(), 0);
 }
 
-void DialLimiter::leave(WorkerConnection& l) {
-    if (!l.in_line_) return;
-    const bool first = line_.front() == &l;
-    std::erase(line_, &l);
-    l.in_line_ = false;
-    if (first && !line_.empty()) line_.front()->wire_.wake(*line_.front(), 0);
+void DialLimiter::remove(WorkerConnection& l) {
+    if (!l.awaits_permit_) return;
+    const bool first = queue_.front() == &l;
+    std::erase(queue_, &l);
+    l.awaits_permit_ = false;
+    if (first && !queue_.empty()) queue_.front()->handler_.wake_at(*queue_.front(), 0);
 }
 
-Nanos DialLimiter::next(Nanos now) const {
-    if (dialling_ >= at_once_) return 0;
-    return static_cast<int>(lately_.size()) < a_second_ ? now : lately_.front() + kSecond;
+Nanos DialLimiter::next_dial_at(Nanos now) const {
+    if (dialling_ >= max_concurrent_) return 0;
+    return static_cast<int>(recent_dials_.size()) < max_per_second_ ? now : recent_dials_.front() + kSecond;
 }
 
 // ---------------------------------------------------------------- the link
 
 WorkerConnection::WorkerConnection(ConnectionHandler& wire, DialLimiter& dialler, ledger::WorkerRecord& node,
                                    ConnectionSettings terms, std::uint64_t seed)
-    : wire_(wire), dialler_(dialler), node_(node), terms_(terms),
-      chance_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48))) {}
+    : handler_(wire), dial_limiter_(dialler), worker_(node), settings_(terms),
+      jitter_(static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48))) {}
 
 WorkerConnection::~WorkerConnection() {
-    if (state_ == ConnectionState::dialling) dialler_.done(*this);
-    dialler_.leave(*this);
+    if (state_ == ConnectionState::dialling) dial_limiter_.release(*this);
+    dial_limiter_.remove(*this);
 }
 
-void WorkerConnection::want(Nanos now, bool on) {
-    wanted_ = on;
+void WorkerConnection::set_wanted(Nanos now, bool on) {
+    is_wanted_ = on;
     if (on && state_ == ConnectionState::idle) {
         state_ = ConnectionState::waiting;
         state_since_ = now;
         dial_at_ = now;
         try_dial(now);
     }
-    if (!on && out_.empty() && queue_.empty() && state_ != ConnectionState::idle) {
-        if (state_ == ConnectionState::dialling) dialler_.done(*this);
-        else if (state_ == ConnectionState::waiting) dialler_.leave(*this);
-        if (state_ != ConnectionState::waiting) wire_.drop(*this, false);
+    if (!on && in_flight_.empty() && queue_.empty() && state_ != ConnectionState::idle) {
+        if (state_ == ConnectionState::dialling) dial_limiter_.release(*this);
+        else if (state_ == ConnectionState::waiting) dial_limiter_.remove(*this);
+        if (state_ != ConnectionState::waiting) handler_.close(*this, false);
         state_ = ConnectionState::idle;
     }
-    plan(now);
+    schedule_wakeup(now);
 }
 
 void WorkerConnection::try_dial(Nanos now) {
     if (now < dial_at_) return;
-    if (!dialler_.may(now, *this)) return;
+    if (!dial_limiter_.try_acquire(now, *this)) return;
     state_ = ConnectionState::dialling;
     state_since_ = now;
-    ++counts_.dials;
-    wire_.dial(*this);
+    ++statistics_.dials;
+    handler_.dial(*this);
 }
 
 // A launch for a node that can't be reached is told so at once: the planner knows better where else it could
 // go than a queue does. While a first connection is being made it waits for that, within its own time.
-void WorkerConnection::offer(Nanos now, ledger::Attempt& l) {
-    if (state_ == ConnectionState::idle) want(now, true);
-    const bool failing = state_ == ConnectionState::waiting && pause_ > 0;
+void WorkerConnection::send(Nanos now, ledger::Attempt& l) {
+    if (state_ == ConnectionState::idle) set_wanted(now, true);
+    const bool failing = state_ == ConnectionState::waiting && backoff_ > 0;
     if (failing) {
-        wire_.over(now, l, AttemptOutcome::connect_failed);
+        handler_.on_attempt_ended(now, l, AttemptOutcome::connect_failed);
         return;
     }
     queue_.push_back(&l);
-    if (state_ == ConnectionState::up) pump(now);
-    plan(now);
+    if (state_ == ConnectionState::up) write_queued(now);
+    schedule_wakeup(now);
 }
 
-void WorkerConnection::pump(Nanos now) {
+void WorkerConnection::write_queued(Nanos now) {
     if (state_ != ConnectionState::up) return;
-    while (!queue_.empty() && wire_.unsent(*this) < kHandOver && unreceived_.size() < kUnreceived) {
+    while (!queue_.empty() && handler_.unsent_bytes(*this) < kHandOver && unread_.size() < kUnreceived) {
         ledger::Attempt& l = *queue_.front();
         queue_.pop_front();
-        if (!wire_.may_still_send(now, l)) {
-            ++counts_.proven_unsent;
-            wire_.over(now, l, AttemptOutcome::not_sent);
+        if (!handler_.may_still_send(now, l)) {
+            ++statistics_.proven_unsent;
+            handler_.on_attempt_ended(now, l, AttemptOutcome::not_sent);
             continue;
         }
-        add_out(l);
-        wire_.write(*this, l);
-        unreceived_.push_back({&l, wire_.written(*this)});
+        add_in_flight(l);
+        handler_.write_attempt(*this, l);
+        unread_.push_back({&l, handler_.written_bytes(*this)});
     }
 }
 
-void WorkerConnection::add_out(ledger::Attempt& l) {
-    l.connection_index = out_.size();
-    out_.push_back(&l);
+void WorkerConnection::add_in_flight(ledger::Attempt& l) {
+    l.connection_index = in_flight_.size();
+    in_flight_.push_back(&l);
 }
 
-void WorkerConnection::drop_out(ledger::Attempt& l) {
-    if (l.connection_index >= out_.size() || out_[l.connection_index] != &l) return;
-    out_[l.connection_index] = out_.back();
-    out_[l.connection_index]->connection_index = l.connection_index;
-    out_.pop_back();
+void WorkerConnection::remove_in_flight(ledger::Attempt& l) {
+    if (l.connection_index >= in_flight_.size() || in_flight_[l.connection_index] != &l) return;
+    in_flight_[l.connection_index] = in_flight_.back();
+    in_flight_[l.connection_index]->connection_index = l.connection_index;
+    in_flight_.pop_back();
     l.connection_index = SIZE_MAX;
 }
 
-std::vector<ledger::Attempt*> WorkerConnection::in_order() const {
-    std::vector<ledger::Attempt*> all = out_;
+std::vector<ledger::Attempt*> WorkerConnection::attempts_in_order() const {
+    std::vector<ledger::Attempt*> all = in_flight_;
     std::sort(all.begin(), all.end(), [](const auto* a, const auto* b) { return a->number < b->number; });
     return all;
 }
 
-bool WorkerConnection::take_back(ledger::Attempt& l) {
+bool WorkerConnection::withdraw(ledger::Attempt& l) {
     const auto it = std::find(queue_.begin(), queue_.end(), &l);
     if (it == queue_.end()) return false;
     queue_.erase(it);
@@ -174,180 +175,181 @@
 
 // Guards against a launch that was given up while it lay in a buffer, and arrives at a node that drains by
 // then: it counts as on its way until the node is known to have read it.
-void WorkerConnection::forget(ledger::Attempt& l, bool answered) {
-    drop_out(l);
+void WorkerConnection::on_attempt_ended(ledger::Attempt& l, bool answered) {
+    remove_in_flight(l);
     if (!queue_.empty()) std::erase(queue_, &l);
-    const auto it = std::find_if(unreceived_.begin(), unreceived_.end(),
-                                 [&l](const Written& w) { return w.launch == &l; });
-    if (it == unreceived_.end()) return;
-    it->launch = nullptr;
+    const auto it = std::find_if(unread_.begin(), unread_.end(),
+                                 [&l](const WrittenAttempt& w) { return w.attempt == &l; });
+    if (it == unread_.end()) return;
+    it->attempt = nullptr;
     if (!answered) return;
     // A node that answers has read it and all before it, also one that never says so.
-    read_up_to(received_ + static_cast<std::uint64_t>(it - unreceived_.begin()) + 1);
+    mark_read(read_count_ + static_cast<std::uint64_t>(it - unread_.begin()) + 1);
 }
 
 void WorkerConnection::adopt(ledger::Attempt& l) {
-    add_out(l);
-    if (state_ == ConnectionState::up) wire_.ask_after(*this, l);
+    add_in_flight(l);
+    if (state_ == ConnectionState::up) handler_.send_adoption(*this, l);
 }
 
-void WorkerConnection::connected(Nanos now) {
+void WorkerConnection::on_connected(Nanos now) {
     if (state_ != ConnectionState::dialling) return;
-    dialler_.done(*this);
+    dial_limiter_.release(*this);
     state_ = ConnectionState::greeting;
-    state_since_ = heard_at_ = now;
-    asked_at_ = 0;
-    received_ = 0;
-    clock_ = 0;  // another life of it may count from elsewhere
-    unreceived_.clear();
-    plan(now);
+    state_since_ = last_data_at_ = now;
+    keepalive_sent_at_ = 0;
+    read_count_ = 0;
+    worker_clock_ = 0;  // another life of it may count from elsewhere
+    unread_.clear();
+    schedule_wakeup(now);
 }
 
-void WorkerConnection::pause(Nanos now) {
-    pause_ = pause_ ? std::min(terms_.longest_pause, 2 * pause_) : terms_.first_pause;
+void WorkerConnection::back_off(Nanos now) {
+    backoff_ = backoff_ ? std::min(settings_.longest_pause, 2 * backoff_) : settings_.first_pause;
     // Between a half and the whole of it: placers that lost a zone in one moment come back spread out.
-    dial_at_ =
-        now + pause_ / 2 + static_cast<Nanos>(static_cast<double>(pause_) * 0.5 * (chance_() % 1024) / 1024);
+    dial_at_ = now + backoff_ / 2 +
+               static_cast<Nanos>(static_cast<double>(backoff_) * 0.5 * (jitter_() % 1024) / 1024);
     state_ = ConnectionState::waiting;
     state_since_ = now;
-    if (!wanted_ && out_.empty()) state_ = ConnectionState::idle;
+    if (!is_wanted_ && in_flight_.empty()) state_ = ConnectionState::idle;
 }
 
-void WorkerConnection::empty_queue(Nanos now, AttemptOutcome how) {
+void WorkerConnection::end_queued(Nanos now, AttemptOutcome how) {
     std::deque<ledger::Attempt*> left;
     left.swap(queue_);
-    for (ledger::Attempt* l : left) wire_.over(now, *l, how);
+    for (ledger::Attempt* l : left) handler_.on_attempt_ended(now, *l, how);
 }
 
-void WorkerConnection::dial_failed(Nanos now) {
+void WorkerConnection::on_dial_failed(Nanos now) {
     if (state_ != ConnectionState::dialling) return;
-    dialler_.done(*this);
-    ++counts_.failed_dials;
-    if (!wanted_) lose_all(now);  // gone by the list, and it can't be reached to say otherwise
-    pause(now);
-    empty_queue(now, AttemptOutcome::connect_failed);
-    plan(now);
-    wire_.down(now, *this, false);
+    dial_limiter_.release(*this);
+    ++statistics_.failed_dials;
+    if (!is_wanted_) end_in_flight(now);  // gone by the list, and it can't be reached to say otherwise
+    back_off(now);
+    end_queued(now, AttemptOutcome::connect_failed);
+    schedule_wakeup(now);
+    handler_.on_disconnected(now, *this, false);
 }
 
 // What was handed over only in part can't have been acted on. What was handed over whole stays in doubt.
-void WorkerConnection::broken(Nanos now, std::uint64_t handed) {
+void WorkerConnection::on_disconnected(Nanos now, std::uint64_t handed) {
     if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
-    ++counts_.breaks;
+    ++statistics_.disconnects;
     const bool was_up = state_ == ConnectionState::up;
-    if (state_ == ConnectionState::up) broken_at_ = now;
+    if (state_ == ConnectionState::up) disconnected_at_ = now;
     // A node that closes in the greeting is not well either: the pause goes on growing. One that was up is
     // tried soon.
-    if (state_ == ConnectionState::up) pause_ = 0;
-    std::deque<Written> written;
-    written.swap(unreceived_);
-    cut_at_ = 0;
-    pause(now);
-    for (const Written& w : written) {
-        if (!w.launch || w.launch->ended) continue;
-        if (w.end <= handed) {
-            ++counts_.in_doubt;
+    if (state_ == ConnectionState::up) backoff_ = 0;
+    std::deque<WrittenAttempt> written;
+    written.swap(unread_);
+    drain_deadline_ = 0;
+    back_off(now);
+    for (const WrittenAttempt& w : written) {
+        if (!w.attempt || w.attempt->ended) continue;
+        if (w.end_offset <= handed) {
+            ++statistics_.in_doubt;
             continue;
         }
-        ledger::Attempt& l = *w.launch;
-        drop_out(l);
-        ++counts_.proven_unsent;
-        wire_.over(now, l, AttemptOutcome::not_sent);
+        ledger::Attempt& l = *w.attempt;
+        remove_in_flight(l);
+        ++statistics_.proven_unsent;
+        handler_.on_attempt_ended(now, l, AttemptOutcome::not_sent);
     }
-    empty_queue(now, AttemptOutcome::not_sent);
-    plan(now);
-    wire_.down(now, *this, was_up);
+    end_queued(now, AttemptOutcome::not_sent);
+    schedule_wakeup(now);
+    handler_.on_disconnected(now, *this, was_up);
 }
 
-void WorkerConnection::heard(Nanos now) {
-    heard_at_ = now;
-    asked_at_ = 0;
+void WorkerConnection::on_data(Nanos now) {
+    last_data_at_ = now;
+    keepalive_sent_at_ = 0;
 }
 
 // Of the launches written on this connection the node has read so many.
-void WorkerConnection::read_up_to(std::uint64_t launches) {
-    while (received_ < launches && !unreceived_.empty()) {
-        unreceived_.pop_front();
-        ++received_;
+void WorkerConnection::mark_read(std::uint64_t launches) {
+    while (read_count_ < launches && !unread_.empty()) {
+        unread_.pop_front();
+        ++read_count_;
     }
-    if (unreceived_.empty()) cut_at_ = 0;
+    if (unread_.empty()) drain_deadline_ = 0;
 }
 
-void WorkerConnection::received(Nanos now, std::uint64_t launches) {
-    read_up_to(launches);
-    pump(now);
+void WorkerConnection::on_attempts_read(Nanos now, std::uint64_t launches) {
+    mark_read(launches);
+    write_queued(now);
 }
 
-void WorkerConnection::clock(Nanos now, Nanos theirs) {
-    clock_ = std::max<Nanos>(theirs, 0);
-    clock_at_ = now;
+void WorkerConnection::on_clock(Nanos now, Nanos theirs) {
+    worker_clock_ = std::max<Nanos>(theirs, 0);
+    worker_clock_read_at_ = now;
 }
 
-void WorkerConnection::lose_all(Nanos now) {
-    for (ledger::Attempt* l : in_order()) {
-        drop_out(*l);
-        wire_.over(now, *l, AttemptOutcome::reset);
+void WorkerConnection::end_in_flight(Nanos now) {
+    for (ledger::Attempt* l : attempts_in_order()) {
+        remove_in_flight(*l);
+        handler_.on_attempt_ended(now, *l, AttemptOutcome::reset);
     }
 }
 
-void WorkerConnection::greeted(Nanos now, std::uint64_t incarnation, const std::vector<std::uint64_t>& holds,
-                               Nanos remembers) {
+void WorkerConnection::on_greeting(Nanos now, std::uint64_t incarnation,
+                                   const std::vector<std::uint64_t>& holds, Nanos remembers) {
     if (state_ != ConnectionState::greeting) return;
     const bool same = incarnation == incarnation_;
     const bool first = incarnation_ == 0;
     incarnation_ = incarnation;
     state_ = ConnectionState::up;
     state_since_ = now;
-    pause_ = 0;
+    backoff_ = 0;
     if (!same && !first) {
         // The one that held them is no more, wherever it stood: the same address and name may well be another
         // machine.
-        lose_all(now);
+        end_in_flight(now);
     } else {
         // One that was written to it and is not held was never taken, if the node would still remember its
         // end. One that was taken over may stand there under another placer's name for it.
         std::vector<ledger::Attempt*> unnamed;
-        for (ledger::Attempt* l : in_order())
+        for (ledger::Attempt* l : attempts_in_order())
             if (std::find(holds.begin(), holds.end(), l->number) == holds.end()) unnamed.push_back(l);
-        const bool certain = same && broken_at_ && now - broken_at_ < remembers;
+        const bool certain = same && disconnected_at_ && now - disconnected_at_ < remembers;
         for (ledger::Attempt* l : unnamed) {
             if (l->adopted) {
-                wire_.ask_after(*this, *l);
+                handler_.send_adoption(*this, *l);
                 continue;
             }
-            drop_out(*l);
-            ++counts_.cleared_up;
-            wire_.over(now, *l, certain && !l->accepted ? AttemptOutcome::not_sent : AttemptOutcome::reset);
+            remove_in_flight(*l);
+            ++statistics_.resolved_by_greeting;
+            handler_.on_attempt_ended(
+                now, *l, certain && !l->accepted ? AttemptOutcome::not_sent : AttemptOutcome::reset);
         }
     }
-    pump(now);
-    plan(now);
+    write_queued(now);
+    schedule_wakeup(now);
 }
 
 // Launches that wait here are taken back at once. Those that the node has not said it received may lie in any
 // buffer on the way: if it has not before the grace is up, the connection is cut so that they never arrive.
-void WorkerConnection::drain_heard(Nanos now) {
-    empty_queue(now, AttemptOutcome::not_sent);
-    if (state_ == ConnectionState::up && !unreceived_.empty() && !cut_at_)
-        cut_at_ = now + terms_.drain_grace - terms_.drain_grace / kGraceKept;
-    plan(now);
+void WorkerConnection::on_drain(Nanos now) {
+    end_queued(now, AttemptOutcome::not_sent);
+    if (state_ == ConnectionState::up && !unread_.empty() && !drain_deadline_)
+        drain_deadline_ = now + settings_.drain_grace - settings_.drain_grace / kGraceKept;
+    schedule_wakeup(now);
 }
 
-void WorkerConnection::gone(Nanos now) {
-    empty_queue(now, AttemptOutcome::not_sent);
-    want(now, false);
-    if (state_ != ConnectionState::up) lose_all(now);
-    want(now, false);
+void WorkerConnection::on_worker_gone(Nanos now) {
+    end_queued(now, AttemptOutcome::not_sent);
+    set_wanted(now, false);
+    if (state_ != ConnectionState::up) end_in_flight(now);
+    set_wanted(now, false);
 }
 
-void WorkerConnection::dial_anew(Nanos now) {
+void WorkerConnection::reconnect(Nanos now) {
     if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
-    const std::uint64_t handed = wire_.handed(*this);
-    wire_.drop(*this, false);
-    broken(now, handed);
+    const std::uint64_t handed = handler_.handed_over_bytes(*this);
+    handler_.close(*this, false);
+    on_disconnected(now, handed);
 }
 
-void WorkerConnection::tick(Nanos now) {
+void WorkerConnection::run_timers(Nanos now) {
     switch (state_) {
         case ConnectionState::idle:
             break;
@@ -355,61 +357,62 @@
             try_dial(now);
             break;
         case ConnectionState::dialling:
-            if (now - state_since_ >= terms_.dial_time_out) {
-                wire_.drop(*this, true);
-                dial_failed(now);
+            if (now - state_since_ >= settings_.dial_time_out) {
+                handler_.close(*this, true);
+                on_dial_failed(now);
             }
             break;
         case ConnectionState::greeting:
             // Accepted by the kernel and never greeted: nothing was handed over, so all that waits is proven
             // unsent.
-            if (now - state_since_ >= terms_.greet_time_out) {
-                wire_.drop(*this, true);
-                ++counts_.failed_dials;
-                broken(now, 0);
+            if (now - state_since_ >= settings_.greet_time_out) {
+                handler_.close(*this, true);
+                ++statistics_.failed_dials;
+                on_disconnected(now, 0);
             }
             break;
         case ConnectionState::up:
-            if (cut_at_ && now >= cut_at_) {
-                ++counts_.drain_cuts;
-                const std::uint64_t handed = wire_.handed(*this);
-                wire_.drop(*this, true);
-                broken(now, handed);
-            } else if (now - heard_at_ >= 2 * terms_.silent_after) {
-                ++counts_.silent_cuts;
-                const std::uint64_t handed = wire_.handed(*this);
-                wire_.drop(*this, true);
-                broken(now, handed);
-            } else if (now - heard_at_ >= terms_.silent_after && !asked_at_) {
-                asked_at_ = now;
-                wire_.ask_for_life(*this);
+            if (drain_deadline_ && now >= drain_deadline_) {
+                ++statistics_.drain_timeouts;
+                const std::uint64_t handed = handler_.handed_over_bytes(*this);
+                handler_.close(*this, true);
+                on_disconnected(now, handed);
+            } else if (now - last_data_at_ >= 2 * settings_.silent_after) {
+                ++statistics_.keepalive_timeouts;
+                const std::uint64_t handed = handler_.handed_over_bytes(*this);
+                handler_.close(*this, true);
+                on_disconnected(now, handed);
+            } else if (now - last_data_at_ >= settings_.silent_after && !keepalive_sent_at_) {
+                keepalive_sent_at_ = now;
+                handler_.send_keepalive(*this);
             }
             break;
     }
-    plan(now);
+    schedule_wakeup(now);
 }
 
-void WorkerConnection::plan(Nanos now) {
+void WorkerConnection::schedule_wakeup(Nanos now) {
     switch (state_) {
         case ConnectionState::idle:
             return;
         case ConnectionState::waiting: {
-            const bool behind = in_line_ && !dialler_.first(*this);
-            const Nanos leave = behind ? 0 : dialler_.next(now);
-            wire_.wake(*this,
-                       std::max(dial_at_, leave ? leave : now + (behind ? kBehind : terms_.dial_time_out)));
+            const bool behind = awaits_permit_ && !dial_limiter_.is_first(*this);
+            const Nanos leave = behind ? 0 : dial_limiter_.next_dial_at(now);
+            handler_.wake_at(
+                *this,
+                std::max(dial_at_, leave ? leave : now + (behind ? kBehind : settings_.dial_time_out)));
             return;
         }
         case ConnectionState::dialling:
-            wire_.wake(*this, state_since_ + terms_.dial_time_out);
+            handler_.wake_at(*this, state_since_ + settings_.dial_time_out);
             return;
         case ConnectionState::greeting:
-            wire_.wake(*this, state_since_ + terms_.greet_time_out);
+            handler_.wake_at(*this, state_since_ + settings_.greet_time_out);
             return;
         case ConnectionState::up: {
-            Nanos at = heard_at_ + (asked_at_ ? 2 : 1) * terms_.silent_after;
-            if (cut_at_) at = std::min(at, cut_at_);
-            wire_.wake(*this, at);
+            Nanos at = last_data_at_ + (keepalive_sent_at_ ? 2 : 1) * settings_.silent_after;
+            if (drain_deadline_) at = std::min(at, drain_deadline_);
+            handler_.wake_at(*this, at);
             return;
         }
     }
--- a/tests/admission_token_test.cpp
+++ b/tests/admission_token_test.cpp
@@ -17,24 +17,24 @@
 namespace {
 
 struct Given : slow_start::TokenIssuerHandler {
-    void give(TokenHolder& h, std::uint64_t number, int n) override {
+    void send_tokens(TokenHolder& h, std::uint64_t number, int n) override {
         got[&h] += n;
         last = number;
     }
-    void wake(Nanos at) override { wake_at = at; }
+    void wake_at(Nanos at) override { next_wakeup = at; }
     std::map<TokenHolder*, int> got;
     std::uint64_t last = 0;
-    Nanos wake_at = 0;
+    Nanos next_wakeup = 0;
 };
 
 struct Asked1 : slow_start::TokenClientHandler {
-    void ask(WarmingWorker&, std::uint64_t n, int held, int more) override {
+    void send_request(WarmingWorker&, std::uint64_t n, int held, int more) override {
         number = n;
         last_held = held;
         last_more = more;
         ++asks;
     }
-    void holds(Nanos, WarmingWorker&) override { ++changes; }
+    void on_tokens_changed(Nanos, WarmingWorker&) override { ++changes; }
     std::uint64_t number = 0;
     int last_held = 0, last_more = 0, asks = 0, changes = 0;
 };
@@ -47,35 +47,35 @@
     TokenIssuer giver(port, kSecond);
     TokenHolder a(giver), b(giver);
     Nanos now = 100 * kSecond;
-    giver.bears(now, 3.9);
-    giver.asked(now, a, 1, 0, 5);
+    giver.set_capacity(now, 3.9);
+    giver.on_request(now, a, 1, 0, 5);
     CHECK(port.got[&a] == 3);
-    giver.asked(now, b, 1, 0, 2);
+    giver.on_request(now, b, 1, 0, 2);
     CHECK(port.got[&b] == 0);
-    giver.offer(now, a);  // used: it counts for a window
+    giver.on_attempt(now, a);  // used: it counts for a window
     CHECK(port.got[&b] == 0);
-    CHECK(giver.out() == 2);
-    giver.turn(now += kSecond - 1);
+    CHECK(giver.outstanding() == 2);
+    giver.run_timers(now += kSecond - 1);
     CHECK(port.got[&b] == 0);
-    CHECK(port.wake_at == 101 * kSecond);
-    giver.turn(now += 1);
+    CHECK(port.next_wakeup == 101 * kSecond);
+    giver.run_timers(now += 1);
     // a was before b in line again after its third: one each.
     CHECK(port.got[&a] + port.got[&b] == 4);
-    giver.asked(now, a, 2, 0, 0);  // gives all back
+    giver.on_request(now, a, 2, 0, 0);  // gives all back
     CHECK(port.got[&b] >= 1);
-    CHECK(giver.out() <= 3);
+    CHECK(giver.outstanding() <= 3);
 }
 
 TEST_CASE("one that no longer wants a turn is passed over when its turn comes") {
     Given port;
     TokenIssuer giver(port, kSecond);
     TokenHolder a(giver), b(giver), c(giver);
-    giver.bears(0, 1);
-    giver.asked(0, a, 1, 0, 1);
-    giver.asked(0, b, 1, 0, 1);
-    giver.asked(0, c, 1, 0, 1);
-    giver.asked(0, b, 2, 0, 0);
-    giver.asked(0, a, 2, 0, 0);
+    giver.set_capacity(0, 1);
+    giver.on_request(0, a, 1, 0, 1);
+    giver.on_request(0, b, 1, 0, 1);
+    giver.on_request(0, c, 1, 0, 1);
+    giver.on_request(0, b, 2, 0, 0);
+    giver.on_request(0, a, 2, 0, 0);
     CHECK(port.got[&b] == 0);
     CHECK(port.got[&c] == 1);
 }
@@ -84,23 +84,23 @@
     Given port;
     TokenIssuer giver(port, kSecond);
     TokenHolder a(giver);
-    giver.bears(0, 2);
+    giver.set_capacity(0, 2);
     {
         TokenHolder b(giver);
-        giver.asked(0, b, 1, 0, 2);
-        CHECK(giver.out() == 2);
-        giver.asked(0, a, 1, 0, 1);
+        giver.on_request(0, b, 1, 0, 2);
+        CHECK(giver.outstanding() == 2);
+        giver.on_request(0, a, 1, 0, 1);
         CHECK(port.got[&a] == 0);
     }
-    giver.turn(1);
+    giver.run_timers(1);
     CHECK(port.got[&a] == 1);
-    giver.offer(2, a);
-    giver.offer(3, a);  // never given: it leaves the less for others
-    CHECK(giver.lately(4) == 2);
-    giver.asked(4, a, 2, 0, 1);
+    giver.on_attempt(2, a);
+    giver.on_attempt(3, a);  // never given: it leaves the less for others
+    CHECK(giver.recent_attempts(4) == 2);
+    giver.on_request(4, a, 2, 0, 1);
     CHECK(port.got[&a] == 1);
-    giver.asked(5, a, 3, 7, 0);  // says that it holds what was never given
-    CHECK(giver.out() == 0);
+    giver.on_request(5, a, 3, 7, 0);  // says that it holds what was never given
+    CHECK(giver.outstanding() == 0);
 }
 
 TEST_CASE("a placer asks where it has something to place, spends, and gives back what it does not use") {
@@ -108,48 +108,48 @@
     TokenClient taker(port, 10 * kSecond);
     WarmingWorker c(taker);
     Nanos now = 100 * kSecond;
-    taker.greeted(now, c, true);
-    taker.waiting(now, 5);
+    taker.on_greeting(now, c, true);
+    taker.request_for(now, 5);
     CHECK(port.asks == 0);  // not known to be cold
-    taker.stands(now, c, true, now - kSecond);
-    taker.waiting(now, 0);
+    taker.on_worker_changed(now, c, true, now - kSecond);
+    taker.request_for(now, 0);
     CHECK(port.asks == 0);
-    taker.waiting(now, 2);
-    CHECK(c.asked() == 2);
-    taker.given(now, c, port.number, 2);
+    taker.request_for(now, 2);
+    CHECK(c.requested() == 2);
+    taker.on_granted(now, c, port.number, 2);
     CHECK(c.held() == 2);
-    taker.spend(now, c);
+    taker.use_token(now, c);
     CHECK(c.held() == 1);
     now += 1100 * kMillisecond;
-    taker.waiting(now, 2);
+    taker.request_for(now, 2);
     CHECK(c.held() == 0);
-    CHECK(taker.counts().back == 1);
+    CHECK(taker.statistics().returned == 1);
     const int before = port.asks;
-    taker.waiting(now + 100 * kMillisecond, 2);
+    taker.request_for(now + 100 * kMillisecond, 2);
     CHECK(port.asks == before);  // it was not used: not at once again
-    taker.waiting(now + 600 * kMillisecond, 2);
+    taker.request_for(now + 600 * kMillisecond, 2);
     CHECK(port.asks > before);
     SECTION("it drains") {
-        taker.stands(now, c, false, now - kSecond);
+        taker.on_worker_changed(now, c, false, now - kSecond);
         CHECK(port.last_more == 0);
     }
     SECTION("it is warm") {
-        taker.waiting(now + 20 * kSecond, 2);
+        taker.request_for(now + 20 * kSecond, 2);
         CHECK(port.last_more == 0);
-        CHECK(c.asked() == 0);
+        CHECK(c.requested() == 0);
     }
     SECTION("what was given by an earlier request is not taken") {
         const std::uint64_t old = port.number;
-        taker.waiting(now + 700 * kMillisecond, 0);  // wants none any more
-        taker.given(now + 700 * kMillisecond, c, old, 1);
+        taker.request_for(now + 700 * kMillisecond, 0);  // wants none any more
+        taker.on_granted(now + 700 * kMillisecond, c, old, 1);
         CHECK(c.held() == 0);
-        CHECK(taker.counts().stray == 1);
+        CHECK(taker.statistics().stray_grants == 1);
     }
     SECTION("the connection breaks") {
-        taker.broken(now, c);
-        CHECK(c.asked() == 0);
-        taker.waiting(now + 2 * kSecond, 3);
-        CHECK(c.asked() == 0);
+        taker.on_disconnected(now, c);
+        CHECK(c.requested() == 0);
+        taker.request_for(now + 2 * kSecond, 3);
+        CHECK(c.requested() == 0);
     }
 }
 
@@ -175,23 +175,23 @@
         std::deque<std::pair<std::uint64_t, int>> to_placer;
     };
     struct Node : slow_start::TokenIssuerHandler {
-        void give(TokenHolder& h, std::uint64_t number, int n) override {
+        void send_tokens(TokenHolder& h, std::uint64_t number, int n) override {
             static_cast<Way*>(h.tag)->to_placer.emplace_back(number, n);
         }
-        void wake(Nanos) override {}
+        void wake_at(Nanos) override {}
     } node;
     struct Sends : slow_start::TokenClientHandler {
         explicit Sends(Way& w) : way(w) {}
-        void ask(WarmingWorker&, std::uint64_t number, int held, int more) override {
+        void send_request(WarmingWorker&, std::uint64_t number, int held, int more) override {
             way.to_node.push_back({false, number, held, more});
         }
-        void holds(Nanos, WarmingWorker&) override {}
+        void on_tokens_changed(Nanos, WarmingWorker&) override {}
         Way& way;
     };
     const int bears = 2 + roll(12);
     TokenIssuer giver(node, kSecond);
     Nanos now = 1000 * kSecond;
-    giver.bears(now, bears);
+    giver.set_capacity(now, bears);
     std::vector<std::unique_ptr<Way>> ways;
     std::vector<std::unique_ptr<Sends>> ports;
     const auto connect = [&](Way& w) {
@@ -199,8 +199,8 @@
         w.to_placer.clear();
         w.holder = std::make_unique<TokenHolder>(giver);
         w.holder->tag = &w;
-        w.taker->greeted(now, *w.cold, true);
-        w.taker->stands(now, *w.cold, true, now - kSecond);
+        w.taker->on_greeting(now, *w.cold, true);
+        w.taker->on_worker_changed(now, *w.cold, true, now - kSecond);
     };
     for (int i = 0; i < 2 + roll(10); ++i) {
         ways.push_back(std::make_unique<Way>());
@@ -216,14 +216,14 @@
         switch (roll(6)) {
             case 0:
                 now += roll(150) * kMillisecond;
-                giver.turn(now);
+                giver.run_timers(now);
                 break;
             case 1:
-                w.taker->waiting(now, static_cast<std::size_t>(roll(5)));
+                w.taker->request_for(now, static_cast<std::size_t>(roll(5)));
                 break;
             case 2:
                 if (w.cold->held() > 0) {
-                    w.taker->spend(now, *w.cold);
+                    w.taker->use_token(now, *w.cold);
                     w.to_node.push_back({true, 0, 0, 0});
                 }
                 break;
@@ -233,21 +233,21 @@
                     const Way::Note n = w.to_node.front();
                     w.to_node.pop_front();
                     if (n.offer) {
-                        giver.offer(now, *w.holder);
+                        giver.on_attempt(now, *w.holder);
                         arrived.push_back(now);
                         ++all;
                     } else {
-                        giver.asked(now, *w.holder, n.number, n.held, n.more);
+                        giver.on_request(now, *w.holder, n.number, n.held, n.more);
                     }
                 }
                 if (!w.to_placer.empty() && roll(3)) {
-                    w.taker->given(now, *w.cold, w.to_placer.front().first, w.to_placer.front().second);
+                    w.taker->on_granted(now, *w.cold, w.to_placer.front().first, w.to_placer.front().second);
                     w.to_placer.pop_front();
                 }
                 break;
             case 5:
                 if (roll(40) == 0) {
-                    w.taker->broken(now, *w.cold);
+                    w.taker->on_disconnected(now, *w.cold);
                     connect(w);
                 }
                 break;
@@ -256,8 +256,8 @@
         INFO("seed " << seed << " step " << step << " bears " << bears);
         REQUIRE(static_cast<int>(arrived.size()) <= bears);
         int out = 0;
-        for (const auto& each : ways) out += each->holder->out();
-        REQUIRE(out == giver.out());
+        for (const auto& each : ways) out += each->holder->outstanding();
+        REQUIRE(out == giver.outstanding());
         REQUIRE(out + static_cast<int>(arrived.size()) <= bears);
     }
     CHECK(all > 20);  // and it is used
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -327,8 +327,8 @@
     values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
     add_prices(values, config::prices(root));
     const admission::AdmissionLimits limits = config::admission_limits(root);
-    values.add("waiting", limits.waiting).add("waiting an owner", limits.waiting_an_owner);
-    values.add("a second", limits.a_second).add("owners", limits.owners);
+    values.add("waiting", limits.max_waiting).add("waiting an owner", limits.max_waiting_per_client);
+    values.add("a second", limits.max_per_second).add("owners", limits.max_clients);
     const worker_connection::ConnectionSettings links = config::connection_settings(root);
     values.add("dial time out", links.dial_time_out).add("greet time out", links.greet_time_out);
     values.add("silent after", links.silent_after).add("first pause", links.first_pause);
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -16,16 +16,16 @@
 constexpr Nanos kGrace = 1 * kSecond;
 
 struct Door : membership::MembershipHandler {
-    void stands(Nanos, WorkerEntry& m, bool careful) override {
+    void on_worker_changed(Nanos, WorkerEntry& m, bool careful) override {
         ++changes;
         careful_ones += careful;
         last = &m;
     }
-    void drains(Nanos, WorkerEntry& m) override { draining.insert(m.name); }
-    void back(Nanos, WorkerEntry& m) override { draining.erase(m.name); }
-    void list_again(Nanos) override { ++again; }
-    void dial_anew(Nanos, WorkerEntry&) override { ++anew; }
-    void turn_at(Nanos) override {}
+    void on_drain_started(Nanos, WorkerEntry& m) override { draining.insert(m.name); }
+    void on_drain_revoked(Nanos, WorkerEntry& m) override { draining.erase(m.name); }
+    void on_snapshot_needed(Nanos) override { ++again; }
+    void on_address_changed(Nanos, WorkerEntry&) override { ++anew; }
+    void wake_at(Nanos) override {}
     int changes = 0, careful_ones = 0, again = 0, anew = 0;
     WorkerEntry* last = nullptr;
     std::set<std::string> draining;
@@ -46,15 +46,15 @@
     }
     void list(const std::vector<std::pair<std::string, EndpointState>>& entries, bool whole = true,
               Nanos age = 0) {
-        fleet.list_begins(now, age, whole);
-        for (const auto& [name, l] : entries) fleet.entry(now, fleet.meet(name), l, name + ":1");
-        fleet.list_ends(now);
+        fleet.begin_update(now, age, whole);
+        for (const auto& [name, l] : entries) fleet.on_endpoint(now, fleet.find_or_add(name), l, name + ":1");
+        fleet.end_update(now);
     }
     void up(const std::string& name, std::uint64_t incarnation = 1, Nanos up_for = 0, bool drains = false) {
-        fleet.greeted(now, fleet.meet(name), incarnation, up_for, drains, {});
+        fleet.on_greeting(now, fleet.find_or_add(name), incarnation, up_for, drains, {});
     }
-    void pass(Nanos by) { fleet.turn(now += by); }
-    WorkerState of(const std::string& name) { return fleet.meet(name).standing; }
+    void pass(Nanos by) { fleet.run_timers(now += by); }
+    WorkerState of(const std::string& name) { return fleet.find_or_add(name).state; }
 
     Nanos now = 1000 * kSecond;
     Door door;
@@ -68,7 +68,7 @@
     t.list({{"a", t.at()}});
     t.up("a");
     REQUIRE(t.of("a") == WorkerState::serving);
-    t.fleet.says_drain(t.now, t.fleet.meet("a"));
+    t.fleet.on_drain_announced(t.now, t.fleet.find_or_add("a"));
     CHECK(t.of("a") == WorkerState::draining);
     CHECK(t.door.draining.contains("a"));
     // The list was made before it knew: it opens nothing.
@@ -89,18 +89,18 @@
     Stage1 t;
     t.list({{"a", t.at()}});
     t.up("a", 1);
-    t.fleet.says_drain(t.now, t.fleet.meet("a"));
+    t.fleet.on_drain_announced(t.now, t.fleet.find_or_add("a"));
     t.pass(kSecond);
-    t.fleet.broken(t.now, t.fleet.meet("a"));
+    t.fleet.on_disconnected(t.now, t.fleet.find_or_add("a"));
     t.up("a", 2, 300 * kMillisecond);
     CHECK(t.of("a") == WorkerState::serving);
-    CHECK(t.fleet.meet("a").told.started_at == t.now - 300 * kMillisecond);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.started_at == t.now - 300 * kMillisecond);
     // The list comes with the same start, told by another clock: it is one start, not a third life.
-    const Nanos before = t.fleet.meet("a").told.started_at;
+    const Nanos before = t.fleet.find_or_add("a").effective_endpoint.started_at;
     t.list({{"a", t.at(EndpointPhase::serving, before + 200 * kMillisecond)}}, false);
     t.up("a", 2, t.now - before + 100 * kMillisecond);
-    CHECK(t.fleet.meet("a").told.started_at == before + 200 * kMillisecond);
-    CHECK(t.fleet.counts().lives == 1);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.started_at == before + 200 * kMillisecond);
+    CHECK(t.fleet.statistics().restarts == 1);
 }
 
 TEST_CASE("a node that the list calls gone gets nothing, and is lost only when it can't be reached either") {
@@ -108,15 +108,15 @@
     t.list({{"a", t.at()}, {"b", t.at()}});
     t.up("a");
     t.list({{"a", t.at(EndpointPhase::gone)}}, false);
-    CHECK(t.of("a") == WorkerState::leaving);
-    CHECK(t.fleet.meet("a").told.phase == EndpointPhase::gone);
+    CHECK(t.of("a") == WorkerState::delisted);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.phase == EndpointPhase::gone);
     CHECK(t.door.draining.contains("a"));
-    t.fleet.broken(t.now, t.fleet.meet("a"));
+    t.fleet.on_disconnected(t.now, t.fleet.find_or_add("a"));
     CHECK(t.of("a") == WorkerState::gone);
     t.up("a");  // it is back: the list has the last word on new work
-    CHECK(t.of("a") == WorkerState::leaving);
+    CHECK(t.of("a") == WorkerState::delisted);
     t.list({{"b", t.at()}});  // a whole one that leaves it out
-    CHECK(t.of("a") == WorkerState::leaving);
+    CHECK(t.of("a") == WorkerState::delisted);
     t.list({{"a", t.at()}}, false);
     CHECK(t.of("a") == WorkerState::serving);
 }
@@ -135,17 +135,17 @@
     SECTION("a better one comes") {
         t.pass(50 * kMillisecond);
         t.list(all);
-        CHECK_FALSE(t.fleet.doubts());
+        CHECK_FALSE(t.fleet.has_doubtful_snapshot());
         t.pass(kSecond);
         CHECK(t.fleet.count(WorkerState::serving) == 9);
-        CHECK(t.fleet.counts().doubts_right == 0);
+        CHECK(t.fleet.statistics().confirmed_snapshots == 0);
     }
     SECTION("nothing better comes") {
         t.list({});
         t.pass(kGrace / 2 - kMillisecond);
         CHECK(t.fleet.count(WorkerState::serving) == 9);
         t.pass(2 * kMillisecond);
-        CHECK(t.fleet.count(WorkerState::leaving) == 9);
+        CHECK(t.fleet.count(WorkerState::delisted) == 9);
         CHECK(t.door.draining.size() == 9);
         t.list(all, false);
         CHECK(t.fleet.count(WorkerState::serving) == 9);
@@ -155,7 +155,7 @@
         t.pass(kGrace);
         CHECK(t.of("n0") == WorkerState::serving);
         CHECK(t.of("n1") == WorkerState::draining);
-        CHECK(t.of("n2") == WorkerState::leaving);
+        CHECK(t.of("n2") == WorkerState::delisted);
     }
 }
 
@@ -168,7 +168,7 @@
         for (int i = 0; i < 9; ++i) t.up("n" + std::to_string(i));
         all.resize(5);
         t.list(all);
-        CHECK(t.fleet.count(WorkerState::leaving) == 4);
+        CHECK(t.fleet.count(WorkerState::delisted) == 4);
     }
     SECTION("they were never reached") {
         all.resize(1);
@@ -186,7 +186,7 @@
     t.list({{"a", t.at()}}, true, 3600 * kSecond);  // kept somewhere for an hour
     CHECK(t.of("a") == WorkerState::draining);
     CHECK(t.of("b") == WorkerState::serving);
-    CHECK(t.fleet.counts().older == 1);
+    CHECK(t.fleet.statistics().stale_entries == 1);
 }
 
 TEST_CASE(
@@ -194,14 +194,14 @@
     Stage1 t;
     t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}, {"b", t.at()}}, true, 3600 * kSecond);
     CHECK(t.of("a") == WorkerState::unconfirmed);
-    CHECK(t.fleet.meet("a").told.phase == EndpointPhase::draining);
-    t.fleet.greeted(t.now, t.fleet.meet("a"), 1, 0, false, free_of(1.5));
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.phase == EndpointPhase::draining);
+    t.fleet.on_greeting(t.now, t.fleet.find_or_add("a"), 1, 0, false, free_of(1.5));
     CHECK(t.of("a") == WorkerState::serving);
-    CHECK(t.fleet.meet("a").told.free_cores == 1.5);
-    t.fleet.dial_failed(t.now, t.fleet.meet("b"));
-    CHECK(t.of("b") == WorkerState::away);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 1.5);
+    t.fleet.on_dial_failed(t.now, t.fleet.find_or_add("b"));
+    CHECK(t.of("b") == WorkerState::unreachable);
     t.list({{"a", t.at(EndpointPhase::serving, 0, 4)}}, false);  // a fresh one stands for itself again
-    CHECK(t.fleet.meet("a").told.free_cores == 4);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 4);
 }
 
 TEST_CASE("amounts of a list that stands still are put right by reports, once a second at most") {
@@ -209,26 +209,26 @@
     t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}});
     t.up("a");
     t.pass(2 * kSecond);
-    t.fleet.reported(t.now, t.fleet.meet("a"), free_of(2));
-    CHECK(t.fleet.meet("a").told.free_cores == 8);  // the list is not old
+    t.fleet.on_load_report(t.now, t.fleet.find_or_add("a"), free_of(2));
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 8);  // the list is not old
     t.pass(20 * kSecond);
-    t.fleet.reported(t.now, t.fleet.meet("a"), free_of(2));
-    CHECK(t.fleet.meet("a").told.free_cores == 2);
-    t.fleet.reported(t.now, t.fleet.meet("a"), free_of(1));
-    CHECK(t.fleet.meet("a").told.free_cores == 2);
+    t.fleet.on_load_report(t.now, t.fleet.find_or_add("a"), free_of(2));
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 2);
+    t.fleet.on_load_report(t.now, t.fleet.find_or_add("a"), free_of(1));
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 2);
     t.pass(kSecond);
-    t.fleet.reported(t.now, t.fleet.meet("a"), free_of(1));
-    CHECK(t.fleet.meet("a").told.free_cores == 1);
+    t.fleet.on_load_report(t.now, t.fleet.find_or_add("a"), free_of(1));
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 1);
 }
 
 TEST_CASE("what a former life reported says nothing of the present one") {
     Stage1 t;
     t.list({{"a", t.at(EndpointPhase::serving, 0, 8)}}, true, 60 * kSecond);
-    t.fleet.greeted(t.now, t.fleet.meet("a"), 1, 0, false, free_of(1));
-    REQUIRE(t.fleet.meet("a").told.free_cores == 1);
-    t.fleet.broken(t.now, t.fleet.meet("a"));
+    t.fleet.on_greeting(t.now, t.fleet.find_or_add("a"), 1, 0, false, free_of(1));
+    REQUIRE(t.fleet.find_or_add("a").effective_endpoint.free_cores == 1);
+    t.fleet.on_disconnected(t.now, t.fleet.find_or_add("a"));
     t.up("a", 2);
-    CHECK(t.fleet.meet("a").told.free_cores == 8);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 8);
 }
 
 TEST_CASE("a node that can't be reached gets nothing new until it greets") {
@@ -236,8 +236,8 @@
     t.list({{"a", t.at()}});
     CHECK(t.of("a") == WorkerState::serving);  // not tried yet: work waits for its connection
     t.up("a");
-    t.fleet.broken(t.now, t.fleet.meet("a"));
-    CHECK(t.of("a") == WorkerState::away);
+    t.fleet.on_disconnected(t.now, t.fleet.find_or_add("a"));
+    CHECK(t.of("a") == WorkerState::unreachable);
     CHECK(t.door.careful_ones == 1);
     CHECK(t.door.draining.empty());  // nothing says that it drains
     t.up("a");
@@ -248,18 +248,18 @@
     Stage1 t;
     t.list({{"a", t.at()}});
     const auto again = [&](std::uint64_t life) {
-        t.fleet.broken(t.now, t.fleet.meet("a"));
+        t.fleet.on_disconnected(t.now, t.fleet.find_or_add("a"));
         t.up("a", life, 100 * kMillisecond);
     };
     for (std::uint64_t life = 1; life <= 3; ++life) again(life);
     CHECK(t.of("a") == WorkerState::serving);  // two new lives
     again(4);
-    CHECK(t.of("a") == WorkerState::unsteady);
+    CHECK(t.of("a") == WorkerState::flapping);
     t.pass(5 * kSecond + kMillisecond);
     CHECK(t.of("a") == WorkerState::serving);
     again(5);
     t.pass(6 * kSecond);
-    CHECK(t.of("a") == WorkerState::unsteady);
+    CHECK(t.of("a") == WorkerState::flapping);
     t.pass(5 * kSecond);
     CHECK(t.of("a") == WorkerState::serving);
     t.pass(120 * kSecond);
@@ -273,29 +273,31 @@
     t.list({{"a", t.at()}});
     t.up("a");
     EndpointState other = t.at(EndpointPhase::draining, 0, 1e6);
-    t.fleet.list_begins(t.now, 0, false);
-    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(), "a:1");
-    t.fleet.entry(t.now, t.fleet.meet("a"), other, "elsewhere:1");
-    t.fleet.list_ends(t.now);
+    t.fleet.begin_update(t.now, 0, false);
+    t.fleet.on_endpoint(t.now, t.fleet.find_or_add("a"), t.at(), "a:1");
+    t.fleet.on_endpoint(t.now, t.fleet.find_or_add("a"), other, "elsewhere:1");
+    t.fleet.end_update(t.now);
     CHECK(t.of("a") == WorkerState::draining);
-    CHECK(t.fleet.meet("a").told.free_cores == 8);
-    CHECK(t.fleet.meet("a").address == "a:1");
-    CHECK(t.fleet.counts().contradictions == 1);
+    CHECK(t.fleet.find_or_add("a").effective_endpoint.free_cores == 8);
+    CHECK(t.fleet.find_or_add("a").address == "a:1");
+    CHECK(t.fleet.statistics().contradictions == 1);
 }
 
 TEST_CASE("a later life at another address is dialled there; the same life moves with its next connection") {
     Stage1 t;
     t.list({{"a", t.at(EndpointPhase::serving, t.now - 100 * kSecond)}});
     t.up("a", 1, 100 * kSecond);
-    t.fleet.list_begins(t.now, 0, false);
-    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(EndpointPhase::serving, t.now - 100 * kSecond), "a:2");
-    t.fleet.list_ends(t.now);
+    t.fleet.begin_update(t.now, 0, false);
+    t.fleet.on_endpoint(t.now, t.fleet.find_or_add("a"), t.at(EndpointPhase::serving, t.now - 100 * kSecond),
+                        "a:2");
+    t.fleet.end_update(t.now);
     CHECK(t.door.anew == 0);
-    t.fleet.list_begins(t.now, 0, false);
-    t.fleet.entry(t.now, t.fleet.meet("a"), t.at(EndpointPhase::serving, t.now - kSecond), "a:3");
-    t.fleet.list_ends(t.now);
+    t.fleet.begin_update(t.now, 0, false);
+    t.fleet.on_endpoint(t.now, t.fleet.find_or_add("a"), t.at(EndpointPhase::serving, t.now - kSecond),
+                        "a:3");
+    t.fleet.end_update(t.now);
     CHECK(t.door.anew == 1);
-    CHECK(t.fleet.meet("a").address == "a:3");
+    CHECK(t.fleet.find_or_add("a").address == "a:3");
 }
 
 // ---------------------------------------------------------------- the plain model
@@ -356,10 +358,10 @@
     }
     if (!list) return WorkerState::unknown;
     if (list->what == Said::left_out || list->stage == EndpointPhase::gone)
-        return up ? WorkerState::leaving : WorkerState::gone;
+        return up ? WorkerState::delisted : WorkerState::gone;
     if (list->stage == EndpointPhase::draining || own_drain) return WorkerState::draining;
-    if (now < held_until) return WorkerState::unsteady;
-    if (!up && (ever || failed)) return WorkerState::away;
+    if (now < held_until) return WorkerState::flapping;
+    if (!up && (ever || failed)) return WorkerState::unreachable;
     return !ever && list->age > 10 * kSecond ? WorkerState::unconfirmed : WorkerState::serving;
 }
 
@@ -377,7 +379,7 @@
     std::set<std::size_t> doubted;
     Nanos doubt_until = 0;
     const auto name = [](std::size_t i) { return "n" + std::to_string(i); };
-    for (std::size_t i = 0; i < said.size(); ++i) t.fleet.meet(name(i));
+    for (std::size_t i = 0; i < said.size(); ++i) t.fleet.find_or_add(name(i));
     for (int step = 0; step < 400; ++step) {
         // Time passes, and with it a doubt.
         const Nanos by = roll(4) ? roll(900) * kMillisecond : roll(15) * kSecond;
@@ -393,18 +395,18 @@
             t.pass(by);
         }
         const auto i = static_cast<std::size_t>(roll(nodes));
-        WorkerEntry& m = t.fleet.meet(name(i));
+        WorkerEntry& m = t.fleet.find_or_add(name(i));
         switch (roll(8)) {
             case 0:
             case 1: {  // some changes, or a view kept for a while
                 const Nanos age = roll(3) ? 0 : roll(30) * kSecond;
-                t.fleet.list_begins(t.now, age, false);
+                t.fleet.begin_update(t.now, age, false);
                 for (int k = roll(4); k >= 0; --k) {
                     const auto j = static_cast<std::size_t>(roll(nodes));
                     if (!said[j].empty() && said[j].back().at == t.now && said[j].back().what == Said::named)
                         continue;
                     const auto stage = static_cast<EndpointPhase>(roll(6) < 4 ? 0 : 1 + roll(2));
-                    t.fleet.entry(t.now, t.fleet.meet(name(j)), t.at(stage), name(j) + ":1");
+                    t.fleet.on_endpoint(t.now, t.fleet.find_or_add(name(j)), t.at(stage), name(j) + ":1");
                     const WorkerState before = plainly(said[j], t.now);
                     said[j].push_back({Said::named, t.now, t.now - age, age, stage});
                     Nanos newest = 0;
@@ -413,32 +415,32 @@
                             newest = std::max(newest, s.as_of);
                     if (before == WorkerState::unknown || t.now - age >= newest) doubted.erase(j);
                 }
-                t.fleet.list_ends(t.now);
+                t.fleet.end_update(t.now);
                 break;
             }
             case 2: {  // a whole list that names some
                 std::vector<std::size_t> absent;
                 std::size_t stood = 0, alive = 0;
                 const int share = roll(5);
-                t.fleet.list_begins(t.now, 0, true);
+                t.fleet.begin_update(t.now, 0, true);
                 std::vector<std::size_t> named;
                 for (std::size_t j = 0; j < said.size(); ++j) {
                     const WorkerState s = plainly(said[j], t.now);
                     const bool there =
-                        s != WorkerState::unknown && s != WorkerState::leaving && s != WorkerState::gone;
+                        s != WorkerState::unknown && s != WorkerState::delisted && s != WorkerState::gone;
                     stood += there;
                     if (roll(4) < share) {
-                        t.fleet.entry(t.now, t.fleet.meet(name(j)), t.at(), name(j) + ":1");
+                        t.fleet.on_endpoint(t.now, t.fleet.find_or_add(name(j)), t.at(), name(j) + ":1");
                         named.push_back(j);
                     } else if (there) {
                         absent.push_back(j);
                         alive += up[j];
                     }
                 }
-                t.fleet.list_ends(t.now);
+                t.fleet.end_update(t.now);
                 for (const std::size_t j : named) {
                     stood += said[j].empty() || plainly(said[j], t.now) == WorkerState::unknown ||
-                             plainly(said[j], t.now) == WorkerState::leaving ||
+                             plainly(said[j], t.now) == WorkerState::delisted ||
                              plainly(said[j], t.now) == WorkerState::gone;
                     said[j].push_back({Said::named, t.now, t.now});
                     doubted.erase(j);
@@ -466,28 +468,28 @@
                 }
                 break;
             case 5:
-                t.fleet.says_drain(t.now, m);
+                t.fleet.on_drain_announced(t.now, m);
                 said[i].push_back({Said::drain, t.now});
                 break;
             case 6:
-                t.fleet.broken(t.now, m);
+                t.fleet.on_disconnected(t.now, m);
                 said[i].push_back({Said::broke, t.now});
                 up[i] = false;
                 break;
             case 7:
                 if (up[i]) break;
-                t.fleet.dial_failed(t.now, m);
+                t.fleet.on_dial_failed(t.now, m);
                 said[i].push_back({Said::dial, t.now});
                 break;
         }
         for (std::size_t j = 0; j < said.size(); ++j) {
             INFO("seed " << seed << " step " << step << " node " << j);
-            REQUIRE(membership::to_string(t.fleet.meet(name(j)).standing) ==
+            REQUIRE(membership::to_string(t.fleet.find_or_add(name(j)).state) ==
                     membership::to_string(plainly(said[j], t.now)));
-            const WorkerState s = t.fleet.meet(name(j)).standing;
+            const WorkerState s = t.fleet.find_or_add(name(j)).state;
             // What drains was told as draining, and nothing that takes work was.
             REQUIRE(t.door.draining.contains(name(j)) ==
-                    (s == WorkerState::draining || s == WorkerState::leaving || s == WorkerState::gone));
+                    (s == WorkerState::draining || s == WorkerState::delisted || s == WorkerState::gone));
         }
     }
 }
--- a/tests/placer_server_test.cpp
+++ b/tests/placer_server_test.cpp
@@ -221,7 +221,7 @@
     CHECK(n.launches().empty());
     t.list({t.entry("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     t.run(3 * kSecond);
-    CHECK(t.placer->edge.connection("n")->counts().drain_cuts == 1);
+    CHECK(t.placer->edge.connection("n")->statistics().drain_timeouts == 1);
     t.world.cut("10.0.0.1", "n", false);
     t.run(3 * kSecond);
     CHECK(n.launches().empty());
@@ -542,7 +542,7 @@
         if (n.launches().size() == id) n.yes(id);
     }
     CHECK(n.launches().size() == 20);
-    CHECK(t.placer->edge.membership().count(membership::WorkerState::away) == 3);
+    CHECK(t.placer->edge.membership().count(membership::WorkerState::unreachable) == 3);
 }
 
 TEST_CASE("a node that stands again under its name is young by its own word before the list knows") {
@@ -614,7 +614,7 @@
     o.say(away);
     t.run(30 * kSecond);  // the list service is down all the while
     CHECK(o.count(&ToOwner::has_ended) == 0);
-    CHECK(t.placer->edge.recovery_queue().waiting() == 3);
+    CHECK(t.placer->edge.recovery_queue().size() == 3);
     v1::FromClient same;
     *same.mutable_submit() = t.offer(1);
     t.list({t.entry("n")});
@@ -635,7 +635,7 @@
     // An owner that leaves takes it along.
     o.stream.reset();
     t.run(100 * kMillisecond);
-    CHECK(t.placer->edge.recovery_queue().waiting() == 0);
+    CHECK(t.placer->edge.recovery_queue().size() == 0);
 }
 
 TEST_CASE("a container withdrawn while its node is cut off is stopped when the node is back") {
--- a/tests/recovery_queue_test.cpp
+++ b/tests/recovery_queue_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 struct Door : recovery::RecoveryHandler {
-    void found(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = true; }
-    void lost(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = false; }
-    void list_again(Nanos) override { ++asked; }
+    void on_worker_known(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = true; }
+    void on_worker_gone(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = false; }
+    void on_snapshot_needed(Nanos) override { ++asked; }
     void wake_at(Nanos at) override { next_run = at; }
     std::map<int, bool> ended;  // by container: found?
     int asked = 0;
@@ -30,15 +30,15 @@
     Door door;
     RecoveryQueue r(door);
     int one = 1, two = 2;
-    r.wait(kSecond, "a", &one);
-    r.wait(kSecond, "b", &two);
-    r.turn(1000 * kSecond);
+    r.add(kSecond, "a", &one);
+    r.add(kSecond, "b", &two);
+    r.run_timers(1000 * kSecond);
     CHECK(door.ended.empty());
     CHECK(door.asked == 0);  // the first list comes of itself
-    r.named(1000 * kSecond, "a");
-    r.listed(1000 * kSecond, 999 * kSecond, true);
+    r.on_worker_listed(1000 * kSecond, "a");
+    r.on_update(1000 * kSecond, 999 * kSecond, true);
     CHECK(door.ended == std::map<int, bool>{{1, true}, {2, false}});
-    CHECK(r.waiting() == 0);
+    CHECK(r.size() == 0);
 }
 
 TEST_CASE(
@@ -47,31 +47,31 @@
     RecoveryQueue r(door);
     int one = 1;
     const Nanos t = 1000 * kSecond;
-    r.listed(t, t, true);
-    r.wait(t + kSecond, "a", &one);
-    r.turn(door.next_run);
+    r.on_update(t, t, true);
+    r.add(t + kSecond, "a", &one);
+    r.run_timers(door.next_run);
     CHECK(door.asked == 1);
-    r.listed(t + 2 * kSecond, t, true);                 // an old view
-    r.listed(t + 2 * kSecond, t + 2 * kSecond, false);  // only changes
+    r.on_update(t + 2 * kSecond, t, true);                 // an old view
+    r.on_update(t + 2 * kSecond, t + 2 * kSecond, false);  // only changes
     CHECK(door.ended.empty());
-    r.turn(door.next_run);
+    r.run_timers(door.next_run);
     CHECK(door.asked == 2);
     SECTION("a younger one without it") {
-        r.listed(t + 3 * kSecond, t + 3 * kSecond, true);
+        r.on_update(t + 3 * kSecond, t + 3 * kSecond, true);
         CHECK(door.ended == std::map<int, bool>{{1, false}});
-        r.turn(door.next_run);
+        r.run_timers(door.next_run);
         CHECK(door.asked == 2);  // nothing waits: nothing is asked
     }
     SECTION("always old ones are believed in the end") {
-        r.listed(t + 60 * kSecond, t, true);
+        r.on_update(t + 60 * kSecond, t, true);
         CHECK(door.ended.empty());
-        r.listed(t + 62 * kSecond, t, true);
+        r.on_update(t + 62 * kSecond, t, true);
         CHECK(door.ended == std::map<int, bool>{{1, false}});
     }
     SECTION("dropped by its owner") {
-        PendingRecovery& h = r.wait(t + 3 * kSecond, "a", &one);
-        r.drop(h);
-        CHECK(r.waiting() == 1);
+        PendingRecovery& h = r.add(t + 3 * kSecond, "a", &one);
+        r.remove(h);
+        CHECK(r.size() == 1);
     }
 }
 
@@ -93,17 +93,17 @@
     Nanos now = 1000 * kSecond;
     for (int step = 0; step < 600; ++step) {
         now += roll(4000) * kMillisecond;
-        r.turn(now);
+        r.run_timers(now);
         const std::string node(1, static_cast<char>('a' + roll(6)));
         switch (roll(5)) {
             case 0:
             case 1:
                 ids[static_cast<std::size_t>(next)] = next;
-                open[next] = {node, now, &r.wait(now, node, &ids[static_cast<std::size_t>(next)])};
+                open[next] = {node, now, &r.add(now, node, &ids[static_cast<std::size_t>(next)])};
                 ++next;
                 break;
             case 2: {
-                r.named(now, node);
+                r.on_worker_listed(now, node);
                 std::erase_if(open, [&](const auto& o) {
                     if (o.second.node != node) return false;
                     ended[o.first] = true;
@@ -114,7 +114,7 @@
             case 3: {
                 const Nanos as_of = now - roll(3) * roll(20) * kSecond;
                 const bool whole = roll(3) > 0;
-                r.listed(now, as_of, whole);
+                r.on_update(now, as_of, whole);
                 if (whole)
                     std::erase_if(open, [&](const auto& o) {
                         if (as_of <= o.second.since && now - o.second.since < 60 * kSecond) return false;
@@ -125,12 +125,12 @@
             }
             case 4:
                 if (open.empty()) break;
-                r.drop(*open.begin()->second.handle);
+                r.remove(*open.begin()->second.handle);
                 open.erase(open.begin());
                 break;
         }
         INFO("seed " << seed << " step " << step);
         REQUIRE(door.ended == ended);
-        REQUIRE(r.waiting() == open.size());
+        REQUIRE(r.size() == open.size());
     }
 }
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -26,28 +26,28 @@
         ++dials;
         bytes = taken = 0;
     }
-    void drop(WorkerConnection&, bool at_once) override {
+    void close(WorkerConnection&, bool at_once) override {
         ++drops;
         aborted = at_once;
     }
-    void write(WorkerConnection&, ledger::Attempt& l) override {
+    void write_attempt(WorkerConnection&, ledger::Attempt& l) override {
         bytes += 100;
         sent.push_back(&l);
     }
-    void ask_for_life(WorkerConnection&) override { ++asked; }
-    void ask_after(WorkerConnection&, ledger::Attempt&) override { ++asked_after; }
-    std::size_t unsent(const WorkerConnection&) const override {
+    void send_keepalive(WorkerConnection&) override { ++asked; }
+    void send_adoption(WorkerConnection&, ledger::Attempt&) override { ++asked_after; }
+    std::size_t unsent_bytes(const WorkerConnection&) const override {
         return static_cast<std::size_t>(bytes - taken);
     }
-    std::uint64_t handed(const WorkerConnection&) const override { return taken; }
-    std::uint64_t written(const WorkerConnection&) const override { return bytes; }
+    std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return taken; }
+    std::uint64_t written_bytes(const WorkerConnection&) const override { return bytes; }
     bool may_still_send(Nanos t, const ledger::Attempt& l) const override { return led.may_still_send(t, l); }
-    void over(Nanos t, ledger::Attempt& l, AttemptOutcome how) override {
+    void on_attempt_ended(Nanos t, ledger::Attempt& l, AttemptOutcome how) override {
         told.push_back({&l, how});
         led.on_ended(t, l, how);
     }
-    void wake(WorkerConnection&, Nanos at) override { wake_at = at; }
-    void down(Nanos, WorkerConnection&, bool was_up) override { downs.push_back(was_up); }
+    void wake_at(WorkerConnection&, Nanos at) override { next_wakeup = at; }
+    void on_disconnected(Nanos, WorkerConnection&, bool was_up) override { downs.push_back(was_up); }
 
     ledger::Attempt& launch() {
         ResourceRequest a;
@@ -55,11 +55,11 @@
         return **led.start_attempt(now, led.create_task(now, "c", 1, a), node, 50 * kSecond);
     }
     void up(WorkerConnection& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
-        l.want(now, true);
-        if (l.state() == ConnectionState::waiting) l.tick(now = std::max(now, wake_at));
+        l.set_wanted(now, true);
+        if (l.state() == ConnectionState::waiting) l.run_timers(now = std::max(now, next_wakeup));
         REQUIRE(l.state() == ConnectionState::dialling);
-        l.connected(now);
-        l.greeted(now, incarnation, holds, 60 * kSecond);
+        l.on_connected(now);
+        l.on_greeting(now, incarnation, holds, 60 * kSecond);
         REQUIRE(l.state() == ConnectionState::up);
     }
     using Refusal = ledger::Refusal;
@@ -67,7 +67,7 @@
     worker_connection::DialLimiter dialler;
     ledger::Ledger led{{QueueGroup{}}, {4, true}, {}};
     ledger::WorkerRecord& node = led.add_worker("n");
-    Nanos now = 1000 * kSecond, wake_at = 0;
+    Nanos now = 1000 * kSecond, next_wakeup = 0;
     std::uint64_t bytes = 0, taken = 0;
     int dials = 0, drops = 0, asked = 0, asked_after = 0;
     bool aborted = false;
@@ -86,15 +86,15 @@
     std::vector<ledger::Attempt*> all;
     for (int i = 0; i < 60; ++i) {
         all.push_back(&b.launch());
-        l.offer(b.now, *all.back());
+        l.send(b.now, *all.back());
     }
     CHECK(b.sent.size() == 41);  // the others were kept back: 4 KiB lie unsent
     b.taken = 1050;              // ten whole launches, and half of one
-    l.broken(b.now, b.taken);
+    l.on_disconnected(b.now, b.taken);
     REQUIRE(b.told.size() == 50);
     for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::not_sent);
     for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->ended);
-    CHECK(l.counts().in_doubt == 10);
+    CHECK(l.statistics().in_doubt == 10);
 }
 
 TEST_CASE(
@@ -103,10 +103,10 @@
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     ledger::Attempt &held = b.launch(), &never = b.launch(), &yes = b.launch();
-    for (ledger::Attempt* each : {&held, &never, &yes}) l.offer(b.now, *each);
+    for (ledger::Attempt* each : {&held, &never, &yes}) l.send(b.now, *each);
     b.led.on_accepted(b.now, yes);
     b.taken = b.bytes;
-    l.broken(b.now, b.taken);
+    l.on_disconnected(b.now, b.taken);
     CHECK(b.told.empty());
     SECTION("the same incarnation") {
         b.up(l, 7, {held.number, yes.number});
@@ -132,7 +132,7 @@
         for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::reset);
     }
     SECTION("gone by the list") {
-        l.gone(b.now);
+        l.on_worker_gone(b.now);
         CHECK(b.told.size() == 3);
     }
 }
@@ -140,17 +140,17 @@
 TEST_CASE("a node that takes the connection and never greets is cut, and what waited for it was never sent") {
     Bench b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
-    l.want(b.now, true);
+    l.set_wanted(b.now, true);
     ledger::Attempt& waits = b.launch();
-    l.offer(b.now, waits);
-    l.connected(b.now);
+    l.send(b.now, waits);
+    l.on_connected(b.now);
     CHECK(b.sent.empty());
-    l.tick(b.now + 2 * kSecond);
+    l.run_timers(b.now + 2 * kSecond);
     CHECK(b.drops == 1);
     REQUIRE(b.told.size() == 1);
     CHECK(b.told[0].how == AttemptOutcome::not_sent);
     // While it pauses, nothing is held for it.
-    l.offer(b.now + 2 * kSecond, b.launch());
+    l.send(b.now + 2 * kSecond, b.launch());
     REQUIRE(b.told.size() == 2);
     CHECK(b.told[1].how == AttemptOutcome::connect_failed);
 }
@@ -159,16 +159,16 @@
     Bench b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
-    l.tick(b.now + 3 * kSecond);
-    l.tick(b.now + 4 * kSecond);
+    l.run_timers(b.now + 3 * kSecond);
+    l.run_timers(b.now + 4 * kSecond);
     CHECK(b.asked == 1);
     CHECK(b.drops == 0);
-    l.heard(b.now + 5 * kSecond);
-    l.tick(b.now + 6 * kSecond);
+    l.on_data(b.now + 5 * kSecond);
+    l.run_timers(b.now + 6 * kSecond);
     CHECK(l.state() == ConnectionState::up);
-    l.tick(b.now + 11 * kSecond);
+    l.run_timers(b.now + 11 * kSecond);
     CHECK(b.drops == 1);
-    CHECK(l.counts().silent_cuts == 1);
+    CHECK(l.statistics().keepalive_timeouts == 1);
 }
 
 TEST_CASE(
@@ -177,36 +177,36 @@
     Bench b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
-    for (int i = 0; i < 60; ++i) l.offer(b.now, b.launch());
+    for (int i = 0; i < 60; ++i) l.send(b.now, b.launch());
     b.taken = 400;
-    l.received(b.now, 3);
+    l.on_attempts_read(b.now, 3);
     CHECK(b.sent.size() == 45);
     b.led.on_drain_announced(b.now, b.node, true);
-    l.drain_heard(b.now);
+    l.on_drain(b.now);
     CHECK(b.told.size() == 15);  // those that had not been written
-    l.tick(b.now + 500 * kMillisecond);
+    l.run_timers(b.now + 500 * kMillisecond);
     CHECK(b.drops == 0);
     SECTION("not received: cut in time, in a way that nothing arrives after") {
-        l.tick(b.now + 750 * kMillisecond);
+        l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
         CHECK(b.aborted);
         CHECK(b.told.size() == 15 + 41);
-        CHECK(l.counts().in_doubt == 1);  // whole in the kernel's hands, not received
+        CHECK(l.statistics().in_doubt == 1);  // whole in the kernel's hands, not received
     }
     SECTION("given up meanwhile: it may still lie in a buffer, and is cut all the same") {
-        for (ledger::Attempt* out : l.in_order()) l.forget(*out, false);
-        l.tick(b.now + 750 * kMillisecond);
+        for (ledger::Attempt* out : l.attempts_in_order()) l.on_attempt_ended(*out, false);
+        l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
     }
     SECTION("the node answers the last on the way: it has read all, and there is nothing to cut") {
-        l.forget(*l.in_order().back(), true);
-        l.tick(b.now + 750 * kMillisecond);
+        l.on_attempt_ended(*l.attempts_in_order().back(), true);
+        l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 0);
     }
     SECTION("received meanwhile: there is nothing to cut") {
         b.taken = b.bytes;
-        l.received(b.now + 600 * kMillisecond, 45);
-        l.tick(b.now + 750 * kMillisecond);
+        l.on_attempts_read(b.now + 600 * kMillisecond, 45);
+        l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 0);
     }
 }
@@ -214,30 +214,32 @@
 TEST_CASE("a launch whose time is up while it waits here was never sent") {
     Bench b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
-    l.want(b.now, true);
+    l.set_wanted(b.now, true);
     ledger::Attempt& waits = b.launch();
-    l.offer(b.now, waits);
-    CHECK(l.take_back(waits));
-    CHECK_FALSE(l.take_back(waits));
-    l.connected(b.now);
-    l.greeted(b.now, 7, {}, 60 * kSecond);
+    l.send(b.now, waits);
+    CHECK(l.withdraw(waits));
+    CHECK_FALSE(l.withdraw(waits));
+    l.on_connected(b.now);
+    l.on_greeting(b.now, 7, {}, 60 * kSecond);
     CHECK(b.sent.empty());
 }
 
 TEST_CASE("a hundred nodes that come back after a cut are not dialled in one moment") {
     struct Many : worker_connection::ConnectionHandler {
         void dial(WorkerConnection&) override { ++dials; }
-        void drop(WorkerConnection&, bool) override {}
-        void write(WorkerConnection&, ledger::Attempt&) override {}
-        void ask_for_life(WorkerConnection&) override {}
-        void ask_after(WorkerConnection&, ledger::Attempt&) override {}
-        std::size_t unsent(const WorkerConnection&) const override { return 0; }
-        std::uint64_t handed(const WorkerConnection&) const override { return 0; }
-        std::uint64_t written(const WorkerConnection&) const override { return 0; }
+        void close(WorkerConnection&, bool) override {}
+        void write_attempt(WorkerConnection&, ledger::Attempt&) override {}
+        void send_keepalive(WorkerConnection&) override {}
+        void send_adoption(WorkerConnection&, ledger::Attempt&) override {}
+        std::size_t unsent_bytes(const WorkerConnection&) const override { return 0; }
+        std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return 0; }
+        std::uint64_t written_bytes(const WorkerConnection&) const override { return 0; }
         bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
-        void over(Nanos, ledger::Attempt&, AttemptOutcome) override {}
-        void down(Nanos, WorkerConnection&, bool) override {}
-        void wake(WorkerConnection& l, Nanos at) override { wakes[*static_cast<std::size_t*>(l.tag)] = at; }
+        void on_attempt_ended(Nanos, ledger::Attempt&, AttemptOutcome) override {}
+        void on_disconnected(Nanos, WorkerConnection&, bool) override {}
+        void wake_at(WorkerConnection& l, Nanos at) override {
+            wakes[*static_cast<std::size_t*>(l.tag)] = at;
+        }
         int dials = 0;
         std::vector<Nanos> wakes = std::vector<Nanos>(100, 0);
     } wire;
@@ -252,24 +254,24 @@
             std::make_unique<WorkerConnection>(wire, dialler, led.add_worker("n" + std::to_string(i)),
                                                worker_connection::ConnectionSettings{}, i * 77 + 1));
         links.back()->tag = &numbers[i];
-        links.back()->want(now, true);
+        links.back()->set_wanted(now, true);
     }
     int most_in_a_second = 0, most_at_once = 0, up = 0;
     std::vector<Nanos> dialled;
     for (; now < 30 * kSecond; now += 10 * kMillisecond) {
         for (std::size_t i = 0; i < 100; ++i) {
             const int before = wire.dials;
-            if (wire.wakes[i] <= now) links[i]->tick(now);
+            if (wire.wakes[i] <= now) links[i]->run_timers(now);
             if (wire.dials > before) dialled.push_back(now);
         }
         most_at_once = std::max(most_at_once, dialler.dialling());
         // For the first four seconds nobody can be reached; then all can.
         for (const auto& l : links)
             if (l->state() == ConnectionState::dialling) {
-                if (now < 4 * kSecond) l->dial_failed(now);
+                if (now < 4 * kSecond) l->on_dial_failed(now);
                 else {
-                    l->connected(now);
-                    l->greeted(now, 7, {}, kSecond);
+                    l->on_connected(now);
+                    l->on_greeting(now, 7, {}, kSecond);
                 }
             }
         int lately = 0;
@@ -289,19 +291,19 @@
     std::vector<ledger::Attempt*> all;
     for (int i = 0; i < 100; ++i) {
         all.push_back(&b.launch());
-        l.offer(b.now, *all.back());
+        l.send(b.now, *all.back());
         b.taken = b.bytes;  // the kernel takes all
     }
     CHECK(b.sent.size() == 64);
-    l.received(b.now, 10);
+    l.on_attempts_read(b.now, 10);
     CHECK(b.sent.size() == 74);
     // The first on the way has its answer, though the node never said that it read it.
-    l.forget(*all[10]);
-    l.drained(b.now);
+    l.on_attempt_ended(*all[10]);
+    l.on_drained(b.now);
     CHECK(b.sent.size() == 75);
     // What still waits here was never sent, whatever becomes of the connection.
-    CHECK(l.take_back(*all[99]));
-    l.broken(b.now, b.bytes);
+    CHECK(l.withdraw(*all[99]));
+    l.on_disconnected(b.now, b.bytes);
     int unsent = 0;
     for (const Told& t : b.told) unsent += t.how == AttemptOutcome::not_sent;
     CHECK(unsent == 24);
