--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -2,8 +2,8 @@
 
 namespace whinpost::admission {
 
-std::string_view to_string(AdmissionLimit l) {
-    switch (l) {
+std::string_view to_string(AdmissionLimit limit) {
+    switch (limit) {
         case AdmissionLimit::none:
             return "none";
         case AdmissionLimit::waiting:
@@ -29,9 +29,9 @@
 constexpr std::int64_t kBuckets = 10;
 }  // namespace
 
-ClientShare::ClientShare(AdmissionController& in)
-    : controller_(in), waiting_(in.clients_waiting_), rate_(in.clients_rate_) {
-    in.clients_.push_back(this);
+ClientShare::ClientShare(AdmissionController& controller)
+    : controller_(controller), waiting_(controller.clients_waiting_), rate_(controller.clients_rate_) {
+    controller.clients_.push_back(this);
 }
 ClientShare::~ClientShare() { std::erase(controller_.clients_, this); }
 
@@ -43,50 +43,50 @@
         groups_.push_back(std::make_unique<ShareHolder>(groups_waiting_));
 }
 
-// Once for each bucket: what was taken a second ago counts no more, also for owners that ask nothing now.
+// Once for each bucket: what was admitted a second ago no longer counts, also for clients that are idle now.
 void AdmissionController::expire_rates(Nanos now) {
     if (now / kBucket == bucket_) return;
     bucket_ = now / kBucket;
-    for (ClientShare* o : clients_)
-        while (!o->recent_.empty() && bucket_ - o->recent_.front().first >= kBuckets) {
-            o->rate_.remove(o->recent_.front().second);
-            o->recent_.pop_front();
+    for (ClientShare* client : clients_)
+        while (!client->recent_.empty() && bucket_ - client->recent_.front().first >= kBuckets) {
+            client->rate_.remove(client->recent_.front().second);
+            client->recent_.pop_front();
         }
 }
 
-AdmissionLimit AdmissionController::check(Nanos now, ClientShare& o, int group) {
+AdmissionLimit AdmissionController::check(Nanos now, ClientShare& client, int group) {
     if (is_draining_) return AdmissionLimit::draining;
     expire_rates(now);
-    if (o.waiting_.held() >= limits_.max_waiting_per_client) return AdmissionLimit::client_waiting;
-    const ShareHolder& g = *groups_[static_cast<std::size_t>(group)];
+    if (client.waiting_.held() >= limits_.max_waiting_per_client) return AdmissionLimit::client_waiting;
+    const ShareHolder& queue_group = *groups_[static_cast<std::size_t>(group)];
     if (groups_waiting_.held() >= groups_waiting_.capacity()) return AdmissionLimit::waiting;
-    // One below its guarantee, as an owner or as a queue group, is taken; the rest shares what both kinds
-    // leave over.
-    if (!o.waiting_.is_below_guarantee() && !g.is_below_guarantee()) {
-        const std::int64_t kept = groups_waiting_.reserved() + clients_waiting_.reserved();
-        if (groups_waiting_.held() + kept >= groups_waiting_.capacity())
+    // A client or a queue group below its guarantee is admitted; others share what both kinds leave over.
+    if (!client.waiting_.is_below_guarantee() && !queue_group.is_below_guarantee()) {
+        const std::int64_t reserved = groups_waiting_.reserved() + clients_waiting_.reserved();
+        if (groups_waiting_.held() + reserved >= groups_waiting_.capacity())
             return clients_waiting_.reserved() > 0 ? AdmissionLimit::client_waiting
                                                    : AdmissionLimit::group_waiting;
     }
     if (clients_rate_.held() >= clients_rate_.capacity()) return AdmissionLimit::rate;
-    return o.rate_.fits() ? AdmissionLimit::none : AdmissionLimit::client_rate;
+    return client.rate_.fits() ? AdmissionLimit::none : AdmissionLimit::client_rate;
 }
 
-AdmissionLimit AdmissionController::admit(Nanos now, ClientShare& o, int group) {
-    const AdmissionLimit l = check(now, o, group);
-    ++rejected_[static_cast<std::size_t>(l)];
-    if (l != AdmissionLimit::none) return l;
-    o.waiting_.add();
-    o.rate_.add();
+AdmissionLimit AdmissionController::admit(Nanos now, ClientShare& client, int group) {
+    const AdmissionLimit limit = check(now, client, group);
+    ++rejected_[static_cast<std::size_t>(limit)];
+    if (limit != AdmissionLimit::none) return limit;
+    client.waiting_.add();
+    client.rate_.add();
     groups_[static_cast<std::size_t>(group)]->add();
     const std::int64_t bucket = now / kBucket;
-    if (o.recent_.empty() || o.recent_.back().first != bucket) o.recent_.emplace_back(bucket, 0);
-    ++o.recent_.back().second;
-    return l;
+    if (client.recent_.empty() || client.recent_.back().first != bucket)
+        client.recent_.emplace_back(bucket, 0);
+    ++client.recent_.back().second;
+    return limit;
 }
 
-void AdmissionController::on_answered(ClientShare* o, int group) {
-    if (o) o->waiting_.remove();
+void AdmissionController::on_answered(ClientShare* client, int group) {
+    if (client) client->waiting_.remove();
     groups_[static_cast<std::size_t>(group)]->remove();
 }
 
--- a/src/admission/fair_shares.cpp
+++ b/src/admission/fair_shares.cpp
@@ -18,7 +18,7 @@
 bool ShareHolder::is_below_guarantee() const { return held_ < shares_.guaranteed_; }
 
 bool ShareHolder::fits() const {
-    // A member that has just joined a full house waits until something is given back.
+    // A member that has just joined when all is taken waits until something is given back.
     if (shares_.held_ >= shares_.capacity_) return false;
     if (is_below_guarantee()) return true;
     return shares_.held_ + shares_.reserved_ < shares_.capacity_;
@@ -43,7 +43,7 @@
                       : static_cast<std::int64_t>(guaranteed_part_ * static_cast<double>(capacity_)) /
                             static_cast<std::int64_t>(members_.size());
     reserved_ = 0;
-    for (const ShareHolder* m : members_) reserved_ += unused(*m);
+    for (const ShareHolder* member : members_) reserved_ += unused(*member);
 }
 
 }  // namespace whinpost::admission
--- a/src/admission/fair_shares.h
+++ b/src/admission/fair_shares.h
@@ -1,6 +1,6 @@
-// A capacity shared by members without waste: what a member has not used of its guaranteed part stays free
-// for it, all else goes to whoever comes first. With g guaranteed to each of n members (n * g at most the
-// capacity), a flood from one leaves every other its g at any moment. No I/O.
+// A capacity shared by members without waste: what a member has not used of its guaranteed share stays free
+// for it, and everything else goes to whoever comes first. With g guaranteed to each of n members (n * g at
+// most the capacity), a flood from one leaves each other member its g at any moment. No I/O.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -9,7 +9,7 @@
 
 class FairShares;
 
-// One that shares. Joins when made, leaves when destroyed; what it held goes with it.
+// A member. Joins when created and leaves when destroyed, with all that it holds.
 class ShareHolder {
 public:
     explicit ShareHolder(FairShares&);
@@ -17,8 +17,8 @@
     ShareHolder(const ShareHolder&) = delete;
     ShareHolder& operator=(const ShareHolder&) = delete;
 
-    bool fits() const;                // one more
-    bool is_below_guarantee() const;  // its guarantee
+    bool fits() const;  // one more
+    bool is_below_guarantee() const;
     void add();
     void remove(std::int64_t count = 1);
     std::int64_t held() const { return held_; }
@@ -32,8 +32,10 @@
 
 class FairShares {
 public:
-    // `part` of the capacity, in [0, 1], is guaranteed in equal parts; the rest is first come, first served.
-    FairShares(std::int64_t capacity, double part) : capacity_(capacity), guaranteed_part_(part) {}
+    // `guaranteed_part` of the capacity, in [0, 1], is guaranteed in equal parts; the rest is first come,
+    // first served.
+    FairShares(std::int64_t capacity, double guaranteed_part)
+        : capacity_(capacity), guaranteed_part_(guaranteed_part) {}
 
     std::int64_t held() const { return held_; }
     std::int64_t capacity() const { return capacity_; }
@@ -43,10 +45,10 @@
 
 private:
     friend class ShareHolder;
-    std::int64_t unused(const ShareHolder& m) const {
-        return m.held_ < guaranteed_ ? guaranteed_ - m.held_ : 0;
+    std::int64_t unused(const ShareHolder& member) const {
+        return member.held_ < guaranteed_ ? guaranteed_ - member.held_ : 0;
     }
-    // Members come and go by the connection, asks by the thousand: the walk is made where it is rare.
+    // Walks all members. Called when one joins or leaves, which is rare beside add() and remove().
     void recompute();
 
     std::int64_t capacity_;
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,51 +7,53 @@
 
 namespace {
 
-// Lists come seconds late in the ordinary course; what is older than several times that is old.
-constexpr Nanos kOld = 10 * kSecond;
+// Endpoint lists ordinarily arrive seconds late; one that is older than several times that is stale.
+constexpr Nanos kStaleAfter = 10 * kSecond;
 
-// How far two ages of one start may lie apart: they come over a network that delays them differently, and
+// How far apart two reports of one start may be: they come over a network that delays them differently, and
 // from clocks that need not agree.
-constexpr Nanos kSameStart = 500 * kMillisecond;
-
-// A whole list that takes away so large a part of what stands there, and no fewer nodes than this, is doubted
-// while they answer. A zone of three may go in one moment, and half a fleet may be taken away on purpose;
-// more than half that still answers is rather a list service that has lost its own view.
-constexpr double kDoubtPart = 0.5;
-constexpr std::size_t kDoubtLeast = 3;
-// Of the drain grace, the part that a doubt may use up. The rest is for what the links still have to take
-// back.
-constexpr Nanos kDoubtUses = 2;  // one half
-
-// Lives within a minute from which on a node is held off, and for how long at first. Two may be a repair, the
-// third is a habit. It doubles with each further life, to about the time over which lives are counted.
-constexpr double kManyLives = 3;
-constexpr Nanos kFirstHold = 5 * kSecond, kLongestHold = 60 * kSecond;
-constexpr Nanos kLivesOver = 5 * kSecond;  // a bucket: twelve are a minute
-
-// Amounts of an old list are put right by reports so often at most: reports themselves are some hundred
-// milliseconds late.
-constexpr Nanos kCorrectEvery = 1 * kSecond;
-
-bool takes_none(WorkerState s) { return s != WorkerState::serving; }
-
-// The later of two starts of one node; 0 is long ago.
-Nanos later_start(Nanos a, Nanos b) { return std::max(a, b); }
-
-bool same(const EndpointState& a, const EndpointState& b) {
-    return a.zone == b.zone && a.cell == b.cell && a.kind == b.kind && a.phase == b.phase &&
-           a.started_at == b.started_at && a.free_cores == b.free_cores && a.free_memory == b.free_memory;
+constexpr Nanos kSameStartTolerance = 500 * kMillisecond;
+
+// A snapshot that omits so large a share of the known workers, and no fewer of them than this, is doubted
+// while they are connected. A zone of three may go in one moment, and half of all workers may be removed on
+// purpose; if more than half still answer, the discovery service has rather lost its own view.
+constexpr double kDoubtfulShare = 0.5;
+constexpr std::size_t kMinDoubtfulWorkers = 3;
+// The part of the drain grace that a doubt may use up. The rest is for attempts that the connections still
+// have to withdraw.
+constexpr Nanos kDoubtGraceDivisor = 2;  // one half
+
+// From so many restarts within a minute on a worker is flapping, and is held off, at first for so long. Two
+// may be a repair, three are a pattern. The time doubles with each further restart, up to about the time over
+// which restarts are counted.
+constexpr double kMinFlappingRestarts = 3;
+constexpr Nanos kInitialHold = 5 * kSecond, kMaxHold = 60 * kSecond;
+constexpr Nanos kRestartBucket = 5 * kSecond;  // twelve of these buckets are a minute
+
+// The amounts of a stale list are corrected by load reports this often at most: the reports themselves are
+// some hundred milliseconds late.
+constexpr Nanos kCorrectionInterval = 1 * kSecond;
+
+bool takes_no_tasks(WorkerState state) { return state != WorkerState::serving; }
+
+// The later of two reported starts of one worker; 0 is long ago.
+Nanos later_start(Nanos first, Nanos second) { return std::max(first, second); }
+
+bool is_same(const EndpointState& first, const EndpointState& second) {
+    return first.zone == second.zone && first.cell == second.cell && first.kind == second.kind &&
+           first.phase == second.phase && first.started_at == second.started_at &&
+           first.free_cores == second.free_cores && first.free_memory == second.free_memory;
 }
 
-std::string seconds(Nanos t) {
-    const std::int64_t tenths = (t + 50 * kMillisecond) / (100 * kMillisecond);
+std::string seconds(Nanos duration) {
+    const std::int64_t tenths = (duration + 50 * kMillisecond) / (100 * kMillisecond);
     return std::to_string(tenths / 10) + "." + std::to_string(tenths % 10) + " s";
 }
 
 }  // namespace
 
-std::string_view to_string(WorkerState s) {
-    switch (s) {
+std::string_view to_string(WorkerState state) {
+    switch (state) {
         case WorkerState::unknown:
             return "unknown";
         case WorkerState::serving:
@@ -59,36 +61,37 @@
         case WorkerState::unconfirmed:
             return "unconfirmed";
         case WorkerState::unreachable:
-            return "away";
+            return "unreachable";
         case WorkerState::flapping:
-            return "unsteady";
+            return "flapping";
         case WorkerState::draining:
             return "draining";
         case WorkerState::delisted:
-            return "leaving";
+            return "delisted";
         case WorkerState::gone:
             return "gone";
     }
     return "unknown";
 }
 
-WorkerEntry::WorkerEntry(Membership& f, std::string n, std::uint32_t num)
-    : name(std::move(n)), number(num), membership_(f), hold_timer_(*this), restarts_(kLivesOver) {}
+WorkerEntry::WorkerEntry(Membership& membership, std::string worker_name, std::uint32_t worker_number)
+    : name(std::move(worker_name)), number(worker_number), membership_(membership), hold_timer_(*this),
+      restarts_(kRestartBucket) {}
 
 void WorkerEntry::HoldTimer::on_deadline(Nanos now) { entry.membership_.update_worker(now, entry); }
 
-Membership::Membership(MembershipHandler& port, Nanos now, Nanos drain_grace, bool report_is_free)
-    : handler_(port), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
+Membership::Membership(MembershipHandler& handler, Nanos now, Nanos drain_grace, bool report_is_free)
+    : handler_(handler), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
       count_by_state_(8, 0), doubt_timer_(*this) {}
 
 WorkerEntry& Membership::find_or_add(std::string_view name) {
-    if (WorkerEntry* m = find(name)) return *m;
+    if (WorkerEntry* worker = find(name)) return *worker;
     workers_.push_back(
         std::make_unique<WorkerEntry>(*this, std::string(name), static_cast<std::uint32_t>(workers_.size())));
-    WorkerEntry& m = *workers_.back();
-    by_name_[m.name] = &m;
+    WorkerEntry& worker = *workers_.back();
+    by_name_[worker.name] = &worker;
     ++count_by_state_[static_cast<std::size_t>(WorkerState::unknown)];
-    return m;
+    return worker;
 }
 
 WorkerEntry* Membership::find(std::string_view name) {
@@ -96,8 +99,8 @@
     return it == by_name_.end() ? nullptr : it->second;
 }
 
-void Membership::arm(timer_wheel::Timer& t, Nanos at) {
-    wheel_.arm(t, at);
+void Membership::arm(timer_wheel::Timer& timer, Nanos at) {
+    wheel_.arm(timer, at);
     handler_.wake_at(at);
 }
 
@@ -106,272 +109,292 @@
     if (const Nanos next = wheel_.next_deadline()) handler_.wake_at(next);
 }
 
-// ---------------------------------------------------------------- what follows
+// ---------------------------------------------------------------- the state that follows
 
-WorkerState Membership::evaluate_state(Nanos now, const WorkerEntry& m) const {
-    if (!m.listed.is_known) return WorkerState::unknown;
-    if (m.listed.endpoint.phase == EndpointPhase::gone)
-        return m.connection.is_up ? WorkerState::delisted : WorkerState::gone;
-    if (m.listed.endpoint.phase == EndpointPhase::draining || m.reported.is_draining)
+WorkerState Membership::evaluate_state(Nanos now, const WorkerEntry& worker) const {
+    if (!worker.listed.is_known) return WorkerState::unknown;
+    if (worker.listed.endpoint.phase == EndpointPhase::gone)
+        return worker.connection.is_up ? WorkerState::delisted : WorkerState::gone;
+    if (worker.listed.endpoint.phase == EndpointPhase::draining || worker.reported.is_draining)
         return WorkerState::draining;
-    if (now < m.hold_until_) return WorkerState::flapping;
-    if (!m.connection.is_up && (m.connection.was_ever_up || m.connection.failed_dials > 0))
+    if (now < worker.hold_until_) return WorkerState::flapping;
+    if (!worker.connection.is_up && (worker.connection.was_ever_up || worker.connection.failed_dials > 0))
         return WorkerState::unreachable;
-    if (!m.connection.was_ever_up && m.listed.age_on_arrival > kOld) return WorkerState::unconfirmed;
+    if (!worker.connection.was_ever_up && worker.listed.age_on_arrival > kStaleAfter)
+        return WorkerState::unconfirmed;
     return WorkerState::serving;
 }
 
-EndpointState Membership::effective_endpoint(Nanos now, const WorkerEntry& m) const {
-    EndpointState l = m.listed.endpoint;
-    switch (evaluate_state(now, m)) {
+EndpointState Membership::effective_endpoint(Nanos now, const WorkerEntry& worker) const {
+    EndpointState endpoint = worker.listed.endpoint;
+    switch (evaluate_state(now, worker)) {
         case WorkerState::serving:
-            l.phase = EndpointPhase::serving;
+            endpoint.phase = EndpointPhase::serving;
             break;
         case WorkerState::unknown:
         case WorkerState::delisted:
         case WorkerState::gone:
-            l.phase = EndpointPhase::gone;
+            endpoint.phase = EndpointPhase::gone;
             break;
-        default:
-            l.phase = EndpointPhase::draining;
+        case WorkerState::unconfirmed:
+        case WorkerState::unreachable:
+        case WorkerState::flapping:
+        case WorkerState::draining:
+            endpoint.phase = EndpointPhase::draining;
             break;
     }
-    l.started_at = later_start(l.started_at, m.reported.started_at);
-    if (report_is_free_ && m.reported.load_reported_at > m.listed.as_of && now - m.listed.as_of > kOld) {
-        if (m.reported.load.has_free_cores) l.free_cores = m.reported.load.free_cores;
-        if (m.reported.load.has_free_memory) l.free_memory = m.reported.load.free_memory;
+    endpoint.started_at = later_start(endpoint.started_at, worker.reported.started_at);
+    if (report_is_free_ && worker.reported.load_reported_at > worker.listed.as_of &&
+        now - worker.listed.as_of > kStaleAfter) {
+        if (worker.reported.load.has_free_cores) endpoint.free_cores = worker.reported.load.free_cores;
+        if (worker.reported.load.has_free_memory) endpoint.free_memory = worker.reported.load.free_memory;
     }
-    return l;
+    return endpoint;
 }
 
-// All that follows is worked out anew from what was said: it costs nothing worth keeping state for, and no
-// order of events can leave it half done.
-void Membership::update_worker(Nanos now, WorkerEntry& m) {
-    const WorkerState standing = evaluate_state(now, m);
-    const EndpointState told = effective_endpoint(now, m);
-    const bool drains = standing == WorkerState::draining || standing == WorkerState::delisted ||
-                        standing == WorkerState::gone;
-    const bool was = takes_none(m.state);
-    if (standing == m.state && same(told, m.effective_endpoint)) return;
-    if (standing != m.state) {
-        --count_by_state_[static_cast<std::size_t>(m.state)];
-        ++count_by_state_[static_cast<std::size_t>(standing)];
+// The state is always computed anew from what was reported: that costs little, and no order of events can
+// leave it half updated.
+void Membership::update_worker(Nanos now, WorkerEntry& worker) {
+    const WorkerState state = evaluate_state(now, worker);
+    const EndpointState endpoint = effective_endpoint(now, worker);
+    const bool is_draining =
+        state == WorkerState::draining || state == WorkerState::delisted || state == WorkerState::gone;
+    const bool took_no_tasks = takes_no_tasks(worker.state);
+    if (state == worker.state && is_same(endpoint, worker.effective_endpoint)) return;
+    if (state != worker.state) {
+        --count_by_state_[static_cast<std::size_t>(worker.state)];
+        ++count_by_state_[static_cast<std::size_t>(state)];
     }
-    m.state = standing;
-    m.effective_endpoint = told;
-    if (drains && !m.draining_since) {
-        m.draining_since = now;
-        handler_.on_drain_started(now, m);
-    } else if (!drains && m.draining_since) {
-        m.draining_since = 0;
-        handler_.on_drain_revoked(now, m);
+    worker.state = state;
+    worker.effective_endpoint = endpoint;
+    if (is_draining && !worker.draining_since) {
+        worker.draining_since = now;
+        handler_.on_drain_started(now, worker);
+    } else if (!is_draining && worker.draining_since) {
+        worker.draining_since = 0;
+        handler_.on_drain_revoked(now, worker);
     }
-    handler_.on_worker_changed(now, m, takes_none(standing) && !was);
+    handler_.on_worker_changed(now, worker, takes_no_tasks(state) && !took_no_tasks);
 }
 
-// ---------------------------------------------------------------- the list
+// ---------------------------------------------------------------- endpoint updates
 
-void Membership::begin_update(Nanos now, Nanos age, bool whole) {
+void Membership::begin_update(Nanos now, Nanos age, bool is_snapshot) {
     ++update_number_;
     update_age_ = std::max<Nanos>(age, 0);
     update_as_of_ = now - update_age_;
-    update_is_snapshot_ = whole;
+    update_is_snapshot_ = is_snapshot;
     updated_workers_.clear();
 }
 
-void Membership::on_endpoint(Nanos now, WorkerEntry& m, const EndpointState& listed,
+void Membership::on_endpoint(Nanos now, WorkerEntry& worker, const EndpointState& listed,
                              std::string_view address) {
-    if (m.latest_update_ == update_number_) {
+    if (worker.latest_update_ == update_number_) {
         ++statistics_.contradictions;
-        return merge_duplicate(m, listed, address);
+        return merge_duplicate(worker, listed, address);
     }
-    m.latest_update_ = update_number_;
-    // Rule 1. A view that was kept somewhere for an hour says nothing of what a newer one has named.
-    if (m.listed.is_known && update_as_of_ < m.listed.as_of) {
+    worker.latest_update_ = update_number_;
+    // Rule 1. A view that was cached somewhere for an hour says nothing of what a newer one has named.
+    if (worker.listed.is_known && update_as_of_ < worker.listed.as_of) {
         ++statistics_.stale_entries;
         return;
     }
-    m.is_doubtfully_omitted_ = false;
-    const bool newer = listed.started_at && m.listed.endpoint.started_at &&
-                       listed.started_at > m.listed.endpoint.started_at + kSameStart;
-    EndpointState l = listed;
-    // One start, told twice with ages that the network bent.
-    if (l.started_at && m.listed.endpoint.started_at &&
-        std::abs(l.started_at - m.listed.endpoint.started_at) < kSameStart)
-        l.started_at = m.listed.endpoint.started_at;
-    m.listed.is_known = true;
-    m.listed.is_omitted = false;
-    m.listed.endpoint = l;
-    m.listed.as_of = update_as_of_;
-    m.listed.age_on_arrival = update_age_;
-    const bool moved = !address.empty() && address != m.address;
-    if (moved) m.address = address;
-    updated_workers_.push_back(&m);
-    // Rule 5. It stands elsewhere now, by a list that knows a later life than the one that greeted here.
-    if (moved && m.connection.is_up && newer && l.started_at > m.reported.started_at + kSameStart)
-        handler_.on_address_changed(now, m);
+    worker.is_doubtfully_omitted_ = false;
+    const bool is_later_start = listed.started_at && worker.listed.endpoint.started_at &&
+                                listed.started_at > worker.listed.endpoint.started_at + kSameStartTolerance;
+    EndpointState endpoint = listed;
+    // One start, reported twice with ages that the network distorted.
+    if (endpoint.started_at && worker.listed.endpoint.started_at &&
+        std::abs(endpoint.started_at - worker.listed.endpoint.started_at) < kSameStartTolerance)
+        endpoint.started_at = worker.listed.endpoint.started_at;
+    worker.listed.is_known = true;
+    worker.listed.is_omitted = false;
+    worker.listed.endpoint = endpoint;
+    worker.listed.as_of = update_as_of_;
+    worker.listed.age_on_arrival = update_age_;
+    const bool has_moved = !address.empty() && address != worker.address;
+    if (has_moved) worker.address = address;
+    updated_workers_.push_back(&worker);
+    // Rule 5. The worker has moved: the list knows a later incarnation than the one that greeted here.
+    if (has_moved && worker.connection.is_up && is_later_start &&
+        endpoint.started_at > worker.reported.started_at + kSameStartTolerance)
+        handler_.on_address_changed(now, worker);
 }
 
 // Rule 10.
-void Membership::merge_duplicate(WorkerEntry& m, const EndpointState& other, std::string_view address) {
-    EndpointState& l = m.listed.endpoint;
-    if (!address.empty() && address != m.address) {
-        if (!m.connection.is_up && other.started_at > l.started_at) m.address = address;
+void Membership::merge_duplicate(WorkerEntry& worker, const EndpointState& other, std::string_view address) {
+    EndpointState& endpoint = worker.listed.endpoint;
+    if (!address.empty() && address != worker.address) {
+        if (!worker.connection.is_up && other.started_at > endpoint.started_at) worker.address = address;
     }
-    l.phase = std::max(l.phase, other.phase);  // serving, draining, gone: in the order of care
-    l.free_cores = std::min(l.free_cores, other.free_cores);
-    l.free_memory = std::min(l.free_memory, other.free_memory);
-    l.started_at = later_start(l.started_at, other.started_at);
+    endpoint.phase =
+        std::max(endpoint.phase, other.phase);  // serving, draining, gone: the later the more careful
+    endpoint.free_cores = std::min(endpoint.free_cores, other.free_cores);
+    endpoint.free_memory = std::min(endpoint.free_memory, other.free_memory);
+    endpoint.started_at = later_start(endpoint.started_at, other.started_at);
 }
 
-void Membership::omit(Nanos now, WorkerEntry& m, Nanos as_of) {
-    m.is_doubtfully_omitted_ = false;
-    m.listed.is_omitted = true;
-    m.listed.endpoint.phase = EndpointPhase::gone;
-    m.listed.as_of = as_of;
-    update_worker(now, m);
+void Membership::omit(Nanos now, WorkerEntry& worker, Nanos as_of) {
+    worker.is_doubtfully_omitted_ = false;
+    worker.listed.is_omitted = true;
+    worker.listed.endpoint.phase = EndpointPhase::gone;
+    worker.listed.as_of = as_of;
+    update_worker(now, worker);
 }
 
 void Membership::end_update(Nanos now) {
     endpoints_as_of_ = std::max(endpoints_as_of_, update_as_of_);
-    for (WorkerEntry* m : updated_workers_) update_worker(now, *m);
+    for (WorkerEntry* worker : updated_workers_) update_worker(now, *worker);
     updated_workers_.clear();
     if (!update_is_snapshot_) return;
-    std::vector<WorkerEntry*> absent;
-    std::size_t stood = 0, alive = 0;
-    for (const auto& m : workers_) {
-        if (!m->listed.is_known || m->listed.endpoint.phase == EndpointPhase::gone) continue;
-        ++stood;
-        if (m->latest_update_ == update_number_ || update_as_of_ < m->listed.as_of) continue;
-        absent.push_back(m.get());
-        alive += m->connection.is_up;
-    }
-    // Rule 4.
-    const bool odd = absent.size() >= kDoubtLeast && 2 * alive > absent.size() &&
-                     static_cast<double>(absent.size()) > kDoubtPart * static_cast<double>(stood);
-    if (odd && (!doubt_until_ || now < doubt_until_)) {
-        for (WorkerEntry* m : absent) m->is_doubtfully_omitted_ = true;
-        if (!doubt_until_) {
-            ++statistics_.doubtful_snapshots;
-            doubt_until_ = now + drain_grace_ / kDoubtUses;
-            arm(doubt_timer_, doubt_until_);
-            handler_.on_snapshot_needed(now);
-        }
-        return;
-    }
-    if (doubt_until_) {  // named again, all or nearly all
+    const SnapshotGaps gaps = find_snapshot_gaps();
+    if (is_doubtful(gaps) && (!doubt_until_ || now < doubt_until_)) return doubt_snapshot(now, gaps);
+    if (doubt_until_) {  // the workers are named again, all or nearly all
         doubt_until_ = 0;
         doubt_timer_.disarm();
     }
-    for (WorkerEntry* m : absent) omit(now, *m, update_as_of_);
+    for (WorkerEntry* worker : gaps.omitted) omit(now, *worker, update_as_of_);
+}
+
+Membership::SnapshotGaps Membership::find_snapshot_gaps() const {
+    SnapshotGaps gaps;
+    for (const auto& worker : workers_) {
+        if (!worker->listed.is_known || worker->listed.endpoint.phase == EndpointPhase::gone) continue;
+        ++gaps.known;
+        if (worker->latest_update_ == update_number_ || update_as_of_ < worker->listed.as_of) continue;
+        gaps.omitted.push_back(worker.get());
+        gaps.omitted_and_connected += worker->connection.is_up;
+    }
+    return gaps;
+}
+
+// Rule 4.
+bool Membership::is_doubtful(const SnapshotGaps& gaps) {
+    const std::size_t omitted = gaps.omitted.size();
+    return omitted >= kMinDoubtfulWorkers && 2 * gaps.omitted_and_connected > omitted &&
+           static_cast<double>(omitted) > kDoubtfulShare * static_cast<double>(gaps.known);
+}
+
+void Membership::doubt_snapshot(Nanos now, const SnapshotGaps& gaps) {
+    for (WorkerEntry* worker : gaps.omitted) worker->is_doubtfully_omitted_ = true;
+    if (doubt_until_) return;
+    ++statistics_.doubtful_snapshots;
+    doubt_until_ = now + drain_grace_ / kDoubtGraceDivisor;
+    arm(doubt_timer_, doubt_until_);
+    handler_.on_snapshot_needed(now);
 }
 
 void Membership::on_doubt_timeout(Nanos now) {
     doubt_until_ = 0;
-    std::size_t believed = 0;
-    for (const auto& m : workers_) {
-        if (!m->is_doubtfully_omitted_) continue;
-        ++believed;
-        omit(now, *m, now);
+    bool any_omitted = false;
+    for (const auto& worker : workers_) {
+        if (!worker->is_doubtfully_omitted_) continue;
+        any_omitted = true;
+        omit(now, *worker, now);
     }
-    statistics_.confirmed_snapshots += believed > 0;
+    statistics_.confirmed_snapshots += any_omitted;
 }
 
-// ---------------------------------------------------------------- the node and the connection to it
+// ---------------------------------------------------------------- the worker itself, and the connection to
+// it
 
-void Membership::on_restart(Nanos now, WorkerEntry& m) {
+void Membership::on_restart(Nanos now, WorkerEntry& worker) {
     ++statistics_.restarts;
-    m.reported = {};
-    m.restarts_.add(now, 1);
-    const double lives = m.restarts_.sum(now);
-    if (lives < kManyLives) return;
+    worker.reported = {};
+    worker.restarts_.add(now, 1);
+    const double restarts = worker.restarts_.sum(now);
+    if (restarts < kMinFlappingRestarts) return;
     // Rule 6.
     ++statistics_.flapping;
-    const int doublings = static_cast<int>(std::min(lives - kManyLives, 10.0));
-    m.hold_until_ = now + std::min(kLongestHold, kFirstHold << doublings);
-    arm(m.hold_timer_, m.hold_until_);
+    const int doublings = static_cast<int>(std::min(restarts - kMinFlappingRestarts, 10.0));
+    worker.hold_until_ = now + std::min(kMaxHold, kInitialHold << doublings);
+    arm(worker.hold_timer_, worker.hold_until_);
 }
 
-void Membership::on_greeting(Nanos now, WorkerEntry& m, std::uint64_t incarnation, Nanos up_for, bool drains,
-                             const LoadReport& report) {
-    if (m.reported.incarnation && m.reported.incarnation != incarnation) on_restart(now, m);
-    m.reported.incarnation = incarnation;
-    m.reported.greeted_at = now;
-    const Nanos started = up_for > 0 ? now - up_for : 0;
-    if (!m.reported.started_at || std::abs(started - m.reported.started_at) >= kSameStart)
-        m.reported.started_at = started;
-    // The list told of this very start: one number for it, or the planner would take it for another life.
-    if (m.reported.started_at && m.listed.endpoint.started_at &&
-        std::abs(m.reported.started_at - m.listed.endpoint.started_at) < kSameStart)
-        m.reported.started_at = m.listed.endpoint.started_at;
-    m.reported.is_draining = drains;
-    m.connection.is_up = m.connection.was_ever_up = true;
-    m.connection.failed_dials = 0;
-    m.connection.changed_at = now;
+void Membership::on_greeting(Nanos now, WorkerEntry& worker, std::uint64_t incarnation, Nanos uptime,
+                             bool is_draining, const LoadReport& report) {
+    if (worker.reported.incarnation && worker.reported.incarnation != incarnation) on_restart(now, worker);
+    worker.reported.incarnation = incarnation;
+    worker.reported.greeted_at = now;
+    const Nanos started_at = uptime > 0 ? now - uptime : 0;
+    if (!worker.reported.started_at ||
+        std::abs(started_at - worker.reported.started_at) >= kSameStartTolerance)
+        worker.reported.started_at = started_at;
+    // The list has reported this very start: one number for it, or the planner would take it for a restart.
+    if (worker.reported.started_at && worker.listed.endpoint.started_at &&
+        std::abs(worker.reported.started_at - worker.listed.endpoint.started_at) < kSameStartTolerance)
+        worker.reported.started_at = worker.listed.endpoint.started_at;
+    worker.reported.is_draining = is_draining;
+    worker.connection.is_up = worker.connection.was_ever_up = true;
+    worker.connection.failed_dials = 0;
+    worker.connection.changed_at = now;
     if (report.has_free_cores || report.has_free_memory) {
-        m.reported.load = report;
-        m.reported.load_reported_at = now;
+        worker.reported.load = report;
+        worker.reported.load_reported_at = now;
     }
-    update_worker(now, m);
+    update_worker(now, worker);
 }
 
-void Membership::on_drain_announced(Nanos now, WorkerEntry& m) {
-    m.reported.is_draining = true;
-    update_worker(now, m);
+void Membership::on_drain_announced(Nanos now, WorkerEntry& worker) {
+    worker.reported.is_draining = true;
+    update_worker(now, worker);
 }
 
-void Membership::on_load_report(Nanos now, WorkerEntry& m, const LoadReport& r) {
-    if (!r.has_free_cores && !r.has_free_memory) return;
-    m.reported.load = r;
-    m.reported.load_reported_at = now;
-    if (!report_is_free_ || now - m.listed.as_of <= kOld || now - m.corrected_at_ < kCorrectEvery) return;
-    m.corrected_at_ = now;
+void Membership::on_load_report(Nanos now, WorkerEntry& worker, const LoadReport& report) {
+    if (!report.has_free_cores && !report.has_free_memory) return;
+    worker.reported.load = report;
+    worker.reported.load_reported_at = now;
+    if (!report_is_free_ || now - worker.listed.as_of <= kStaleAfter ||
+        now - worker.corrected_at_ < kCorrectionInterval)
+        return;
+    worker.corrected_at_ = now;
     ++statistics_.corrected_amounts;
-    update_worker(now, m);
+    update_worker(now, worker);
 }
 
-void Membership::on_disconnected(Nanos now, WorkerEntry& m) {
-    if (!m.connection.is_up) return;
-    m.connection.is_up = false;
-    m.connection.changed_at = now;
-    update_worker(now, m);
+void Membership::on_disconnected(Nanos now, WorkerEntry& worker) {
+    if (!worker.connection.is_up) return;
+    worker.connection.is_up = false;
+    worker.connection.changed_at = now;
+    update_worker(now, worker);
 }
 
-void Membership::on_dial_failed(Nanos now, WorkerEntry& m) {
-    m.connection.is_up = false;
-    ++m.connection.failed_dials;
-    update_worker(now, m);
+void Membership::on_dial_failed(Nanos now, WorkerEntry& worker) {
+    worker.connection.is_up = false;
+    ++worker.connection.failed_dials;
+    update_worker(now, worker);
 }
 
 void Membership::on_name_mismatch() { ++statistics_.name_mismatches; }
 
-// ---------------------------------------------------------------- for people
+// ---------------------------------------------------------------- for operators
 
-std::string Membership::explain(Nanos now, const WorkerEntry& m) const {
-    std::string out(to_string(m.state));
+std::string Membership::explain(Nanos now, const WorkerEntry& worker) const {
+    std::string out(to_string(worker.state));
     const auto add = [&out](const std::string& s) { out += "; " + s; };
-    if (m.listed.is_known) {
-        const char* stage = m.listed.is_omitted                                  ? "leaves it out"
-                            : m.listed.endpoint.phase == EndpointPhase::gone     ? "calls it gone"
-                            : m.listed.endpoint.phase == EndpointPhase::draining ? "says it drains"
-                                                                                 : "says it serves";
-        add(std::string("the list ") + stage + ", as of " + seconds(now - m.listed.as_of) + " ago");
+    if (worker.listed.is_known) {
+        const char* phase = worker.listed.is_omitted                                  ? "omits it"
+                            : worker.listed.endpoint.phase == EndpointPhase::gone     ? "calls it gone"
+                            : worker.listed.endpoint.phase == EndpointPhase::draining ? "says that it drains"
+                                                                                      : "says that it serves";
+        add(std::string("the list ") + phase + ", as of " + seconds(now - worker.listed.as_of) + " ago");
     } else {
         add("no list has named it");
     }
-    if (m.is_doubtfully_omitted_) add("a list that leaves it out is doubted");
-    if (m.reported.greeted_at)
-        add("it greeted " + seconds(now - m.reported.greeted_at) + " ago" +
-            (m.reported.started_at ? ", then up for " + seconds(m.reported.greeted_at - m.reported.started_at)
-                                   : ""));
-    if (m.reported.is_draining) add("it says that it drains");
-    if (m.connection.is_up) add("connected");
-    else if (m.connection.failed_dials)
-        add(std::to_string(m.connection.failed_dials) + " dials in a row have failed");
-    else if (m.connection.was_ever_up)
-        add("its connection broke " + seconds(now - m.connection.changed_at) + " ago");
-    if (now < m.hold_until_)
-        add("it came back too often: held off for " + seconds(m.hold_until_ - now) + " more");
+    if (worker.is_doubtfully_omitted_) add("a snapshot that omits it is doubted");
+    if (worker.reported.greeted_at)
+        add("it greeted " + seconds(now - worker.reported.greeted_at) + " ago" +
+            (worker.reported.started_at
+                 ? ", then up for " + seconds(worker.reported.greeted_at - worker.reported.started_at)
+                 : ""));
+    if (worker.reported.is_draining) add("it says that it drains");
+    if (worker.connection.is_up) add("connected");
+    else if (worker.connection.failed_dials)
+        add(std::to_string(worker.connection.failed_dials) + " dials in a row have failed");
+    else if (worker.connection.was_ever_up)
+        add("its connection broke " + seconds(now - worker.connection.changed_at) + " ago");
+    if (now < worker.hold_until_)
+        add("it restarted too often: held off for " + seconds(worker.hold_until_ - now) + " more");
     return out;
 }
 
--- a/src/recovery/recovery_queue.cpp
+++ b/src/recovery/recovery_queue.cpp
@@ -6,78 +6,81 @@
 namespace whinpost::recovery {
 
 namespace {
-// Whole lists are asked for while any container waits: soon, since its owner wants to hear, and then ever
-// more seldom, since the list service may be what ails.
-constexpr Nanos kFirstPause = 500 * kMillisecond, kLongestPause = 8 * kSecond;
-// Lists that are always older than the owner's word can't settle it. So long after the word they are believed
-// all the same: longer than any list in use is late, and short beside a container's life.
-constexpr Nanos kBelieved = 60 * kSecond;
+// Snapshots are requested while any task is pending: soon, since its client waits to hear of it, and then
+// ever more rarely, since the discovery service may be what is failing.
+constexpr Nanos kInitialBackoff = 500 * kMillisecond, kMaxBackoff = 8 * kSecond;
+// Snapshots that are always older than the client's report can't settle it. This long after the report they
+// count all the same: longer than any endpoint list in use is late, and short beside a task's run time.
+constexpr Nanos kMaxWait = 60 * kSecond;
 }  // namespace
 
-PendingRecovery& RecoveryQueue::add(Nanos now, std::string_view node, void* tag) {
-    pending_.push_back({std::string(node), now, tag});
+PendingRecovery& RecoveryQueue::add(Nanos now, std::string_view worker, void* tag) {
+    pending_.push_back({std::string(worker), now, tag});
     const auto at = std::prev(pending_.end());
     by_worker_.emplace(at->worker, at);
     ++statistics_.queued;
     if (has_endpoints_ && !refresh_at_) {
         refresh_at_ = now;
-        backoff_ = kFirstPause;
+        backoff_ = kInitialBackoff;
         handler_.wake_at(refresh_at_);
     }
     return *at;
 }
 
-void RecoveryQueue::remove(PendingRecovery& h) {
-    for (auto [it, last] = by_worker_.equal_range(h.worker); it != last; ++it)
-        if (&*it->second == &h) {
+void RecoveryQueue::remove(PendingRecovery& pending) {
+    for (auto [it, last] = by_worker_.equal_range(pending.worker); it != last; ++it)
+        if (&*it->second == &pending) {
             pending_.erase(it->second);
             by_worker_.erase(it);
             return;
         }
 }
 
-void RecoveryQueue::finish(ByWorker::iterator at, Nanos now, bool found) {
+void RecoveryQueue::finish(ByWorker::iterator at, Nanos now, bool is_known) {
     const auto it = at->second;
     by_worker_.erase(at);
-    PendingRecovery h = std::move(*it);
+    PendingRecovery pending = std::move(*it);
     pending_.erase(it);
-    ++(found ? statistics_.recovered : statistics_.lost);
-    if (found) handler_.on_worker_known(now, h);
-    else handler_.on_worker_gone(now, h);
+    ++(is_known ? statistics_.recovered : statistics_.lost);
+    if (is_known) handler_.on_worker_known(now, pending);
+    else handler_.on_worker_gone(now, pending);
 }
 
-void RecoveryQueue::on_worker_listed(Nanos now, std::string_view node) {
-    for (auto it = by_worker_.find(node); it != by_worker_.end(); it = by_worker_.find(node))
+void RecoveryQueue::on_worker_listed(Nanos now, std::string_view worker) {
+    for (auto it = by_worker_.find(worker); it != by_worker_.end(); it = by_worker_.find(worker))
         finish(it, now, true);
 }
 
-void RecoveryQueue::on_update(Nanos now, Nanos as_of, bool whole) {
+void RecoveryQueue::on_update(Nanos now, Nanos as_of, bool is_snapshot) {
     has_endpoints_ = true;
-    if (whole) {
-        std::vector<ByWorker::iterator> out;
-        for (auto it = by_worker_.begin(); it != by_worker_.end(); ++it)
-            if (as_of > it->second->handed_over_at || now - it->second->handed_over_at >= kBelieved)
-                out.push_back(it);
-        // In the order in which they were handed over: by age, not by name.
-        std::stable_sort(out.begin(), out.end(), [](auto& a, auto& b) {
-            return a->second->handed_over_at < b->second->handed_over_at;
-        });
-        for (const auto& it : out) finish(it, now, false);
-    }
+    if (is_snapshot) end_unlisted(now, as_of);
     if (!pending_.empty() && !refresh_at_) {
-        backoff_ = kFirstPause;
+        backoff_ = kInitialBackoff;
         refresh_at_ = now + backoff_;
         handler_.wake_at(refresh_at_);
     }
 }
 
+void RecoveryQueue::end_unlisted(Nanos now, Nanos as_of) {
+    std::vector<ByWorker::iterator> gone;
+    for (auto it = by_worker_.begin(); it != by_worker_.end(); ++it) {
+        const Nanos handed_over_at = it->second->handed_over_at;
+        if (as_of > handed_over_at || now - handed_over_at >= kMaxWait) gone.push_back(it);
+    }
+    // In the order in which the tasks were handed over, not by the workers' names.
+    std::stable_sort(gone.begin(), gone.end(), [](const auto& first, const auto& second) {
+        return first->second->handed_over_at < second->second->handed_over_at;
+    });
+    for (const auto& it : gone) finish(it, now, false);
+}
+
 void RecoveryQueue::run_timers(Nanos now) {
     if (!refresh_at_ || now < refresh_at_) return;
     refresh_at_ = 0;
     if (pending_.empty()) return;
     ++statistics_.snapshots_requested;
     refresh_at_ = now + backoff_;
-    backoff_ = std::min(kLongestPause, 2 * backoff_);
+    backoff_ = std::min(kMaxBackoff, 2 * backoff_);
     handler_.wake_at(refresh_at_);
     handler_.on_snapshot_needed(now);
 }
--- a/src/slow_start/token_client.cpp
+++ b/src/slow_start/token_client.cpp
@@ -5,124 +5,132 @@
 namespace whinpost::slow_start {
 
 namespace {
-// Turns at one node at a time, held and asked for. A start on a cold node takes long: more than a few offers
-// at once wait there anyway, and what one placer holds no other can use.
-constexpr int kMost = 3;
-// A turn that was not used within so long is given back: some rounds of the planner.
-constexpr Nanos kUnused = 1000 * kMillisecond;
-// After that the node is not asked for a while, which doubles: what waits here can't go there, or goes
-// elsewhere.
-constexpr Nanos kFirstPause = 500 * kMillisecond, kLongestPause = 8 * kSecond;
-
-// A busy placer asks ahead for what it is likely to be given within the time that it may keep a turn, so that
-// its containers need not wait for one. Rounded down: of hundreds of placers most are idle, and one turn each
-// kept in reserve would be all that a node bears.
+// Tokens of one worker at a time, held and requested. A start on a worker that warms up takes long: more than
+// a few attempts at once wait there anyway, and no other placer can use what one holds.
+constexpr int kMaxTokensPerWorker = 3;
+// A token that is not used within this time is returned: some rounds of the planner.
+constexpr Nanos kMaxIdle = 1000 * kMillisecond;
+// After that nothing is requested of the worker for a while, which doubles: what waits here can't go there,
+// or goes elsewhere.
+constexpr Nanos kInitialBackoff = 500 * kMillisecond, kMaxBackoff = 8 * kSecond;
+
+// A busy placer requests ahead what it is likely to be granted within the time for which it may keep a token,
+// so that its tasks need not wait for one. Rounded down: of hundreds of placers most are idle, and one token
+// each kept in reserve would use up a worker's whole capacity.
 constexpr Nanos kBucket = 100 * kMillisecond;
 }  // namespace
 
-TokenClient::TokenClient(TokenClientHandler& port, Nanos cold_for)
-    : handler_(port), slow_start_time_(cold_for), submissions_(kBucket) {}
+TokenClient::TokenClient(TokenClientHandler& handler, Nanos slow_start_time)
+    : handler_(handler), slow_start_time_(slow_start_time), submissions_(kBucket) {}
 
-WarmingWorker::WarmingWorker(TokenClient& t) : client_(t) {}
+WarmingWorker::WarmingWorker(TokenClient& client) : client_(client) {}
 WarmingWorker::~WarmingWorker() { std::erase(client_.candidates_, this); }
 
-// Among those that may be asked, or not.
-void TokenClient::update_candidate(Nanos now, WarmingWorker& c) {
-    const auto at = std::find(candidates_.begin(), candidates_.end(), &c);
-    if (may_request(now, c) == (at != candidates_.end())) return;
-    if (at == candidates_.end()) candidates_.push_back(&c);
+// Adds the worker to the candidates, or removes it.
+void TokenClient::update_candidate(Nanos now, WarmingWorker& worker) {
+    const auto at = std::find(candidates_.begin(), candidates_.end(), &worker);
+    if (may_request(now, worker) == (at != candidates_.end())) return;
+    if (at == candidates_.end()) candidates_.push_back(&worker);
     else candidates_.erase(at);
 }
 
-void TokenClient::on_greeting(Nanos now, WarmingWorker& c, bool gives) {
-    c.is_connected_ = true;
-    c.issues_tokens_ = gives;
-    c.held_ = c.requested_ = 0;
-    c.next_request_at_ = c.backoff_ = 0;
-    update_candidate(now, c);
-    handler_.on_tokens_changed(now, c);
+void TokenClient::on_greeting(Nanos now, WarmingWorker& worker, bool issues_tokens) {
+    worker.is_connected_ = true;
+    worker.issues_tokens_ = issues_tokens;
+    worker.held_ = worker.requested_ = 0;
+    worker.next_request_at_ = worker.backoff_ = 0;
+    update_candidate(now, worker);
+    handler_.on_tokens_changed(now, worker);
 }
 
-void TokenClient::on_disconnected(Nanos now, WarmingWorker& c) {
-    c.is_connected_ = false;
-    c.held_ = c.requested_ = 0;
-    update_candidate(now, c);
-    handler_.on_tokens_changed(now, c);
+void TokenClient::on_disconnected(Nanos now, WarmingWorker& worker) {
+    worker.is_connected_ = false;
+    worker.held_ = worker.requested_ = 0;
+    update_candidate(now, worker);
+    handler_.on_tokens_changed(now, worker);
 }
 
-void TokenClient::on_worker_changed(Nanos now, WarmingWorker& c, bool serving, Nanos started) {
-    c.is_serving_ = serving;
-    c.slow_start_until_ = started > 0 ? started + slow_start_time_ : 0;
-    if (!may_request(now, c) && c.held_ + c.requested_ > 0 && c.is_connected_) update_request(now, c, 0, 0);
-    update_candidate(now, c);
+void TokenClient::on_worker_changed(Nanos now, WarmingWorker& worker, bool is_serving, Nanos started_at) {
+    worker.is_serving_ = is_serving;
+    worker.slow_start_until_ = started_at > 0 ? started_at + slow_start_time_ : 0;
+    if (!may_request(now, worker) && worker.held_ + worker.requested_ > 0 && worker.is_connected_)
+        update_request(now, worker, 0, 0);
+    update_candidate(now, worker);
 }
 
-void TokenClient::update_request(Nanos now, WarmingWorker& c, int held, int more) {
-    statistics_.returned += static_cast<std::uint64_t>(std::max(0, c.held_ - held));
-    statistics_.requests += more > c.requested_;
-    const bool changed = held != c.held_;
-    c.held_ = held;
-    c.requested_ = more;
-    ++c.sequence_;
-    handler_.send_request(c, c.sequence_, held, more);
-    if (changed) handler_.on_tokens_changed(now, c);
+void TokenClient::update_request(Nanos now, WarmingWorker& worker, int held, int wanted) {
+    statistics_.returned += static_cast<std::uint64_t>(std::max(0, worker.held_ - held));
+    statistics_.requests += wanted > worker.requested_;
+    const bool has_changed = held != worker.held_;
+    worker.held_ = held;
+    worker.requested_ = wanted;
+    ++worker.sequence_;
+    handler_.send_request(worker, worker.sequence_, held, wanted);
+    if (has_changed) handler_.on_tokens_changed(now, worker);
 }
 
-void TokenClient::on_granted(Nanos now, WarmingWorker& c, std::uint64_t number, int turns) {
-    // Given before the node read the latest request: it takes these back when it does.
-    if (number != c.sequence_ || turns <= 0 || turns > c.requested_) {
+void TokenClient::on_granted(Nanos now, WarmingWorker& worker, std::uint64_t sequence, int tokens) {
+    // Granted before the worker read the latest request: it takes these back when it does.
+    if (sequence != worker.sequence_ || tokens <= 0 || tokens > worker.requested_) {
         ++statistics_.stray_grants;
         return;
     }
-    c.requested_ -= turns;
-    c.held_ += turns;
-    c.held_since_ = now;
-    statistics_.granted += static_cast<std::uint64_t>(turns);
-    handler_.on_tokens_changed(now, c);
+    worker.requested_ -= tokens;
+    worker.held_ += tokens;
+    worker.held_since_ = now;
+    statistics_.granted += static_cast<std::uint64_t>(tokens);
+    handler_.on_tokens_changed(now, worker);
 }
 
-void TokenClient::use_token(Nanos now, WarmingWorker& c) {
-    if (!c.issues_tokens() || c.held_ == 0) return;
-    --c.held_;
-    c.held_since_ = now;
-    c.backoff_ = 0;
+void TokenClient::use_token(Nanos now, WarmingWorker& worker) {
+    if (!worker.issues_tokens() || worker.held_ == 0) return;
+    --worker.held_;
+    worker.held_since_ = now;
+    worker.backoff_ = 0;
     ++statistics_.used;
-    handler_.on_tokens_changed(now, c);
+    handler_.on_tokens_changed(now, worker);
 }
 
-void TokenClient::on_attempt_not_sent(WarmingWorker& c) {
-    if (c.issues_tokens()) handler_.send_request(c, ++c.sequence_, c.held_, c.requested_);
+void TokenClient::on_attempt_not_sent(WarmingWorker& worker) {
+    if (worker.issues_tokens())
+        handler_.send_request(worker, ++worker.sequence_, worker.held_, worker.requested_);
 }
 
-void TokenClient::request_for(Nanos now, std::size_t containers) {
+void TokenClient::request_for(Nanos now, std::size_t waiting_tasks) {
     if (candidates_.empty()) return;
-    containers += static_cast<std::size_t>(submissions_.sum(now) * static_cast<double>(kUnused) / 1e9);
-    // What is held and not used for a while; what was asked for while nothing waits any more.
-    for (WarmingWorker* c : candidates_) {
-        const bool idle = c->held_ > 0 && now - c->held_since_ >= kUnused;
-        if (idle) {
-            c->backoff_ = c->backoff_ ? std::min(kLongestPause, 2 * c->backoff_) : kFirstPause;
-            c->next_request_at_ = now + c->backoff_;
-        }
-        if (idle || (c->requested_ > 0 && containers == 0) ||
-            (c->held_ + c->requested_ > 0 && !may_request(now, *c)))
-            update_request(now, *c, 0, 0);
+    const double submitted_ahead = submissions_.sum(now) * static_cast<double>(kMaxIdle) / 1e9;
+    const std::size_t needed = waiting_tasks + static_cast<std::size_t>(submitted_ahead);
+    for (WarmingWorker* worker : candidates_) return_unneeded(now, *worker, needed);
+    std::erase_if(candidates_, [&](const WarmingWorker* worker) { return !may_request(now, *worker); });
+    if (!candidates_.empty()) request_more(now, needed);
+}
+
+// Returns what is held and was not used for a while, and what was requested while nothing waits any more.
+void TokenClient::return_unneeded(Nanos now, WarmingWorker& worker, std::size_t needed) {
+    const bool is_idle = worker.held_ > 0 && now - worker.held_since_ >= kMaxIdle;
+    if (is_idle) {
+        worker.backoff_ = worker.backoff_ ? std::min(kMaxBackoff, 2 * worker.backoff_) : kInitialBackoff;
+        worker.next_request_at_ = now + worker.backoff_;
     }
-    std::erase_if(candidates_, [&](const WarmingWorker* c) { return !may_request(now, *c); });
-    if (candidates_.empty()) return;
+    const bool is_useless = worker.held_ + worker.requested_ > 0 && !may_request(now, worker);
+    if (is_idle || is_useless || (worker.requested_ > 0 && needed == 0)) update_request(now, worker, 0, 0);
+}
+
+// One more of each worker in turn, so that no worker is asked for all.
+void TokenClient::request_more(Nanos now, std::size_t needed) {
     std::size_t sought = 0;
-    for (const WarmingWorker* c : candidates_) sought += static_cast<std::size_t>(c->held_ + c->requested_);
-    // One more at each in turn, so that no node is asked for all.
-    for (int round = 0; round < kMost && sought < containers; ++round) {
-        bool any = false;
-        for (std::size_t i = 0; i < candidates_.size() && sought < containers; ++i) {
-            WarmingWorker& c = *candidates_[(next_candidate_ + i) % candidates_.size()];
-            if (now < c.next_request_at_ || c.held_ + c.requested_ > round) continue;
-            update_request(now, c, c.held_, c.requested_ + 1);
+    for (const WarmingWorker* worker : candidates_)
+        sought += static_cast<std::size_t>(worker->held_ + worker->requested_);
+    for (int round = 0; round < kMaxTokensPerWorker && sought < needed; ++round) {
+        bool any_requested = false;
+        for (std::size_t i = 0; i < candidates_.size() && sought < needed; ++i) {
+            WarmingWorker& worker = *candidates_[(next_candidate_ + i) % candidates_.size()];
+            if (now < worker.next_request_at_ || worker.held_ + worker.requested_ > round) continue;
+            update_request(now, worker, worker.held_, worker.requested_ + 1);
             ++sought;
-            any = true;
+            any_requested = true;
         }
-        if (!any && round > 0) break;
+        if (!any_requested && round > 0) break;
     }
     next_candidate_ = (next_candidate_ + 1) % candidates_.size();
 }
--- a/src/slow_start/token_issuer.cpp
+++ b/src/slow_start/token_issuer.cpp
@@ -4,9 +4,9 @@
 
 namespace whinpost::slow_start {
 
-TokenHolder::TokenHolder(TokenIssuer& g) : issuer_(g) {}
+TokenHolder::TokenHolder(TokenIssuer& issuer) : issuer_(issuer) {}
 
-// With its connection all that it held is free again: nothing of it can arrive any more.
+// With its connection all that it held is free again: nothing that was sent on it can arrive any more.
 TokenHolder::~TokenHolder() {
     issuer_.outstanding_ -= outstanding_;
     if (is_queued_) issuer_.queue_.remove(this);
@@ -17,28 +17,28 @@
     return static_cast<int>(attempts_.size());
 }
 
-void TokenIssuer::set_capacity(Nanos now, double offers) {
-    capacity_ = offers;
+void TokenIssuer::set_capacity(Nanos now, double attempts) {
+    capacity_ = attempts;
     issue(now);
 }
 
-void TokenIssuer::on_request(Nanos now, TokenHolder& h, std::uint64_t number, int held, int more) {
-    // It can't hold more than was given to it; what it says beyond that is a mistake of its own.
-    held = std::clamp(held, 0, h.outstanding_);
-    outstanding_ -= h.outstanding_ - held;
-    h.outstanding_ = held;
-    h.wanted_ = std::max(0, more);
-    h.sequence_ = number;
-    if (h.wanted_ > 0 && !h.is_queued_) {
-        queue_.push_back(&h);
-        h.is_queued_ = true;
+void TokenIssuer::on_request(Nanos now, TokenHolder& holder, std::uint64_t sequence, int held, int wanted) {
+    // It can't hold more than was granted to it; what it claims beyond that is its own mistake.
+    held = std::clamp(held, 0, holder.outstanding_);
+    outstanding_ -= holder.outstanding_ - held;
+    holder.outstanding_ = held;
+    holder.wanted_ = std::max(0, wanted);
+    holder.sequence_ = sequence;
+    if (holder.wanted_ > 0 && !holder.is_queued_) {
+        queue_.push_back(&holder);
+        holder.is_queued_ = true;
     }
     issue(now);
 }
 
-void TokenIssuer::on_attempt(Nanos now, TokenHolder& h) {
-    if (h.outstanding_ > 0) {
-        --h.outstanding_;
+void TokenIssuer::on_attempt(Nanos now, TokenHolder& holder) {
+    if (holder.outstanding_ > 0) {
+        --holder.outstanding_;
         --outstanding_;
     }
     attempts_.push_back(now);
@@ -48,21 +48,21 @@
 void TokenIssuer::run_timers(Nanos now) { issue(now); }
 
 void TokenIssuer::issue(Nanos now) {
-    int room = static_cast<int>(capacity_) - recent_attempts(now) - outstanding_;
-    while (room > 0 && !queue_.empty()) {
-        TokenHolder& h = *queue_.front();
+    int free = static_cast<int>(capacity_) - recent_attempts(now) - outstanding_;
+    while (free > 0 && !queue_.empty()) {
+        TokenHolder& holder = *queue_.front();
         queue_.pop_front();
-        h.is_queued_ = false;
-        if (h.wanted_ <= 0) continue;
-        --h.wanted_;
-        ++h.outstanding_;
+        holder.is_queued_ = false;
+        if (holder.wanted_ <= 0) continue;
+        --holder.wanted_;
+        ++holder.outstanding_;
         ++outstanding_;
-        --room;
-        if (h.wanted_ > 0) {
-            queue_.push_back(&h);
-            h.is_queued_ = true;
+        --free;
+        if (holder.wanted_ > 0) {
+            queue_.push_back(&holder);
+            holder.is_queued_ = true;
         }
-        handler_.send_tokens(h, h.sequence_, 1);
+        handler_.send_tokens(holder, holder.sequence_, 1);
     }
     if (!queue_.empty() && !attempts_.empty()) handler_.wake_at(attempts_.front() + window_);
 }
--- a/src/slow_start/token_issuer.h
+++ b/src/slow_start/token_issuer.h
@@ -1,11 +1,12 @@
-// A node's side of turns, for whoever writes a node's agent: while it is cold, it says itself who may send it
-// an offer and when, so that however many placers there are, and however long their messages lie on the way,
-// it is never sent more than it bears. No I/O, no clock: times are nanoseconds on the caller's clock.
+// A worker's side of admission tokens, for whoever writes a worker's agent: while it is in slow start the
+// worker itself decides who may send it an attempt and when, so that it is never sent more than it can take,
+// however many placers there are and however long their messages are on the way. No I/O and no clock: times
+// are nanoseconds on the caller's clock.
 //
-// The promise: offers that came within one window, and turns that are out (given, and neither used nor
-// returned), are together never more than it bears. A turn that is out is kept for its holder until it is
-// used, returned or its connection ends: an offer may lie in a buffer for any time and still finds its place.
-// So what is out is little (placers ask for what they can use now), and nothing has to be guessed about
+// The promise: attempts that arrived within one window, and outstanding tokens (granted, neither used nor
+// returned), are together never more than its capacity. A token stays its holder's until it is used or
+// returned or its connection ends: an attempt may lie in a buffer for any time and still has its token. So
+// few tokens are outstanding (placers request what they can use now), and nothing has to be assumed about
 // networks.
 #pragma once
 #include <cstdint>
@@ -18,14 +19,14 @@
 
 class TokenIssuer;
 
-// One connection of one placer.
+// The tokens of one placer on one connection.
 class TokenHolder {
 public:
     explicit TokenHolder(TokenIssuer&);
     ~TokenHolder();
     TokenHolder(const TokenHolder&) = delete;
     TokenHolder& operator=(const TokenHolder&) = delete;
-    void* tag = nullptr;  // the embedder's own
+    void* tag = nullptr;  // the caller's own
     int outstanding() const { return outstanding_; }
 
 private:
@@ -39,26 +40,29 @@
 class TokenIssuerHandler {
 public:
     virtual ~TokenIssuerHandler() = default;
-    // Tell it: so many turns more, by its request of that number.
-    virtual void send_tokens(TokenHolder&, std::uint64_t number, int turns) = 0;
-    virtual void wake_at(Nanos at) = 0;  // call turn() then
+    // Grants the holder so many more tokens, on its request of that sequence.
+    virtual void send_tokens(TokenHolder&, std::uint64_t sequence, int tokens) = 0;
+    // run_timers() is to be called then.
+    virtual void wake_at(Nanos at) = 0;
 };
 
 class TokenIssuer {
 public:
-    // `window`: over which offers count, over 0.
-    TokenIssuer(TokenIssuerHandler& port, Nanos window) : handler_(port), window_(window) {}
+    // `window`: over which attempts count; over 0.
+    TokenIssuer(TokenIssuerHandler& handler, Nanos window) : handler_(handler), window_(window) {}
 
-    // What it bears in a window from now on. Falling takes nothing back that is out.
-    void set_capacity(Nanos now, double offers);
-    // A placer holds `held` turns, all others that were given to it it has not taken, and wants `more`.
-    void on_request(Nanos now, TokenHolder&, std::uint64_t number, int held, int more);
-    // An offer came, of whoever.
+    // How many attempts it can take within a window from now on. A lower capacity revokes no outstanding
+    // token.
+    void set_capacity(Nanos now, double attempts);
+    // A placer holds `held` tokens, has not received any others that were granted to it, and wants `wanted`
+    // more.
+    void on_request(Nanos now, TokenHolder&, std::uint64_t sequence, int held, int wanted);
+    // An attempt arrived, with a token or without.
     void on_attempt(Nanos now, TokenHolder&);
     void run_timers(Nanos now);
 
     int outstanding() const { return outstanding_; }
-    int recent_attempts(Nanos now);  // offers within the window
+    int recent_attempts(Nanos now);  // within the window
 
 private:
     friend class TokenHolder;
@@ -69,7 +73,7 @@
     double capacity_ = 0;
     int outstanding_ = 0;
     std::deque<Nanos> attempts_;
-    std::list<TokenHolder*> queue_;  // who wants more, in turn: one each time
+    std::list<TokenHolder*> queue_;  // those that want more; each gets one in turn
 };
 
 }  // namespace whinpost::slow_start
--- a/src/timer_wheel/timer_wheel.cpp
+++ b/src/timer_wheel/timer_wheel.cpp
@@ -11,73 +11,73 @@
 
 TimerWheel::TimerWheel(Nanos now) : tick_(now / kTick) {
     for (auto& level : slots_)
-        for (Head& h : level) h.previous_ = h.next_ = &h;
+        for (Head& head : level) head.previous_ = head.next_ = &head;
 }
 
 TimerWheel::~TimerWheel() {
     for (auto& level : slots_)
-        for (Head& h : level) {
-            while (h.next_ != &h) unlink(*h.next_);
-            h.previous_ = h.next_ = nullptr;
+        for (Head& head : level) {
+            while (head.next_ != &head) unlink(*head.next_);
+            head.previous_ = head.next_ = nullptr;
         }
 }
 
-void TimerWheel::unlink(Timer& t) {
-    t.previous_->next_ = t.next_;
-    t.next_->previous_ = t.previous_;
-    const std::size_t level = t.slot_ >> kBits, slot = t.slot_ & (kSlots - 1);
-    if (const Head& h = slots_[level][slot]; h.next_ == &h)
+void TimerWheel::unlink(Timer& timer) {
+    timer.previous_->next_ = timer.next_;
+    timer.next_->previous_ = timer.previous_;
+    const std::size_t level = timer.slot_ >> kBits, slot = timer.slot_ & (kSlots - 1);
+    if (const Head& head = slots_[level][slot]; head.next_ == &head)
         used_[level][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
-    t.previous_ = t.next_ = nullptr;
+    timer.previous_ = timer.next_ = nullptr;
     --armed_;
 }
 
-void TimerWheel::insert(Timer& t) {
+void TimerWheel::insert(Timer& timer) {
     // Rounded up: a timer may come late by a tick, never early.
-    const std::int64_t tick = std::max(tick_, (t.deadline_ + kTick - 1) / kTick);
+    const std::int64_t tick = std::max(tick_, (timer.deadline_ + kTick - 1) / kTick);
     int level = 0;
     while (level + 1 < kLevels && (tick >> (kBits * (level + 1))) != (tick_ >> (kBits * (level + 1))))
         ++level;
     const std::int64_t farthest = ((tick_ >> (kBits * level)) | (kSlots - 1));
     const auto slot = static_cast<std::size_t>(std::min(tick >> (kBits * level), farthest) & (kSlots - 1));
-    Head& h = slots_[static_cast<std::size_t>(level)][slot];
-    t.slot_ = static_cast<std::uint16_t>((static_cast<std::size_t>(level) << kBits) | slot);
-    t.next_ = &h;
-    t.previous_ = h.previous_;
-    h.previous_->next_ = &t;
-    h.previous_ = &t;
+    Head& head = slots_[static_cast<std::size_t>(level)][slot];
+    timer.slot_ = static_cast<std::uint16_t>((static_cast<std::size_t>(level) << kBits) | slot);
+    timer.next_ = &head;
+    timer.previous_ = head.previous_;
+    head.previous_->next_ = &timer;
+    head.previous_ = &timer;
     used_[static_cast<std::size_t>(level)][slot / 64] |= std::uint64_t{1} << (slot % 64);
     ++armed_;
 }
 
-void TimerWheel::arm(Timer& t, Nanos at) {
-    t.disarm();
-    t.wheel_ = this;
-    t.deadline_ = at;
-    insert(t);
+void TimerWheel::arm(Timer& timer, Nanos at) {
+    timer.disarm();
+    timer.wheel_ = this;
+    timer.deadline_ = at;
+    insert(timer);
 }
 
 // Takes all of a slot's timers onto a list of its own: what is done with them may fill the same slot again.
-void TimerWheel::detach(int level, std::size_t slot, Head& lot) {
-    Head& h = slots_[static_cast<std::size_t>(level)][slot];
-    lot.previous_ = lot.next_ = &lot;
-    if (h.next_ == &h) return;
-    lot.next_ = h.next_;
-    lot.previous_ = h.previous_;
-    lot.next_->previous_ = lot.previous_->next_ = &lot;
-    h.previous_ = h.next_ = &h;
+void TimerWheel::detach(int level, std::size_t slot, Head& detached) {
+    Head& head = slots_[static_cast<std::size_t>(level)][slot];
+    detached.previous_ = detached.next_ = &detached;
+    if (head.next_ == &head) return;
+    detached.next_ = head.next_;
+    detached.previous_ = head.previous_;
+    detached.next_->previous_ = detached.previous_->next_ = &detached;
+    head.previous_ = head.next_ = &head;
     used_[static_cast<std::size_t>(level)][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
 }
 
 void TimerWheel::spill(int level, std::size_t slot) {
-    Head lot;
-    detach(level, slot, lot);
-    while (lot.next_ != &lot) {
-        Timer& t = *lot.next_;
-        unlink(t);
-        insert(t);
+    Head detached;
+    detach(level, slot, detached);
+    while (detached.next_ != &detached) {
+        Timer& timer = *detached.next_;
+        unlink(timer);
+        insert(timer);
     }
-    lot.previous_ = lot.next_ = nullptr;
+    detached.previous_ = detached.next_ = nullptr;
 }
 
 // At the edge of a level's slot, the levels above hand down what stands in theirs.
@@ -93,9 +93,10 @@
 int TimerWheel::first_used(int level, std::size_t from) const {
     const auto& bits = used_[static_cast<std::size_t>(level)];
     for (std::size_t word = from / 64; word < bits.size(); ++word) {
-        std::uint64_t b = bits[word];
-        if (word == from / 64) b &= ~std::uint64_t{0} << (from % 64);
-        if (b) return static_cast<int>(word * 64 + static_cast<std::size_t>(std::countr_zero(b)));
+        std::uint64_t candidates = bits[word];
+        if (word == from / 64) candidates &= ~std::uint64_t{0} << (from % 64);
+        if (candidates)
+            return static_cast<int>(word * 64 + static_cast<std::size_t>(std::countr_zero(candidates)));
     }
     return -1;
 }
@@ -134,16 +135,16 @@
             continue;
         }
         // What a timer arms for this very tick or earlier is put off to the next one: no turn without end.
-        Head lot;
-        detach(0, static_cast<std::size_t>(slot), lot);
+        Head detached;
+        detach(0, static_cast<std::size_t>(slot), detached);
         ++tick_;
         cascade();
-        while (lot.next_ != &lot) {
-            Timer& t = *lot.next_;
-            unlink(t);
-            t.on_deadline(now);
+        while (detached.next_ != &detached) {
+            Timer& timer = *detached.next_;
+            unlink(timer);
+            timer.on_deadline(now);
         }
-        lot.previous_ = lot.next_ = nullptr;
+        detached.previous_ = detached.next_ = nullptr;
     }
 }
 
--- a/src/timer_wheel/timer_wheel.h
+++ b/src/timer_wheel/timer_wheel.h
@@ -36,8 +36,8 @@
     std::uint16_t slot_ = 0;
 };
 
-// Calls each timer's due() at the first turn() at or after its time; in the order of their ticks, and within
-// a tick in the order in which they came to stand there.
+// Calls each timer's on_deadline() in the first run_timers() at or after its deadline: in the order of their
+// ticks, and within a tick in the order in which they were inserted there.
 class TimerWheel {
 public:
     // One millisecond: a small part of any queue timeout, and the least that the event loop's own wait
@@ -49,11 +49,11 @@
     TimerWheel(const TimerWheel&) = delete;
     TimerWheel& operator=(const TimerWheel&) = delete;
 
-    void arm(Timer&, Nanos at);  // again: moved. A time that has passed comes due at the next turn
+    void arm(Timer&, Nanos at);  // an armed timer is moved; a deadline that has passed is due at the next run
     void run_timers(Nanos now);  // `now` never goes backwards; an earlier one is taken as the last
     std::size_t armed_timers() const { return armed_; }
     // No timer is due before this time; 0 if none is armed. Exact for those within 256 ticks, else early by
-    // at most what one slot of the level spans: a turn then only moves timers down a level.
+    // at most what one slot of the level spans: a run then only moves timers down a level.
     Nanos next_deadline() const;
 
 private:
@@ -64,12 +64,12 @@
     };
     void insert(Timer&);
     void unlink(Timer&);
-    void detach(int level, std::size_t slot, Head& lot);
+    void detach(int level, std::size_t slot, Head& detached);
     void spill(int level, std::size_t slot);
     void cascade();
     int first_used(int level, std::size_t from) const;
 
-    std::int64_t tick_;  // all before it has been turned
+    std::int64_t tick_;  // all before it has been run
     std::size_t armed_ = 0;
     std::array<std::array<Head, kSlots>, kLevels> slots_;
     std::array<std::array<std::uint64_t, kSlots / 64>, kLevels> used_{};
