--- a/fuzz/client_endpoint.cpp
+++ b/fuzz/client_endpoint.cpp
@@ -1,21 +1,21 @@
-// Any bytes from an owner: the placer lives on, another owner is served, and what was taken is answered.
+// Any bytes from a client: the placer lives on, another client is served, and what was admitted is answered.
 #include "own_protocol.h"
 
 using namespace whinpost;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    Rig t("[intake]\nwaiting = 200\n");
-    Rig::NodeAt& n = t.node("n");
-    t.list({t.entry("n")});
-    OwnerPeer& bad = t.owner("bad", false);
-    send_bytes(t, bad, data, size);
-    t.run(20 * kMillisecond);
-    OwnerPeer& good = t.owner("good");
-    t.ask(good, t.offer(1));
+    ServerRig rig("[intake]\nwaiting = 200\n");
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    TestClient& bad = rig.connect_client("bad", false);
+    send_bytes(rig, bad, data, size);
+    rig.run(20 * kMillisecond);
+    TestClient& good = rig.connect_client("good");
+    rig.submit(good, rig.request(1));
     if (good.count(&v1::ToClient::has_received) != 1) __builtin_trap();
-    for (const v1::StartAttempt& l : n.launches()) n.yes(l.attempt());
+    for (const v1::StartAttempt& attempt : worker.attempts()) worker.accept(attempt.attempt());
     bad.stream.reset();
-    t.run(10 * kSecond);
-    if (t.placer->intake.waiting() != 0) __builtin_trap();
+    rig.run(10 * kSecond);
+    if (rig.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/fuzz/discovery_endpoint.cpp
+++ b/fuzz/discovery_endpoint.cpp
@@ -1,17 +1,17 @@
-// Any bytes from the list service: the placer lives on, keeps the last good view, and connects again.
+// Any bytes from the discovery service: the placer lives on, keeps the last good view, and connects again.
 #include "own_protocol.h"
 
 using namespace whinpost;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    Rig t;
-    t.node("n");
-    t.list({t.entry("n")});
-    send_bytes(t, *t.lists.back(), data, size);
-    t.run(100 * kMillisecond);
-    OwnerPeer& o = t.owner();
-    t.ask(o, t.offer(1));
-    t.run(6 * kSecond);
-    if (o.count(&v1::ToClient::has_received) != 1 || t.placer->intake.waiting() != 0) __builtin_trap();
+    ServerRig rig;
+    rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    send_bytes(rig, *rig.discovery_streams.back(), data, size);
+    rig.run(100 * kMillisecond);
+    TestClient& client = rig.connect_client();
+    rig.submit(client, rig.request(1));
+    rig.run(6 * kSecond);
+    if (client.count(&v1::ToClient::has_received) != 1 || rig.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/fuzz/own_protocol.h
+++ b/fuzz/own_protocol.h
@@ -1,4 +1,4 @@
-// What the fuzz targets of the placer's doors share.
+// What the fuzz targets of the placer's own protocol share.
 #pragma once
 #include <google/protobuf/stubs/logging.h>
 
@@ -11,13 +11,14 @@
 
 namespace whinpost {
 
-// Sends the input in two lots, so that frames are cut anywhere; the door may close the stream between them.
+// Sends the input in two parts, so that frames are cut anywhere; the placer may close the stream between
+// them.
 template <class AnyPeer>
-void send_bytes(Rig& t, AnyPeer& from, const std::uint8_t* data, std::size_t size) {
+void send_bytes(ServerRig& rig, AnyPeer& peer, const std::uint8_t* data, std::size_t size) {
     const std::size_t half = size / 2;
-    from.stream->write({reinterpret_cast<const char*>(data), half});
-    t.run(kMillisecond);
-    if (from.stream) from.stream->write({reinterpret_cast<const char*>(data) + half, size - half});
+    peer.stream->write({reinterpret_cast<const char*>(data), half});
+    rig.run(kMillisecond);
+    if (peer.stream) peer.stream->write({reinterpret_cast<const char*>(data) + half, size - half});
 }
 
 }  // namespace whinpost
--- a/fuzz/worker_endpoint.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -1,20 +1,21 @@
-// Any bytes from a node, with a launch out there: the placer lives on and answers the container once.
+// Any bytes from a worker with an attempt in flight: the placer lives on and answers the task once.
 #include "own_protocol.h"
 
 using namespace whinpost;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-    Rig t;
-    Rig::NodeAt& n = t.node("n");
-    t.list({t.entry("n")});
-    OwnerPeer& o = t.owner();
-    t.ask(o, t.offer(1, size % 3 == 0 ? "once" : size % 3 == 1 ? "marked" : "free", kSecond));
-    if (n.conns.empty() || !n.now().stream) return 0;
-    send_bytes(t, n.now(), data, size);
-    t.run(3 * kSecond);
-    const std::size_t finals = o.count(&v1::ToClient::has_placed) + o.count(&v1::ToClient::has_rejected) +
-                               o.count(&v1::ToClient::has_failed);
+    ServerRig rig;
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    TestClient& client = rig.connect_client();
+    rig.submit(client, rig.request(1, size % 3 == 0 ? "once" : size % 3 == 1 ? "marked" : "free", kSecond));
+    if (worker.connections.empty() || !worker.connection().stream) return 0;
+    send_bytes(rig, worker.connection(), data, size);
+    rig.run(3 * kSecond);
+    const std::size_t finals = client.count(&v1::ToClient::has_placed) +
+                               client.count(&v1::ToClient::has_rejected) +
+                               client.count(&v1::ToClient::has_failed);
     if (finals != 1) __builtin_trap();
-    if (t.placer->intake.waiting() != 0) __builtin_trap();
+    if (rig.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -20,8 +20,8 @@
         peer.stream = client.dial("node:1", peer);
         run(10 * kMillisecond);
         v1::ToWorker m;
-        Rig::greet(*m.mutable_hello(), "p", 1);
-        peer.say(m);
+        introduce(*m.mutable_hello(), "p", 1);
+        peer.send(m);
         run(10 * kMillisecond);
     }
     static std::vector<emulator::NamedQueueGroup> groups(int n) {
@@ -48,7 +48,7 @@
         l.set_memory(0.001);
         l.set_expected_runtime(std::max<Nanos>(1, static_cast<Nanos>(life_s * 1e9)));
         l.set_request(sent);
-        peer.say(m);
+        peer.send(m);
         return sent;
     }
     // `count` launches, so many a second, each living as drawn about `life_s`.
@@ -82,7 +82,7 @@
     emulator::EventLog seen;
     emulator::EmulatedFleet fleet;
     std::unique_ptr<emulator::EmulatedWorker> node;
-    Peer<v1::FromWorker, v1::ToWorker> peer;
+    TestPeer<v1::FromWorker, v1::ToWorker> peer;
     std::ranlux24_base chance;
     std::uint64_t sent = 0;
 };
@@ -267,13 +267,13 @@
     const Nanos clock = t.node->clock();
     l.set_attempt(1);
     l.set_not_after(clock - 1);  // it lay somewhere
-    t.peer.say(m);
+    t.peer.send(m);
     l.set_attempt(2);
     l.set_not_after(clock + 50 * kMillisecond);  // it will be judged too late
-    t.peer.say(m);
+    t.peer.send(m);
     l.set_attempt(3);
     l.set_not_after(clock + kSecond);
-    t.peer.say(m);
+    t.peer.send(m);
     t.run(kSecond);
     CHECK(t.count(emulator::EventKind::refused) == 2);
     CHECK(t.count(emulator::EventKind::started) == 1);
--- /dev/null
+++ b/tests/server_clients_test.cpp
@@ -0,0 +1,61 @@
+// Clients that disconnect, hang or flood the placer. In virtual time, each fault caused on purpose.
+#include <catch2/catch.hpp>
+
+#include "support/server_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("a client that disconnects with two hundred tasks waiting leaves nothing behind") {
+    ServerRig rig;
+    TestClient& client = rig.connect_client();
+    for (std::uint64_t i = 1; i <= 200; ++i) {
+        v1::FromClient message;
+        *message.mutable_submit() = rig.request(i, "free", 60 * kSecond);
+        client.send(message);
+    }
+    rig.run(100 * kMillisecond);
+    CHECK(rig.placer->edge.tasks_held() == 200);
+    CHECK(rig.placer->intake.waiting() == 200);
+    client.stream.reset();
+    rig.run(kSecond);
+    CHECK(rig.placer->edge.tasks_held() == 0);
+    CHECK(rig.placer->intake.waiting() == 0);
+    CHECK(rig.placer->planner.open_tasks() == 0);
+}
+
+TEST_CASE("an incomplete message, and a client that never reads, delay nobody else") {
+    ServerRig rig;
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    TestClient &half = rig.connect_client("half"), &deaf = rig.connect_client("deaf"),
+               &good = rig.connect_client("good");
+    half.stream->write(std::string("\0\0\1\0\x12\x05", 6));
+    deaf.stream->set_reading(false);
+    for (std::uint64_t i = 1; i <= 6000; ++i) {
+        v1::FromClient message;
+        *message.mutable_submit() = rig.request(i, "free", kSecond);
+        deaf.send(message);
+    }
+    rig.run(kSecond);
+    rig.submit(good, rig.request(1));
+    rig.run(kSecond);
+    CHECK(good.count(&v1::ToClient::has_received) == 1);
+    CHECK_FALSE(half.is_closed);
+    CHECK(worker.connection().stream);
+}
+
+TEST_CASE("a flood is rejected at once with the limit's name, and other clients are served") {
+    ServerRig rig("[intake]\nwaiting = 100\nwaiting_an_owner = 1000\n");
+    TestClient &flood = rig.connect_client("flood"), &other = rig.connect_client("other");
+    for (std::uint64_t i = 1; i <= 500; ++i) {
+        v1::FromClient message;
+        *message.mutable_submit() = rig.request(i, i % 2 ? "free" : "once", 60 * kSecond);
+        flood.send(message);
+    }
+    rig.run(100 * kMillisecond);
+    CHECK(flood.count(&v1::ToClient::has_received) + flood.count(&v1::ToClient::has_rejected) == 500);
+    CHECK(flood.count(&v1::ToClient::has_received) < 80);
+    CHECK(flood.messages(&v1::ToClient::has_rejected).back().rejected().reason().find("intake.waiting") == 0);
+    for (std::uint64_t i = 1; i <= 20; ++i) rig.submit(other, rig.request(i, "free", 60 * kSecond));
+    CHECK(other.count(&v1::ToClient::has_received) >= 16);
+}
--- /dev/null
+++ b/tests/server_drain_test.cpp
@@ -0,0 +1,24 @@
+// The graceful shutdown of the server. In virtual time, each fault caused on purpose.
+#include <catch2/catch.hpp>
+
+#include "support/server_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("a draining placer admits nothing more, answers what waits, and then reports that it is done") {
+    ServerRig rig;
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    TestClient& client = rig.connect_client();
+    rig.submit(client, rig.request(1, "once", 3 * kSecond));
+    bool done = false;
+    rig.placer->edge.drain([&done] { done = true; });
+    rig.submit(client, rig.request(2));
+    CHECK(client.count(&v1::ToClient::has_rejected) == 1);
+    CHECK(client.messages(&v1::ToClient::has_rejected)[0].rejected().reason() == "the placer is closing");
+    CHECK_FALSE(done);
+    worker.accept(worker.attempts().at(0).attempt());
+    rig.run(100 * kMillisecond);
+    CHECK(done);
+    CHECK(final_answers(client) == 2);
+}
--- /dev/null
+++ b/tests/server_planner_test.cpp
@@ -0,0 +1,43 @@
+// The server beside a planner that decides nothing, or what it must not. In virtual time, each fault caused
+// on purpose.
+#include <catch2/catch.hpp>
+
+#include "support/quiet_planner.h"
+#include "support/server_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("with a planner that decides nothing every task is answered by the ledger in time, and honestly") {
+    ServerRig rig;
+    QuietPlanner silent;
+    rig.placer->edge.set_planner(silent);
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    TestClient& client = rig.connect_client();
+    rig.submit(client, rig.request(1, "once"));
+    rig.submit(client, rig.request(2, "once"));
+    rig.placer->edge.place(silent.taken.at(1), 0, 60 * kSecond);
+    rig.run(100 * kMillisecond);
+    REQUIRE(worker.attempts().size() == 1);
+    const Nanos begun = rig.network.now();
+    while (final_answers(client) < 2 && rig.network.now() < begun + 5 * kSecond) rig.run(kMillisecond);
+    CHECK(rig.network.now() - begun < 2 * kSecond);  // before its client gives up
+    REQUIRE(client.count(&v1::ToClient::has_rejected) == 1);
+    CHECK(client.messages(&v1::ToClient::has_rejected)[0].rejected().id() == 1);
+    CHECK(client.count(&v1::ToClient::has_failed) == 1);
+    CHECK(rig.placer->ledger->statistics().answered_by_deadline == 2);
+
+    SECTION("and a decision that breaks a rule is refused, and counted") {
+        rig.submit(client, rig.request(3, "once"));
+        const auto task = silent.taken.at(2);
+        rig.placer->edge.place(task, 0, 60 * kSecond);
+        rig.placer->edge.place(task, 0, 60 * kSecond);
+        rig.placer->edge.place(task, 99, 60 * kSecond);
+        rig.placer->edge.place(12345, 0, 60 * kSecond);
+        rig.placer->edge.reject(task, 0);
+        rig.run(100 * kMillisecond);
+        CHECK(worker.attempts().size() == 2);
+        CHECK(rig.placer->edge.statistics().planner_faults == 4);
+        CHECK(client.count(&v1::ToClient::has_rejected) == 1);
+    }
+}
--- /dev/null
+++ b/tests/server_slow_start_test.cpp
@@ -0,0 +1,26 @@
+// Workers in slow start, as the server sees them. In virtual time, each fault caused on purpose.
+#include <catch2/catch.hpp>
+
+#include "support/server_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("a restarted worker is in slow start by its own report before the endpoint list knows") {
+    ServerRig rig(
+        "[cold]\nfrom = 0.2\nwarm_after_ms = 10000\nmultiple = 2\nwindow_ms = 1000\nalways_borne = 4\n");
+    FakeWorker& worker = rig.add_worker("n");
+    rig.publish({rig.endpoint("n")});
+    rig.run(100 * kMillisecond);
+    rig.kill_worker(worker);
+    worker.incarnation = 2;
+    worker.uptime = 200 * kMillisecond;
+    rig.start_worker(worker);
+    rig.run(500 * kMillisecond);
+    const std::size_t before = worker.attempts().size();
+    TestClient& client = rig.connect_client();
+    for (std::uint64_t id = 1; id <= 30; ++id)
+        rig.submit(client, rig.request(id, "free", 800 * kMillisecond));
+    // 1.5 s have passed: four in each second and a half, at the very most.
+    CHECK(worker.attempts().size() - before <= 8);
+    CHECK(worker.attempts().size() > before);
+}
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -1,4 +1,5 @@
-// One placer in virtual time among peers that say just what a test has them say.
+// One placer in virtual time among clients, workers and a discovery service that send just what a test has
+// them send.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,65 +13,106 @@
 
 namespace whinpost {
 
-// One end of a stream, by hand. What came is kept.
+// One end of a stream, driven by the test. What it receives is kept.
 template <class In, class Out>
-struct Peer : net::StreamHandler {
+struct TestPeer : net::StreamHandler {
     std::size_t on_received(std::string_view bytes) override {
         bool too_long = false;
-        return net::decode_frames(bytes, 1 << 20, too_long, [this](std::string_view f) {
-            In m;
-            if (m.ParseFromArray(f.data(), static_cast<int>(f.size()))) got.push_back(m);
+        return net::decode_frames(bytes, 1 << 20, too_long, [this](std::string_view frame) {
+            In message;
+            if (message.ParseFromArray(frame.data(), static_cast<int>(frame.size())))
+                received.push_back(message);
             return true;
         });
     }
-    void on_closed(net::CloseReason how) override {
-        over = true;
-        ended = how;
+    void on_closed(net::CloseReason outcome) override {
+        is_closed = true;
+        close_reason = outcome;
         stream.reset();
     }
-    void say(const Out& m) {
+    void send(const Out& message) {
         std::string frame;
-        net::encode_frame(frame, m);
+        net::encode_frame(frame, message);
         if (stream) stream->write(frame);
     }
-    // The messages of one kind, in their order.
+    // The received messages of one kind, in order.
     template <class Has>
-    std::vector<In> all(Has has) const {
+    std::vector<In> messages(Has has) const {
         std::vector<In> out;
-        for (const In& m : got)
-            if ((m.*has)()) out.push_back(m);
+        for (const In& message : received)
+            if ((message.*has)()) out.push_back(message);
         return out;
     }
     template <class Has>
     std::size_t count(Has has) const {
-        return all(has).size();
+        return messages(has).size();
     }
     std::unique_ptr<net::Stream> stream;
-    std::vector<In> got;
-    bool over = false;
-    net::CloseReason ended{};
+    std::vector<In> received;
+    bool is_closed = false;
+    net::CloseReason close_reason{};
 };
 
-using OwnerPeer = Peer<v1::ToClient, v1::FromClient>;
-using NodePeer = Peer<v1::ToWorker, v1::FromWorker>;
-using ListPeer = Peer<v1::ToDiscovery, v1::FromDiscovery>;
+using TestClient = TestPeer<v1::ToClient, v1::FromClient>;
+using WorkerStream = TestPeer<v1::ToWorker, v1::FromWorker>;
+using FakeDiscovery = TestPeer<v1::ToDiscovery, v1::FromDiscovery>;
 
-struct Rig {
-    explicit Rig(const std::string& more = "", std::uint64_t seed = 1) : world(seed) {
-        list_host = &world.process("list");
-        listeners.push_back(list_host
+inline void introduce(v1::Hello& hello, const std::string& name, std::uint64_t incarnation) {
+    hello.set_version(1);
+    hello.set_name(name);
+    hello.set_incarnation(incarnation);
+}
+
+// One worker, at all its connections and incarnations.
+struct FakeWorker {
+    std::string name;
+    std::uint64_t incarnation = 1;
+    Nanos uptime = 0, clock = 0;
+    bool is_silent = false;
+    simulation::SimulatedProcess* process = nullptr;
+    std::vector<std::unique_ptr<WorkerStream>> connections;  // the last is the present one
+    std::vector<std::uint64_t> held_attempts;
+    std::unique_ptr<net::Listener> listener;
+
+    WorkerStream& connection() { return *connections.back(); }
+    std::vector<v1::StartAttempt> attempts() const {
+        std::vector<v1::StartAttempt> out;
+        for (const auto& connection : connections)
+            for (const v1::ToWorker& message : connection->received)
+                if (message.has_start_attempt()) out.push_back(message.start_attempt());
+        return out;
+    }
+    void accept(std::uint64_t attempt) {
+        v1::FromWorker message;
+        message.mutable_accepted()->set_attempt(attempt);
+        connection().send(message);
+    }
+    void end_attempt(std::uint64_t attempt, v1::AttemptEnded::Outcome outcome,
+                     v1::Reason reason = v1::UNSPECIFIED) {
+        v1::FromWorker message;
+        message.mutable_ended()->set_attempt(attempt);
+        message.mutable_ended()->set_outcome(outcome);
+        message.mutable_ended()->set_reason(reason);
+        connection().send(message);
+    }
+};
+
+struct ServerRig {
+    explicit ServerRig(const std::string& more_config = "", std::uint64_t seed = 1) : network(seed) {
+        discovery_process = &network.process("list");
+        listeners.push_back(discovery_process
                                 ->listen("list:1",
-                                         [this](std::unique_ptr<net::Stream> s) {
-                                             lists.push_back(std::make_unique<ListPeer>());
-                                             net::Stream& stream = *s;
-                                             lists.back()->stream = std::move(s);
-                                             list_host->attach(stream, *lists.back());
+                                         [this](std::unique_ptr<net::Stream> accepted) {
+                                             discovery_streams.push_back(std::make_unique<FakeDiscovery>());
+                                             net::Stream& stream = *accepted;
+                                             discovery_streams.back()->stream = std::move(accepted);
+                                             discovery_process->attach(stream, *discovery_streams.back());
                                              v1::FromDiscovery hello;
-                                             greet(*hello.mutable_hello(), "list", 1);
-                                             lists.back()->say(hello);
+                                             introduce(*hello.mutable_hello(), "list", 1);
+                                             discovery_streams.back()->send(hello);
                                          })
                                 .value());
-        text = R"([placer]
+        config = R"([placer]
 name = "p"
 listen = "10.0.0.1:7400"
 zone = "a"
@@ -99,170 +141,141 @@
 start_target_ms = 800
 [acceptance]
 can_probe = false
-)" + more;
-        raise();
+)" + more_config;
+        start_placer();
     }
-    static void greet(v1::Hello& h, const std::string& name, std::uint64_t incarnation) {
-        h.set_version(1);
-        h.set_name(name);
-        h.set_incarnation(incarnation);
-    }
-
-    void raise() {
-        config::Document d = config::Document::parse(text, "stage");
-        placer_host = &world.process("10.0.0.1");
+    void start_placer() {
+        config::Document document = config::Document::parse(config, "stage");
+        placer_process = &network.process("10.0.0.1");
         ++incarnation;
-        auto made = apps::EmbeddedPlacer::make(*placer_host, d, {7, incarnation, {}});
+        auto made = apps::EmbeddedPlacer::make(*placer_process, document, {7, incarnation, {}});
         if (!made) throw std::runtime_error(to_string(made.error().at(0)));
         placer = std::move(*made);
         placer->discovery_address = "list:1";
         if (const auto listening = placer->start(); !listening)
             throw std::runtime_error(to_string(listening.error()));
     }
-    void kill() {
-        world.kill(*placer_host);
+    void kill_placer() {
+        network.kill(*placer_process);
         placer.reset();
     }
-    void run(Nanos by) { world.run_until(world.now() + by); }
+    void run(Nanos by) { network.run_until(network.now() + by); }
 
-    // ---- the list
-    v1::Endpoint entry(const std::string& node, int zone = 0, int cell = 0,
-                       v1::Endpoint::Phase stage = v1::Endpoint::SERVING, Nanos up_for = 0) const {
-        v1::Endpoint e;
-        e.set_worker(node);
-        e.set_address(node + ":1");
-        e.set_zone(static_cast<std::uint32_t>(zone));
-        e.set_cell(static_cast<std::uint32_t>(cell));
-        e.set_free_cores(16);
-        e.set_free_memory(32);
-        e.set_phase(stage);
-        e.set_uptime(up_for);
-        return e;
+    // ---- the discovery service
+    v1::Endpoint endpoint(const std::string& node, int zone = 0, int cell = 0,
+                          v1::Endpoint::Phase phase = v1::Endpoint::SERVING, Nanos uptime = 0) const {
+        v1::Endpoint endpoint;
+        endpoint.set_worker(node);
+        endpoint.set_address(node + ":1");
+        endpoint.set_zone(static_cast<std::uint32_t>(zone));
+        endpoint.set_cell(static_cast<std::uint32_t>(cell));
+        endpoint.set_free_cores(16);
+        endpoint.set_free_memory(32);
+        endpoint.set_phase(phase);
+        endpoint.set_uptime(uptime);
+        return endpoint;
     }
-    void list(const std::vector<v1::Endpoint>& entries, bool whole = true, std::uint64_t number = 0) {
-        if (lists.empty()) run(10 * kMillisecond);
-        v1::FromDiscovery m;
-        m.mutable_update()->set_is_snapshot(whole);
-        m.mutable_update()->set_sequence(number ? number : ++list_number);
-        for (const v1::Endpoint& e : entries) *m.mutable_update()->add_endpoints() = e;
-        lists.back()->say(m);
+    void publish(const std::vector<v1::Endpoint>& endpoints, bool is_snapshot = true,
+                 std::uint64_t number = 0) {
+        if (discovery_streams.empty()) run(10 * kMillisecond);
+        v1::FromDiscovery message;
+        message.mutable_update()->set_is_snapshot(is_snapshot);
+        message.mutable_update()->set_sequence(number ? number : ++sequence);
+        for (const v1::Endpoint& endpoint : endpoints) *message.mutable_update()->add_endpoints() = endpoint;
+        discovery_streams.back()->send(message);
         run(5 * kMillisecond);
     }
 
-    // ---- nodes: greeted at once, unless `mute`
-    struct NodeAt {
-        std::string name;
-        std::uint64_t incarnation = 1;
-        Nanos up_for = 0, clock = 0;
-        bool mute = false;
-        simulation::SimulatedProcess* host = nullptr;
-        std::vector<std::unique_ptr<NodePeer>> conns;  // the last is the present one
-        std::vector<std::uint64_t> holds;
-        std::unique_ptr<net::Listener> listener;
-
-        NodePeer& now() { return *conns.back(); }
-        std::vector<v1::StartAttempt> launches() const {
-            std::vector<v1::StartAttempt> out;
-            for (const auto& c : conns)
-                for (const v1::ToWorker& m : c->got)
-                    if (m.has_start_attempt()) out.push_back(m.start_attempt());
-            return out;
-        }
-        void yes(std::uint64_t launch) {
-            v1::FromWorker m;
-            m.mutable_accepted()->set_attempt(launch);
-            now().say(m);
-        }
-        void end(std::uint64_t launch, v1::AttemptEnded::Outcome how, v1::Reason why = v1::UNSPECIFIED) {
-            v1::FromWorker m;
-            m.mutable_ended()->set_attempt(launch);
-            m.mutable_ended()->set_outcome(how);
-            m.mutable_ended()->set_reason(why);
-            now().say(m);
-        }
-    };
-    NodeAt& node(const std::string& name, bool mute = false) {
-        nodes.push_back(std::make_unique<NodeAt>());
-        NodeAt& n = *nodes.back();
-        n.name = name;
-        n.mute = mute;
-        stand(n);
-        return n;
+    // ---- workers: they greet at once, unless `is_silent`
+    FakeWorker& add_worker(const std::string& name, bool is_silent = false) {
+        workers.push_back(std::make_unique<FakeWorker>());
+        FakeWorker& worker = *workers.back();
+        worker.name = name;
+        worker.is_silent = is_silent;
+        start_worker(worker);
+        return worker;
     }
-    void stand(NodeAt& n) {
-        n.host = &world.process(n.name);
-        n.listener = n.host
-                         ->listen(n.name + ":1",
-                                  [&n](std::unique_ptr<net::Stream> s) {
-                                      n.conns.push_back(std::make_unique<NodePeer>());
-                                      net::Stream& stream = *s;
-                                      n.now().stream = std::move(s);
-                                      n.host->attach(stream, n.now());
-                                      if (n.mute) return stream.set_reading(false);
-                                      v1::FromWorker m;
-                                      greet(*m.mutable_hello(), n.name, n.incarnation);
-                                      n.now().say(m);
-                                      m.mutable_state()->set_remembers_for(60 * kSecond);
-                                      m.mutable_state()->set_uptime(n.up_for);
-                                      m.mutable_state()->set_clock(n.clock);
-                                      for (const std::uint64_t l : n.holds) {
-                                          v1::HeldAttempt* h = m.mutable_state()->add_attempts();
-                                          h->set_attempt(l);
-                                          h->set_accepted(true);
-                                      }
-                                      n.now().say(m);
-                                  })
-                         .value();
+    void start_worker(FakeWorker& worker) {
+        worker.process = &network.process(worker.name);
+        worker.listener =
+            worker.process
+                ->listen(worker.name + ":1",
+                         [&worker](std::unique_ptr<net::Stream> accepted) {
+                             worker.connections.push_back(std::make_unique<WorkerStream>());
+                             net::Stream& stream = *accepted;
+                             worker.connection().stream = std::move(accepted);
+                             worker.process->attach(stream, worker.connection());
+                             if (worker.is_silent) return stream.set_reading(false);
+                             v1::FromWorker message;
+                             introduce(*message.mutable_hello(), worker.name, worker.incarnation);
+                             worker.connection().send(message);
+                             message.mutable_state()->set_remembers_for(60 * kSecond);
+                             message.mutable_state()->set_uptime(worker.uptime);
+                             message.mutable_state()->set_clock(worker.clock);
+                             for (const std::uint64_t attempt : worker.held_attempts) {
+                                 v1::HeldAttempt* held = message.mutable_state()->add_attempts();
+                                 held->set_attempt(attempt);
+                                 held->set_accepted(true);
+                             }
+                             worker.connection().send(message);
+                         })
+                .value();
     }
-    // As by kill -9: another may stand up under its name.
-    void kill(NodeAt& n) {
-        for (const auto& c : n.conns) c->stream.reset();
-        n.listener.reset();
-        world.kill(*n.host);
+    // As by kill -9: another incarnation may be started under its name.
+    void kill_worker(FakeWorker& worker) {
+        for (const auto& connection : worker.connections) connection->stream.reset();
+        worker.listener.reset();
+        network.kill(*worker.process);
     }
 
-    // ---- owners
-    OwnerPeer& owner(const std::string& name = "o", bool hello = true) {
-        owners.push_back(std::make_unique<OwnerPeer>());
-        OwnerPeer& o = *owners.back();
-        simulation::SimulatedProcess& host = world.process("owner-" + std::to_string(owners.size()));
-        o.stream = host.dial("10.0.0.1:7400", o);
+    // ---- clients
+    TestClient& connect_client(const std::string& name = "o", bool hello = true) {
+        clients.push_back(std::make_unique<TestClient>());
+        TestClient& client = *clients.back();
+        simulation::SimulatedProcess& process = network.process("owner-" + std::to_string(clients.size()));
+        client.stream = process.dial("10.0.0.1:7400", client);
         run(5 * kMillisecond);
         if (hello) {
-            v1::FromClient m;
-            greet(*m.mutable_hello(), name, 1);
-            o.say(m);
+            v1::FromClient message;
+            introduce(*message.mutable_hello(), name, 1);
+            client.send(message);
         }
-        return o;
+        return client;
     }
-    v1::SubmitTask offer(std::uint64_t id, const std::string& group = "free",
-                         Nanos time_left = 2 * kSecond) const {
-        v1::SubmitTask o;
-        o.set_id(id);
-        o.set_task("c" + std::to_string(id));
-        o.set_service("s");
-        o.set_queue_group(group);
-        o.set_cores(0.1);
-        o.set_memory(0.1);
-        o.set_time_left(time_left);
-        return o;
+    v1::SubmitTask request(std::uint64_t id, const std::string& group = "free",
+                           Nanos time_left = 2 * kSecond) const {
+        v1::SubmitTask client;
+        client.set_id(id);
+        client.set_task("c" + std::to_string(id));
+        client.set_service("s");
+        client.set_queue_group(group);
+        client.set_cores(0.1);
+        client.set_memory(0.1);
+        client.set_time_left(time_left);
+        return client;
     }
-    void ask(OwnerPeer& o, const v1::SubmitTask& offer) {
-        v1::FromClient m;
-        *m.mutable_submit() = offer;
-        o.say(m);
+    void submit(TestClient& client, const v1::SubmitTask& request) {
+        v1::FromClient message;
+        *message.mutable_submit() = request;
+        client.send(message);
         run(50 * kMillisecond);
     }
 
-    simulation::SimulatedNetwork world;
-    std::string text;
-    std::uint64_t list_number = 0, incarnation = 0;
-    simulation::SimulatedProcess *list_host = nullptr, *placer_host = nullptr;
+    simulation::SimulatedNetwork network;
+    std::string config;
+    std::uint64_t sequence = 0, incarnation = 0;
+    simulation::SimulatedProcess *discovery_process = nullptr, *placer_process = nullptr;
     std::vector<std::unique_ptr<net::Listener>> listeners;
-    std::vector<std::unique_ptr<ListPeer>> lists;
-    std::vector<std::unique_ptr<NodeAt>> nodes;
-    std::vector<std::unique_ptr<OwnerPeer>> owners;
+    std::vector<std::unique_ptr<FakeDiscovery>> discovery_streams;
+    std::vector<std::unique_ptr<FakeWorker>> workers;
+    std::vector<std::unique_ptr<TestClient>> clients;
     std::unique_ptr<apps::EmbeddedPlacer> placer;
 };
 
+// The final answers that a client received.
+inline std::size_t final_answers(const TestClient& client) {
+    return client.count(&v1::ToClient::has_placed) + client.count(&v1::ToClient::has_rejected) +
+           client.count(&v1::ToClient::has_failed);
+}
+
 }  // namespace whinpost
