--- a/bench/virtual_time.cpp
+++ b/bench/virtual_time.cpp
@@ -6,6 +6,7 @@
 #include <chrono>
 #include <iostream>
 
+#include "emulator/scenario_parser.h"
 #include "simulation/rehearsal.h"
 #include "simulation/simulated_environment.h"
 
--- a/emulator/discovery_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -4,197 +4,254 @@
 
 namespace whinpost::emulator {
 
-struct DiscoveryService::Session final : net::StreamHandler {
-    Session(DiscoveryService& s, std::unique_ptr<net::Stream> st) : service(s), stream(std::move(st)) {}
-    std::size_t on_received(std::string_view in) override {
+namespace {
+
+constexpr std::size_t kMaxMessageSize = 1 << 16;
+constexpr std::size_t kOldSnapshots = 20;
+constexpr Nanos kFrozenPoll = 100 * kMillisecond;
+
+EventKind event_of(v1::Endpoint::Phase phase) {
+    switch (phase) {
+        case v1::Endpoint::SERVING:
+            return EventKind::listed_serving;
+        case v1::Endpoint::DRAINING:
+            return EventKind::listed_draining;
+        default:
+            return EventKind::listed_gone;
+    }
+}
+
+}  // namespace
+
+// One placer's connection.
+class DiscoveryService::Session final : public net::StreamHandler {
+public:
+    Session(DiscoveryService& service, std::unique_ptr<net::Stream> stream)
+        : service_(service), stream_(std::move(stream)) {}
+
+    std::size_t on_received(std::string_view bytes) override {
         bool too_long = false;
-        return net::decode_frames(in, 1 << 16, too_long, [this](std::string_view f) {
-            v1::ToDiscovery m;
-            if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
-            if (m.has_hello()) {
-                placer = m.hello().name() + "#" + std::to_string(m.hello().incarnation());
-                v1::FromDiscovery back;
-                back.mutable_hello()->set_version(1);
-                back.mutable_hello()->set_name("list");
-                back.mutable_hello()->set_incarnation(service.incarnation_);
-                service.send(*this, back);
-                if (service.push_) {
-                    follows = true;
-                    service.tell(*this, {}, true);
-                }
-            } else if (m.has_watch()) {
-                follows = m.watch().on();
-                service.tell(*this, {}, true);
-            } else if (m.has_fetch_snapshot()) service.tell(*this, {}, true);
+        return net::decode_frames(bytes, kMaxMessageSize, too_long, [this](std::string_view frame) {
+            v1::ToDiscovery message;
+            if (!message.ParseFromArray(frame.data(), static_cast<int>(frame.size()))) return false;
+            on_message(message);
             return true;
         });
     }
     void on_closed(net::CloseReason) override {
-        stream.reset();
-        auto& all = service.sessions_;
-        const auto it =
-            std::find_if(all.begin(), all.end(), [this](const auto& p) { return p.get() == this; });
-        service.left_.push_back(std::move(*it));
-        all.erase(it);
-        service.sweep_->arm(service.loop_.now());
+        stream_.reset();
+        service_.end_session(*this);
+    }
+
+    void write(const v1::FromDiscovery& message) {
+        if (!stream_) return;
+        std::string frame;
+        net::encode_frame(frame, message);
+        stream_->write(frame);
     }
-    DiscoveryService& service;
-    std::unique_ptr<net::Stream> stream;
-    std::string placer;
-    bool follows = false;
+    void abort() {
+        if (stream_) stream_->abort();
+    }
+    bool open() const { return stream_ != nullptr; }
+    const std::string& placer() const { return placer_; }
+    bool watches() const { return watches_; }
+
+private:
+    void on_message(const v1::ToDiscovery& message) {
+        if (message.has_hello()) return on_hello(message.hello());
+        if (message.has_watch()) watches_ = message.watch().on();
+        if (message.has_watch() || message.has_fetch_snapshot()) service_.send_snapshot(*this);
+    }
+    void on_hello(const v1::Hello& hello) {
+        placer_ = hello.name() + "#" + std::to_string(hello.incarnation());
+        v1::FromDiscovery reply;
+        reply.mutable_hello()->set_version(1);
+        reply.mutable_hello()->set_name("list");
+        reply.mutable_hello()->set_incarnation(service_.settings_.incarnation);
+        service_.send(*this, reply);
+        if (!service_.settings_.pushes) return;
+        watches_ = true;
+        service_.send_snapshot(*this);
+    }
+
+    DiscoveryService& service_;
+    std::unique_ptr<net::Stream> stream_;
+    std::string placer_;
+    bool watches_ = false;
 };
 
-DiscoveryService::DiscoveryService(net::EventLoop& l, EventLog& s, bool push, Nanos late,
-                                   std::uint64_t incarnation)
-    : loop_(l), seen_(s), push_(push), late_(late), incarnation_(incarnation),
-      flush_(l.make_timer([this] { flush(); })), sweep_(l.make_timer([this] { left_.clear(); })) {}
+DiscoveryService::DiscoveryService(net::EventLoop& loop, EventLog& events,
+                                   const DiscoveryServiceSettings& settings)
+    : loop_(loop), events_(events), settings_(settings),
+      change_timer_(loop.make_timer([this] { publish_changes(); })),
+      sweep_timer_(loop.make_timer([this] { ended_sessions_.clear(); })) {}
+
 DiscoveryService::~DiscoveryService() = default;
 
-std::string DiscoveryService::listen(const std::string& address) {
-    auto listener = loop_.listen(address, [this](std::unique_ptr<net::Stream> s) {
-        net::Stream& stream = *s;
-        sessions_.push_back(std::make_unique<Session>(*this, std::move(s)));
+tl::expected<void, net::ListenError> DiscoveryService::listen(const std::string& address) {
+    auto listener = loop_.listen(address, [this](std::unique_ptr<net::Stream> accepted) {
+        net::Stream& stream = *accepted;
+        sessions_.push_back(std::make_unique<Session>(*this, std::move(accepted)));
         loop_.attach(stream, *sessions_.back());
     });
-    if (!listener) return to_string(listener.error());
+    if (!listener) return tl::unexpected(listener.error());
     listener_ = std::move(*listener);
     address_ = listener_->address();
-    return "";
-}
-
-v1::Endpoint DiscoveryService::aged(const Known& k) const {
-    v1::Endpoint e = k.entry;
-    e.set_uptime(k.started ? std::max<Nanos>(1, loop_.now() - k.started) : 0);
-    return e;
-}
-
-void DiscoveryService::send(Session& s, const v1::FromDiscovery& m) {
-    if (!s.stream) return;
-    std::string frame;
-    net::encode_frame(frame, m);
-    s.stream->write(frame);
-    if (!m.has_update()) return;
-    for (const v1::Endpoint& e : m.update().endpoints()) {
-        RecordedEvent l;
-        l.at = loop_.now();
-        l.kind = e.phase() == v1::Endpoint::SERVING    ? EventKind::list_serving
-                 : e.phase() == v1::Endpoint::DRAINING ? EventKind::list_draining
-                                                       : EventKind::list_gone;
-        l.placer = s.placer;
-        l.worker = e.worker();
-        seen_.add(std::move(l));
-    }
+    return {};
 }
 
-void DiscoveryService::tell(Session& s, const std::vector<std::string>& changed, bool whole) {
-    v1::FromDiscovery m;
-    if (old_since_) {
-        m = old_view_;
-        m.mutable_update()->set_sequence(number_);
-        m.mutable_update()->set_age(loop_.now() - old_since_);
-        return send(s, m);
-    }
-    v1::EndpointUpdate& list = *m.mutable_update();
-    list.set_is_snapshot(whole);
-    list.set_sequence(number_);
-    if (whole) {
-        for (const auto& [name, k] : known_)
-            if (k.entry.phase() != v1::Endpoint::GONE) *list.add_endpoints() = aged(k);
-        old_.push_back(m);
-        if (old_.size() > 20) old_.pop_front();
-    } else {
-        for (const std::string& name : changed) *list.add_endpoints() = aged(known_.at(name));
-    }
-    send(s, m);
+void DiscoveryService::end_session(Session& session) {
+    const auto it = std::find_if(sessions_.begin(), sessions_.end(),
+                                 [&session](const auto& other) { return other.get() == &session; });
+    ended_sessions_.push_back(std::move(*it));
+    sessions_.erase(it);
+    sweep_timer_->arm(loop_.now());
 }
 
-void DiscoveryService::put(const v1::Endpoint& e, Nanos started) {
-    known_[e.worker()] = {e, started};
-    changes_.emplace_back(loop_.now() + late_, e.worker());
-    flush_->arm(changes_.front().first);
+// ---------------------------------------------------------------- the list
+
+v1::Endpoint DiscoveryService::with_uptime(const KnownEndpoint& known) const {
+    v1::Endpoint endpoint = known.endpoint;
+    endpoint.set_uptime(known.started ? std::max<Nanos>(1, loop_.now() - known.started) : 0);
+    return endpoint;
+}
+
+void DiscoveryService::publish(const v1::Endpoint& endpoint, Nanos started) {
+    endpoints_[endpoint.worker()] = {endpoint, started};
+    add_change(endpoint.worker());
+}
+
+void DiscoveryService::remove(const std::string& worker) {
+    const auto it = endpoints_.find(worker);
+    if (it == endpoints_.end()) return;
+    it->second.endpoint.set_phase(v1::Endpoint::GONE);
+    add_change(worker);
 }
 
-void DiscoveryService::remove(const std::string& node) {
-    const auto it = known_.find(node);
-    if (it == known_.end()) return;
-    it->second.entry.set_phase(v1::Endpoint::GONE);
-    changes_.emplace_back(loop_.now() + late_, node);
-    flush_->arm(changes_.front().first);
+void DiscoveryService::add_change(const std::string& worker) {
+    changes_.emplace_back(loop_.now() + settings_.delay, worker);
+    change_timer_->arm(changes_.front().first);
 }
 
-void DiscoveryService::flush() {
-    if (still_ || old_since_) {
-        flush_->arm(loop_.now() + 100 * kMillisecond);
+void DiscoveryService::publish_changes() {
+    if (frozen_ || stale_since_) {
+        change_timer_->arm(loop_.now() + kFrozenPoll);
         return;
     }
-    std::vector<std::string> due;
+    std::vector<std::string> changed;
     while (!changes_.empty() && changes_.front().first <= loop_.now()) {
-        if (std::find(due.begin(), due.end(), changes_.front().second) == due.end())
-            due.push_back(changes_.front().second);
+        const std::string& worker = changes_.front().second;
+        if (std::find(changed.begin(), changed.end(), worker) == changed.end()) changed.push_back(worker);
         changes_.pop_front();
     }
-    if (!changes_.empty()) flush_->arm(changes_.front().first);
-    if (due.empty()) return;
-    ++number_;
-    for (const auto& s : sessions_)
-        if (s->follows) tell(*s, due, false);
+    if (!changes_.empty()) change_timer_->arm(changes_.front().first);
+    if (changed.empty()) return;
+    ++sequence_;
+    for (const auto& session : sessions_)
+        if (session->watches()) send_changes(*session, changed);
+}
+
+bool DiscoveryService::send_stale_view(Session& session) {
+    if (!stale_since_) return false;
+    v1::FromDiscovery message = stale_view_;
+    message.mutable_update()->set_sequence(sequence_);
+    message.mutable_update()->set_age(loop_.now() - stale_since_);
+    send(session, message);
+    return true;
+}
+
+void DiscoveryService::send_snapshot(Session& session) {
+    if (send_stale_view(session)) return;
+    v1::FromDiscovery message;
+    v1::EndpointUpdate& update = *message.mutable_update();
+    update.set_is_snapshot(true);
+    update.set_sequence(sequence_);
+    for (const auto& [name, known] : endpoints_)
+        if (known.endpoint.phase() != v1::Endpoint::GONE) *update.add_endpoints() = with_uptime(known);
+    old_snapshots_.push_back(message);
+    if (old_snapshots_.size() > kOldSnapshots) old_snapshots_.pop_front();
+    send(session, message);
 }
 
-void DiscoveryService::down(bool on) {
-    if (!on) {
-        listen(address_);
+void DiscoveryService::send_changes(Session& session, const std::vector<std::string>& workers) {
+    if (send_stale_view(session)) return;
+    v1::FromDiscovery message;
+    v1::EndpointUpdate& update = *message.mutable_update();
+    update.set_is_snapshot(false);
+    update.set_sequence(sequence_);
+    for (const std::string& worker : workers) *update.add_endpoints() = with_uptime(endpoints_.at(worker));
+    send(session, message);
+}
+
+void DiscoveryService::send(Session& session, const v1::FromDiscovery& message) {
+    if (!session.open()) return;
+    session.write(message);
+    if (!message.has_update()) return;
+    for (const v1::Endpoint& endpoint : message.update().endpoints()) record(session, endpoint);
+}
+
+void DiscoveryService::record(const Session& session, const v1::Endpoint& endpoint) {
+    RecordedEvent event;
+    event.at = loop_.now();
+    event.kind = event_of(endpoint.phase());
+    event.placer = session.placer();
+    event.worker = endpoint.worker();
+    events_.add(std::move(event));
+}
+
+// ---------------------------------------------------------------- faults
+
+void DiscoveryService::set_down(bool down) {
+    if (!down) {
+        static_cast<void>(listen(address_));  // it was listened on before
         return;
     }
     listener_.reset();
     while (!sessions_.empty()) {
-        if (sessions_.back()->stream) sessions_.back()->stream->abort();
-        left_.push_back(std::move(sessions_.back()));
+        sessions_.back()->abort();
+        ended_sessions_.push_back(std::move(sessions_.back()));
         sessions_.pop_back();
     }
-    sweep_->arm(loop_.now());
+    sweep_timer_->arm(loop_.now());
 }
 
-void DiscoveryService::go_backwards() {
-    if (old_.empty()) return;
-    for (const auto& s : sessions_) {
-        // Not through send(): the checker is not to take what is old for what is so.
-        if (!s->stream) continue;
-        std::string frame;
-        net::encode_frame(frame, old_.front());
-        s->stream->write(frame);
-    }
+void DiscoveryService::replay_old_snapshot() {
+    if (old_snapshots_.empty()) return;
+    // Not through send(): the checker must not take what is old for the present.
+    for (const auto& session : sessions_) session->write(old_snapshots_.front());
 }
 
-void DiscoveryService::be_old(Nanos age, const std::vector<v1::Endpoint>& ghosts,
-                              const std::vector<std::string>& unknown) {
-    old_since_ = loop_.now() - age;
-    old_view_.mutable_update()->set_is_snapshot(true);
-    for (const auto& [name, k] : known_)
+void DiscoveryService::begin_stale_view(Nanos age, const std::vector<v1::Endpoint>& ghosts,
+                                        const std::vector<std::string>& unknown) {
+    stale_since_ = loop_.now() - age;
+    v1::EndpointUpdate& update = *stale_view_.mutable_update();
+    update.set_is_snapshot(true);
+    for (const auto& [name, known] : endpoints_)
         if (std::find(unknown.begin(), unknown.end(), name) == unknown.end())
-            *old_view_.mutable_update()->add_endpoints() = aged(k);
-    for (const v1::Endpoint& e : ghosts) *old_view_.mutable_update()->add_endpoints() = e;
+            *update.add_endpoints() = with_uptime(known);
+    for (const v1::Endpoint& ghost : ghosts) *update.add_endpoints() = ghost;
 }
 
-void DiscoveryService::end_old() {
-    old_since_ = 0;
-    ++number_;
-    for (const auto& s : sessions_)
-        if (s->follows) tell(*s, {}, true);
+void DiscoveryService::end_stale_view() {
+    stale_since_ = 0;
+    ++sequence_;
+    for (const auto& session : sessions_)
+        if (session->watches()) send_snapshot(*session);
 }
 
-void DiscoveryService::name_none() {
-    v1::FromDiscovery m;
-    m.mutable_update()->set_is_snapshot(true);
-    m.mutable_update()->set_sequence(++number_);
-    for (const auto& s : sessions_) send(*s, m);
+void DiscoveryService::send_empty_snapshot() {
+    v1::FromDiscovery message;
+    message.mutable_update()->set_is_snapshot(true);
+    message.mutable_update()->set_sequence(++sequence_);
+    for (const auto& session : sessions_) send(*session, message);
 }
 
-void DiscoveryService::name_twice(const std::string& node, const v1::Endpoint& other) {
-    v1::FromDiscovery m;
-    m.mutable_update()->set_sequence(++number_);
-    *m.mutable_update()->add_endpoints() = other;
-    *m.mutable_update()->add_endpoints() = aged(known_.at(node));
-    for (const auto& s : sessions_) send(*s, m);
+void DiscoveryService::send_duplicate(const std::string& worker, const v1::Endpoint& other) {
+    v1::FromDiscovery message;
+    message.mutable_update()->set_sequence(++sequence_);
+    *message.mutable_update()->add_endpoints() = other;
+    *message.mutable_update()->add_endpoints() = with_uptime(endpoints_.at(worker));
+    for (const auto& session : sessions_) send(*session, message);
 }
 
 }  // namespace whinpost::emulator
--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -1,351 +1,377 @@
 #include "emulator/emulated_client.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace whinpost::emulator {
 
 namespace {
-// How long owners wait before they ask again of themselves; a deferral may ask for more.
-constexpr Nanos kAgain = 1 * kSecond;
-// Where a launch may have run and a second would do harm: so long an owner looks whether it turns up.
-constexpr Nanos kSettle = 3 * kSecond;
-constexpr Nanos kRedial = 200 * kMillisecond;
+
+constexpr std::size_t kMaxMessageSize = 1 << 20;
+// How long clients wait before they retry of themselves; a rejection may ask for more.
+constexpr Nanos kRetryDelay = 1 * kSecond;
+// Where an attempt may have run and a second would do harm, a client waits so long whether it turns up.
+constexpr Nanos kSettleTime = 3 * kSecond;
+constexpr Nanos kReconnectDelay = 200 * kMillisecond;
+constexpr Nanos kNoPlacerDelay = 100 * kMillisecond;
+constexpr Nanos kMigratedDelay = 50 * kMillisecond;
+
+Nanos delay_after(v1::TaskEnded::Outcome outcome) {
+    if (outcome == v1::TaskEnded::MIGRATED) return kMigratedDelay;
+    return outcome == v1::TaskEnded::LOST ? kSettleTime : kRetryDelay;
+}
+
 }  // namespace
 
 struct EmulatedClient::Task {
-    TaskRequest ask;
-    Nanos due = 0, until = 0;  // of its first coming
-    std::uint64_t id = 0;      // of the present offer, 0: none
-    Session* at = nullptr;
-    std::string node;  // where it is placed
-    bool started = false, first = true, may_run = false;
-    std::unique_ptr<ScheduledCall> later;
+    TaskRequest request;
+    Nanos due = 0;               // when it was first submitted
+    Nanos until = 0;             // when the client gives up the request
+    std::uint64_t id = 0;        // of the open request, 0: none
+    Session* session = nullptr;  // of the open request
+    std::string worker;          // where it is placed
+    bool first = true;           // it has not been placed yet
+    bool may_run = false;        // it failed, and an attempt may still run somewhere
+    std::unique_ptr<ScheduledCall> scheduled;
 };
 
-struct EmulatedClient::Session final : net::StreamHandler {
-    Session(EmulatedClient& o, std::string a, std::size_t n) : owner(o), address(std::move(a)), number(n) {}
-    void dial() {
+// The connection to one placer, which is made again when it is lost.
+class EmulatedClient::Session final : public net::StreamHandler {
+public:
+    Session(EmulatedClient& client, std::string address) : client_(client), address_(std::move(address)) {}
+
+    void connect() {
         greeted = false;
-        stream = owner.fleet_.loop.dial(address, *this);
+        stream = client_.fleet_.loop().dial(address_, *this);
+    }
+    void reconnect_later() {
+        reconnect_call_ = std::make_unique<ScheduledCall>([this] { connect(); });
+        client_.fleet_.schedule(*reconnect_call_, client_.fleet_.now() + kReconnectDelay);
     }
     void on_connected() override {
-        v1::FromClient m;
-        m.mutable_hello()->set_version(1);
-        m.mutable_hello()->set_name(owner.name_);
-        m.mutable_hello()->set_incarnation(1);
-        send(m);
+        v1::FromClient message;
+        message.mutable_hello()->set_version(1);
+        message.mutable_hello()->set_name(client_.name_);
+        message.mutable_hello()->set_incarnation(1);
+        send(message);
     }
-    std::size_t on_received(std::string_view in) override {
+    std::size_t on_received(std::string_view bytes) override {
         bool too_long = false;
-        return net::decode_frames(in, 1 << 20, too_long, [this](std::string_view f) {
-            v1::ToClient m;
-            if (!m.ParseFromArray(f.data(), static_cast<int>(f.size()))) return false;
-            owner.heard(*this, m);
+        return net::decode_frames(bytes, kMaxMessageSize, too_long, [this](std::string_view frame) {
+            v1::ToClient message;
+            if (!message.ParseFromArray(frame.data(), static_cast<int>(frame.size()))) return false;
+            client_.on_message(*this, message);
             return stream != nullptr;
         });
     }
-    void on_closed(net::CloseReason) override { owner.lost(*this); }
-    void send(const v1::FromClient& m) {
+    void on_closed(net::CloseReason) override { client_.on_connection_lost(*this); }
+    void send(const v1::FromClient& message) {
         if (!stream) return;
         std::string frame;
-        net::encode_frame(frame, m);
+        net::encode_frame(frame, message);
         stream->write(frame);
     }
-    EmulatedClient& owner;
-    std::string address;
-    std::size_t number;
+    Task* find(std::uint64_t id) {
+        const auto it = open.find(id);
+        return it == open.end() ? nullptr : it->second;
+    }
+
     std::unique_ptr<net::Stream> stream;
     std::string placer;  // name#incarnation
-    bool greeted = false, away = false;
-    std::map<std::uint64_t, Task*> open;
-    std::vector<Task*> orphans;  // placed there when the connection was lost
-    std::unique_ptr<ScheduledCall> redial;
+    bool greeted = false;
+    bool left = false;                    // never to be made again
+    std::map<std::uint64_t, Task*> open;  // requests, by id
+    std::vector<Task*> orphans;           // placed by this placer, and to be handed over to it
+
+private:
+    EmulatedClient& client_;
+    std::string address_;
+    std::unique_ptr<ScheduledCall> reconnect_call_;
 };
 
-EmulatedClient::EmulatedClient(EmulatedFleet& f, std::string name, std::vector<std::string> placers,
-                               double lean)
-    : fleet_(f), name_(std::move(name)), counts_(f.groups.size()), lean_(lean) {
-    for (std::size_t i = 0; i < placers.size(); ++i)
-        sessions_.push_back(std::make_unique<Session>(*this, placers[i], i));
+EmulatedClient::EmulatedClient(EmulatedFleet& fleet, std::string name,
+                               const std::vector<std::string>& placers, double first_placer_share)
+    : fleet_(fleet), name_(std::move(name)), counts_(fleet.group_count()),
+      first_placer_share_(first_placer_share) {
+    for (const std::string& address : placers) sessions_.push_back(std::make_unique<Session>(*this, address));
 }
+
 EmulatedClient::~EmulatedClient() = default;
 
 void EmulatedClient::connect() {
-    for (const auto& s : sessions_) s->dial();
+    for (const auto& session : sessions_) session->connect();
 }
 
 bool EmulatedClient::connected(std::size_t placer) const { return sessions_[placer]->greeted; }
 
-RecordedEvent EmulatedClient::line(EventKind w, const Session& s, const Task& t) const {
-    RecordedEvent l;
-    l.at = fleet_.loop.now();
-    l.kind = w;
-    l.placer = s.placer;
-    l.task = t.ask.container;
-    l.service = t.ask.service;
-    l.group = t.ask.group;
-    l.until = t.until;
-    return l;
+const QueueGroup& EmulatedClient::group_of(const Task& task) const {
+    return fleet_.group(task.request.group);
+}
+
+QueueGroupCounts& EmulatedClient::counts_of(const Task& task) {
+    return counts_[static_cast<std::size_t>(task.request.group)];
+}
+
+void EmulatedClient::add_wanted(std::vector<double>& by_group) const {
+    for (const auto& [name, task] : tasks_)
+        if (task->worker.empty()) by_group[static_cast<std::size_t>(task->request.group)] += 1;
+}
+
+void EmulatedClient::record(EventKind kind, const Session& session, const Task& task,
+                            const std::string& text) {
+    RecordedEvent event;
+    event.at = fleet_.now();
+    event.kind = kind;
+    event.placer = session.placer;
+    event.task = task.request.task;
+    event.service = task.request.service;
+    event.group = task.request.group;
+    event.until = task.until;
+    event.request = task.id;
+    event.text = text;
+    if (kind == EventKind::handed_over) event.worker = task.worker;
+    fleet_.events().add(std::move(event));
 }
 
-void EmulatedClient::ask(const TaskRequest& a) {
-    auto& t = tasks_[a.container];
-    t = std::make_unique<Task>();
-    t->ask = a;
-    t->due = fleet_.loop.now();
-    t->until = t->due + a.queue_timeout;
-    ++counts_[static_cast<std::size_t>(a.group)].requested;
+// ---------------------------------------------------------------- requests
+
+void EmulatedClient::submit(const TaskRequest& request) {
+    auto& task = tasks_[request.task];
+    task = std::make_unique<Task>();
+    task->request = request;
+    task->due = fleet_.now();
+    task->until = task->due + request.queue_timeout;
+    ++counts_of(*task).requested;
     ++waiting_;
-    send(*t, false);
+    send_request(*task, false);
 }
 
-void EmulatedClient::wants(std::vector<double>& by_group) const {
-    for (const auto& [container, t] : tasks_)
-        if (t->node.empty()) by_group[static_cast<std::size_t>(t->ask.group)] += 1;
+EmulatedClient::Session* EmulatedClient::choose_session() {
+    if (fleet_.draw(first_placer_share_) && sessions_[0]->greeted) return sessions_[0].get();
+    for (std::size_t i = 0; i < sessions_.size(); ++i) {
+        Session& session = *sessions_[next_session_++ % sessions_.size()];
+        if (session.greeted) return &session;
+    }
+    return nullptr;
 }
 
-void EmulatedClient::send_later(Task& t, Nanos after) {
-    t.later = std::make_unique<ScheduledCall>([this, &t] { send(t, true); });
-    fleet_.arm(*t.later, fleet_.loop.now() + after);
+v1::SubmitTask EmulatedClient::make_submit(const Task& task, Nanos time_left) const {
+    v1::SubmitTask submit;
+    submit.set_id(task.id);
+    submit.set_task(task.request.task);
+    submit.set_service(task.request.service);
+    submit.set_queue_group(fleet_.named_group(task.request.group).name);
+    submit.set_cores(task.request.cores);
+    submit.set_memory(task.request.memory);
+    submit.set_time_left(time_left);
+    submit.set_expected_runtime(task.request.runtime);
+    return submit;
 }
 
-void EmulatedClient::send(Task& t, bool again) {
-    const Nanos now = fleet_.loop.now();
-    QueueGroupCounts& c = counts_[static_cast<std::size_t>(t.ask.group)];
-    if (t.first && now >= t.until) {  // its queue timeout: the owner has given up
-        ++c.abandoned;
+void EmulatedClient::send_request(Task& task, bool retry) {
+    const Nanos now = fleet_.now();
+    if (task.first && now >= task.until) {
+        ++counts_of(task).abandoned;
         --waiting_;
-        tasks_.erase(t.ask.container);
+        tasks_.erase(task.request.task);
         return;
     }
-    Session* s = nullptr;
-    if (fleet_.luck(lean_) && sessions_[0]->greeted) s = sessions_[0].get();
-    for (std::size_t i = 0; i < sessions_.size() && !s; ++i) {
-        Session& next = *sessions_[turn_++ % sessions_.size()];
-        if (next.greeted) s = &next;
-    }
-    if (!s) return send_later(t, 100 * kMillisecond);
-    if (again) ++c.retried;
-    t.id = next_id_++;
-    t.at = s;
-    t.may_run = false;
-    s->open[t.id] = &t;
-    v1::FromClient m;
-    v1::SubmitTask& o = *m.mutable_submit();
-    o.set_id(t.id);
-    o.set_task(t.ask.container);
-    o.set_service(t.ask.service);
-    o.set_queue_group(fleet_.groups[static_cast<std::size_t>(t.ask.group)].name);
-    o.set_cores(t.ask.cores);
-    o.set_memory(t.ask.memory);
-    if (!t.first) t.until = now + t.ask.queue_timeout;  // one that was placed and lost has its time anew
-    o.set_time_left(t.until - now);
-    o.set_expected_runtime(t.ask.life);
-    o.set_is_retry(again);
-    RecordedEvent l = line(EventKind::offered, *s, t);
-    l.request = t.id;
-    fleet_.seen.add(l);
-    s->send(m);
+    Session* session = choose_session();
+    if (!session) return retry_later(task, kNoPlacerDelay);
+    if (retry) ++counts_of(task).retried;
+    task.id = next_request_++;
+    task.session = session;
+    task.may_run = false;
+    session->open[task.id] = &task;
+    // One that was placed and lost has its whole time again.
+    if (!task.first) task.until = now + task.request.queue_timeout;
+    v1::FromClient message;
+    *message.mutable_submit() = make_submit(task, task.until - now);
+    message.mutable_submit()->set_is_retry(retry);
+    record(EventKind::submitted, *session, task);
+    session->send(message);
 }
 
-void EmulatedClient::heard(Session& s, const v1::ToClient& m) {
-    const Nanos now = fleet_.loop.now();
-    if (m.has_hello()) {
-        s.placer = m.hello().name() + "#" + std::to_string(m.hello().incarnation());
-        s.greeted = true;
-        hand_over(s);
-        return;
+void EmulatedClient::retry_later(Task& task, Nanos delay) {
+    task.scheduled = std::make_unique<ScheduledCall>([this, &task] { send_request(task, true); });
+    fleet_.schedule(*task.scheduled, fleet_.now() + delay);
+}
+
+void EmulatedClient::close_request(Session& session, Task& task) {
+    session.open.erase(task.id);
+    task.id = 0;
+    task.session = nullptr;
+    task.worker.clear();
+}
+
+void EmulatedClient::abandon(Task& task) {
+    if (task.first) --waiting_;
+    ++counts_of(task).abandoned;
+    tasks_.erase(task.request.task);
+}
+
+// ---------------------------------------------------------------- messages from placers
+
+void EmulatedClient::on_message(Session& session, const v1::ToClient& message) {
+    if (message.has_hello()) return on_hello(session, message.hello());
+    if (message.has_received()) {
+        if (const Task* task = session.find(message.received().id()))
+            record(EventKind::received, session, *task);
+    } else if (message.has_placed()) {
+        if (Task* task = session.find(message.placed().id()))
+            on_placed(session, *task, message.placed().worker());
+    } else if (message.has_rejected()) {
+        if (Task* task = session.find(message.rejected().id()))
+            on_rejected(session, *task, message.rejected());
+    } else if (message.has_failed()) {
+        if (Task* task = session.find(message.failed().id()))
+            on_failed(session, *task, message.failed().reason());
+    } else if (message.has_found()) {
+        if (Task* task = session.find(message.found().id()))
+            on_found(session, *task, message.found().worker());
+    } else if (message.has_ended()) {
+        if (Task* task = session.find(message.ended().id()))
+            on_ended(session, *task, message.ended().outcome());
     }
-    const auto find = [&s](std::uint64_t id) -> Task* {
-        const auto it = s.open.find(id);
-        return it == s.open.end() ? nullptr : it->second;
-    };
-    const auto note = [&](EventKind w, Task& t, std::string text = "") {
-        RecordedEvent l = line(w, s, t);
-        l.request = t.id;
-        l.text = std::move(text);
-        fleet_.seen.add(std::move(l));
-    };
-    const auto over = [&s](Task& t) {
-        s.open.erase(t.id);
-        t.id = 0;
-        t.at = nullptr;
-        t.node.clear();
-    };
-    if (m.has_received()) {
-        if (Task* t = find(m.received().id())) note(EventKind::taken, *t);
-    } else if (m.has_placed()) {
-        Task* t = find(m.placed().id());
-        if (!t) return;
-        note(EventKind::placed, *t, m.placed().worker());
-        t->node = m.placed().worker();
-        QueueGroupCounts& c = counts_[static_cast<std::size_t>(t->ask.group)];
-        if (t->first) {
-            ++c.accepted;
-            --waiting_;
-            c.in_time += now - t->due <=
-                         fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.start_objective;
-        }
-        t->first = false;
-    } else if (m.has_rejected()) {
-        Task* t = find(m.rejected().id());
-        if (!t) return;
-        note(EventKind::deferred, *t, m.rejected().reason());
-        ++counts_[static_cast<std::size_t>(t->ask.group)].rejected;
-        over(*t);
-        send_later(*t, std::max<Nanos>(m.rejected().retry_after(), kAgain));
-    } else if (m.has_failed()) {
-        Task* t = find(m.failed().id());
-        if (!t) return;
-        note(EventKind::killed, *t, m.failed().reason());
-        ++counts_[static_cast<std::size_t>(t->ask.group)].failed;
-        // It may run. What does no harm twice is asked for again; the rest waits to be found.
-        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect == Effect::idempotent) {
-            over(*t);
-            send_later(*t, kAgain);
-        } else {
-            t->may_run = true;
-            t->later = std::make_unique<ScheduledCall>([this, t] {
-                if (t->at) t->at->open.erase(t->id);
-                if (t->first) --waiting_;
-                ++counts_[static_cast<std::size_t>(t->ask.group)].abandoned;
-                tasks_.erase(t->ask.container);
-            });
-            fleet_.arm(*t->later, now + kSettle);
-        }
-    } else if (m.has_found()) {
-        Task* t = find(m.found().id());
-        if (!t || !t->may_run) return;
-        // It runs where a launch was given up: the same placer is asked to look after it.
-        t->later.reset();
-        over(*t);
-        t->node = m.found().worker();
-        if (t->first) --waiting_;
-        t->first = false;
-        t->may_run = false;
-        s.orphans.push_back(t);
-        hand_over(s);
-    } else if (m.has_ended()) {
-        Task* t = find(m.ended().id());
-        if (!t) return;
-        note(EventKind::over, *t, v1::TaskEnded::Outcome_Name(m.ended().outcome()));
-        over(*t);
-        if (m.ended().outcome() == v1::TaskEnded::COMPLETED ||
-            m.ended().outcome() == v1::TaskEnded::CANCELLED) {
-            tasks_.erase(t->ask.container);
-            return;
-        }
-        // Lost, moved or sent away: it is still wanted. One that must not run twice has run.
-        if (fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect ==
-                Effect::side_effecting &&
-            m.ended().outcome() != v1::TaskEnded::MIGRATED) {
-            tasks_.erase(t->ask.container);
-            return;
-        }
-        send_later(*t, m.ended().outcome() == v1::TaskEnded::MIGRATED ? 50 * kMillisecond
-                       : m.ended().outcome() == v1::TaskEnded::LOST   ? kSettle
-                                                                      : kAgain);
+}
+
+void EmulatedClient::on_hello(Session& session, const v1::Hello& hello) {
+    session.placer = hello.name() + "#" + std::to_string(hello.incarnation());
+    session.greeted = true;
+    hand_over(session);
+}
+
+void EmulatedClient::on_placed(Session& session, Task& task, const std::string& worker) {
+    record(EventKind::placed, session, task, worker);
+    task.worker = worker;
+    if (!std::exchange(task.first, false)) return;
+    QueueGroupCounts& counts = counts_of(task);
+    ++counts.accepted;
+    --waiting_;
+    counts.in_time += fleet_.now() - task.due <= group_of(task).start_objective;
+}
+
+void EmulatedClient::on_rejected(Session& session, Task& task, const v1::TaskRejected& rejected) {
+    record(EventKind::rejected, session, task, rejected.reason());
+    ++counts_of(task).rejected;
+    close_request(session, task);
+    retry_later(task, std::max<Nanos>(rejected.retry_after(), kRetryDelay));
+}
+
+// An attempt may run. What does no harm twice is submitted again; the rest waits to be found.
+void EmulatedClient::on_failed(Session& session, Task& task, const std::string& reason) {
+    record(EventKind::failed, session, task, reason);
+    ++counts_of(task).failed;
+    if (group_of(task).effect == Effect::idempotent) {
+        close_request(session, task);
+        return retry_later(task, kRetryDelay);
     }
+    task.may_run = true;
+    task.scheduled = std::make_unique<ScheduledCall>([this, &task] {
+        if (task.session) task.session->open.erase(task.id);
+        abandon(task);
+    });
+    fleet_.schedule(*task.scheduled, fleet_.now() + kSettleTime);
+}
+
+// It runs where an attempt was given up: the same placer is asked to look after it.
+void EmulatedClient::on_found(Session& session, Task& task, const std::string& worker) {
+    if (!task.may_run) return;
+    task.scheduled.reset();
+    close_request(session, task);
+    task.worker = worker;
+    if (task.first) --waiting_;
+    task.first = false;
+    task.may_run = false;
+    session.orphans.push_back(&task);
+    hand_over(session);
 }
 
-// The placer is gone, or only the connection. What had been placed runs on and is handed to the placer when
-// it is back; what waited is asked for again where that does no harm.
-void EmulatedClient::lost(Session& s) {
-    const bool was = s.greeted;
-    s.stream.reset();
-    s.greeted = false;
-    if (was) {
-        RecordedEvent l;
-        l.at = fleet_.loop.now();
-        l.kind = EventKind::placer_lost;
-        l.placer = s.placer;
-        fleet_.seen.add(l);
+void EmulatedClient::on_ended(Session& session, Task& task, v1::TaskEnded::Outcome outcome) {
+    record(EventKind::ended, session, task, v1::TaskEnded::Outcome_Name(outcome));
+    close_request(session, task);
+    const bool finished = outcome == v1::TaskEnded::COMPLETED || outcome == v1::TaskEnded::CANCELLED;
+    // Lost, migrated or evicted, it is still wanted; but one that must not run twice has run.
+    const bool must_not_repeat =
+        group_of(task).effect == Effect::side_effecting && outcome != v1::TaskEnded::MIGRATED;
+    if (finished || must_not_repeat) tasks_.erase(task.request.task);
+    else retry_later(task, delay_after(outcome));
+}
+
+// ---------------------------------------------------------------- lost connections
+
+// The placer is gone, or only the connection. What it had placed runs on, and is handed over to it when it is
+// back; what waited is submitted again where that does no harm.
+void EmulatedClient::on_connection_lost(Session& session) {
+    session.stream.reset();
+    if (std::exchange(session.greeted, false)) {
+        RecordedEvent event;
+        event.at = fleet_.now();
+        event.kind = EventKind::client_connection_lost;
+        event.placer = session.placer;
+        fleet_.events().add(std::move(event));
     }
-    std::vector<Task*> theirs;
-    for (const auto& [id, t] : s.open) theirs.push_back(t);
-    s.open.clear();
-    for (Task* t : theirs) {
-        t->id = 0;
-        t->at = nullptr;
-        if (!t->node.empty() && !t->first) {
-            s.orphans.push_back(t);
-            continue;
-        }
-        if (t->may_run) continue;  // its own clock runs
-        const bool harmless =
-            fleet_.groups[static_cast<std::size_t>(t->ask.group)].queue_group.effect == Effect::idempotent;
-        if (harmless) send_later(*t, kAgain);
-        else {
-            // Nobody knows whether it ran: it is left alone.
-            if (t->first) --waiting_;
-            ++counts_[static_cast<std::size_t>(t->ask.group)].abandoned;
-            tasks_.erase(t->ask.container);
-        }
+    for (const auto& [id, task] : std::exchange(session.open, {})) on_request_lost(session, *task);
+    if (!session.left) session.reconnect_later();
+}
+
+void EmulatedClient::on_request_lost(Session& session, Task& task) {
+    task.id = 0;
+    task.session = nullptr;
+    if (!task.worker.empty() && !task.first) {
+        session.orphans.push_back(&task);
+        return;
     }
-    if (s.away) return;
-    s.redial = std::make_unique<ScheduledCall>([&s] { s.dial(); });
-    fleet_.arm(*s.redial, fleet_.loop.now() + kRedial);
+    if (task.may_run) return;  // its settle time is running
+    if (group_of(task).effect == Effect::idempotent) return retry_later(task, kRetryDelay);
+    abandon(task);  // nobody knows whether it ran
 }
 
-void EmulatedClient::hand_over(Session& s) {
-    std::vector<Task*> now_theirs;
-    now_theirs.swap(s.orphans);
-    for (Task* t : now_theirs) {
-        t->id = next_id_++;
-        t->at = &s;
-        s.open[t->id] = t;
-        v1::FromClient m;
-        v1::SubmitTask& o = *m.mutable_hand_over()->mutable_submit();
-        o.set_id(t->id);
-        o.set_task(t->ask.container);
-        o.set_service(t->ask.service);
-        o.set_queue_group(fleet_.groups[static_cast<std::size_t>(t->ask.group)].name);
-        o.set_cores(t->ask.cores);
-        o.set_memory(t->ask.memory);
-        o.set_time_left(t->ask.queue_timeout);
-        o.set_expected_runtime(t->ask.life);
-        m.mutable_hand_over()->set_worker(t->node);
-        RecordedEvent l = line(EventKind::handed_over, s, *t);
-        l.request = t->id;
-        l.worker = t->node;
-        fleet_.seen.add(l);
-        s.send(m);
+void EmulatedClient::hand_over(Session& session) {
+    for (Task* task : std::exchange(session.orphans, {})) {
+        task->id = next_request_++;
+        task->session = &session;
+        session.open[task->id] = task;
+        v1::FromClient message;
+        *message.mutable_hand_over()->mutable_submit() = make_submit(*task, task->request.queue_timeout);
+        message.mutable_hand_over()->set_worker(task->worker);
+        record(EventKind::handed_over, session, *task);
+        session.send(message);
     }
 }
 
-void EmulatedClient::withdraw_some(std::size_t count) {
-    for (const auto& s : sessions_)
-        for (auto it = s->open.begin(); it != s->open.end() && count > 0;) {
-            Task& t = *it->second;
-            if (!t.node.empty() || t.may_run) {
+// ---------------------------------------------------------------- faults
+
+void EmulatedClient::cancel_some(std::size_t count) {
+    for (const auto& session : sessions_)
+        for (auto it = session->open.begin(); it != session->open.end() && count > 0;) {
+            Task& task = *it->second;
+            if (!task.worker.empty() || task.may_run) {
                 ++it;
                 continue;
             }
-            v1::FromClient m;
-            m.mutable_cancel()->set_id(t.id);
-            s->send(m);
-            RecordedEvent l = line(EventKind::withdrawn, *s, t);
-            l.request = t.id;
-            fleet_.seen.add(l);
-            it = s->open.erase(it);
+            v1::FromClient message;
+            message.mutable_cancel()->set_id(task.id);
+            session->send(message);
+            record(EventKind::cancelled, *session, task);
+            it = session->open.erase(it);
             --waiting_;
             --count;
-            tasks_.erase(t.ask.container);
+            tasks_.erase(task.request.task);
         }
 }
 
 void EmulatedClient::leave(std::size_t placer) {
-    Session& s = *sessions_[placer];
-    s.away = left_ = true;
-    s.stream.reset();
-    lost(s);
+    Session& session = *sessions_[placer];
+    session.left = has_left_ = true;
+    on_connection_lost(session);
 }
 
-void EmulatedClient::half_message(std::size_t placer) {
+void EmulatedClient::send_half_message(std::size_t placer) {
     if (sessions_[placer]->stream) sessions_[placer]->stream->write(std::string("\0\0\1\0\x0a", 5));
 }
 
-void EmulatedClient::read(std::size_t placer, bool on) {
+void EmulatedClient::set_reading(std::size_t placer, bool on) {
     if (sessions_[placer]->stream) sessions_[placer]->stream->set_reading(on);
 }
 
--- a/emulator/event_log.cpp
+++ b/emulator/event_log.cpp
@@ -4,8 +4,8 @@
 
 namespace whinpost::emulator {
 
-const char* to_string(EventKind w) {
-    static const char* const kWords[] = {"launch read",    "stop read",       "said accepted",
+const char* to_string(EventKind kind) {
+    static const char* const kTexts[] = {"launch read",    "stop read",       "said accepted",
                                          "said refused",   "said ended",      "began to run",
                                          "runs no more",   "said drains",     "fell over",
                                          "trouble begins", "trouble ends",    "connection lost",
@@ -14,22 +14,22 @@
                                          "placed",         "deferred",        "killed",
                                          "over",           "withdrawn",       "placer lost",
                                          "placer killed",  "placer stalled",  "placer well"};
-    return kWords[static_cast<std::size_t>(w)];
+    return kTexts[static_cast<std::size_t>(kind)];
 }
 
-std::string to_string(const RecordedEvent& l, Nanos start) {
-    char at[32];
-    std::snprintf(at, sizeof at, "%10.4f s  ", static_cast<double>(l.at - start) / 1e9);
-    std::string out = std::string(at) + to_string(l.kind);
-    const auto field = [&out](const char* key, const std::string& v) {
-        if (!v.empty()) out += std::string(" ") + key + "=" + v;
+std::string to_string(const RecordedEvent& event, Nanos start) {
+    char time[32];
+    std::snprintf(time, sizeof time, "%10.4f s  ", static_cast<double>(event.at - start) / 1e9);
+    std::string out = std::string(time) + to_string(event.kind);
+    const auto add_field = [&out](const char* key, const std::string& value) {
+        if (!value.empty()) out += std::string(" ") + key + "=" + value;
     };
-    field("placer", l.placer);
-    field("node", l.worker);
-    field("container", l.task);
-    if (l.request) field("ask", std::to_string(l.request));
-    if (l.attempt) field("launch", std::to_string(l.attempt));
-    field("", l.text);
+    add_field("placer", event.placer);
+    add_field("node", event.worker);
+    add_field("container", event.task);
+    if (event.request) add_field("ask", std::to_string(event.request));
+    if (event.attempt) add_field("launch", std::to_string(event.attempt));
+    add_field("", event.text);
     return out;
 }
 
--- a/emulator/invariant_checker.h
+++ b/emulator/invariant_checker.h
@@ -1,19 +1,20 @@
-// The five rules, checked from what nodes, list service and owners saw on their sockets. It knows nothing of
-// the placer's code and reads nothing that a placer says of itself.
+// Checks the five rules from what workers, clients and the discovery service saw on their sockets. It knows
+// nothing of the placer's code and reads nothing that a placer says of itself.
 //
-// Seen from outside, things come later than they were sent: by the network, and by what stalls a node or an
-// owner. What can't be told from outside for that reason is not held against the placer: a launch that a node
-// reads while the script has laid trouble on it (its kernel may have held it for long) is not timed.
+// Seen from outside, things come later than they were sent: by the network, and by what stalls a worker or a
+// client. What can't be told from outside for that reason is not held against the placer: an attempt that a
+// worker reads while the scenario has injected a fault into it (its kernel may have held it for long) is not
+// timed.
 #pragma once
 #include <string>
 #include <vector>
 
-#include "emulator/emulated_worker.h"
+#include "emulator/emulated_fleet.h"
 #include "emulator/event_log.h"
 
 namespace whinpost::emulator {
 
-struct WorkerLocation {  // of a node, for scopes
+struct WorkerLocation {
     std::string worker;
     int zone = 0, cell = 0;
 };
@@ -25,26 +26,30 @@
     Nanos slack = 50 * kMillisecond;  // for what a message takes, and a busy machine's scheduling
 };
 
+// The five rules: no task is lost, none runs twice where that does harm, none is sent to a worker that the
+// placer knows to drain, no worker is overloaded while it warms up, and services stay spread.
+enum class Rule { lost, twice, drain, overload, spread };
+
 struct Violation {
-    enum Rule { lost, twice, drain, pushed_over, spread } rule;
+    Rule rule;
     std::string what;
     RecordedEvent event;  // the one at which it shows
 };
 
 struct Verdict {
     std::vector<Violation> violations;
-    int count(Violation::Rule) const;
+    int count(Rule) const;
     bool kept() const { return violations.empty(); }
     std::string summary() const;  // "rules kept: lost 0, twice 0, drains 0, pushed over 0, spread 0"
 };
 
-// `end`: until when the record goes. What is still waiting then with time left is not judged.
-Verdict check_invariants(const EventLog&, const RuleSettings&, Nanos end);
+// `end`: of the record. What still waits then with time left is not held against anybody.
+[[nodiscard]] Verdict check_invariants(const EventLog&, const RuleSettings&, Nanos end);
 
-// One breach for people: what broke, where it shows, and the record of its container.
+// One violation for people: what broke, where it shows, and the record of its task.
 std::string describe(const EventLog&, const Violation&, Nanos start);
 
-// The record of one container, a line each.
-std::vector<std::string> history_of(const EventLog&, const std::string& container, Nanos start);
+// The record of one task, a line each.
+std::vector<std::string> history_of(const EventLog&, const std::string& task, Nanos start);
 
 }  // namespace whinpost::emulator
--- a/fuzz/configuration_files.cpp
+++ b/fuzz/configuration_files.cpp
@@ -1,7 +1,7 @@
 // Any text as a placer's file, as a shape to migrate one to, or as a scenario: values in range, or errors
 // that name the file; never a crash.
 #include "config/placer_file.h"
-#include "emulator/scenario_run.h"
+#include "emulator/scenario_parser.h"
 #include "migrate/migrate.h"
 
 using namespace whinpost;
--- a/simulation/run_report.h
+++ b/simulation/run_report.h
@@ -1,35 +1,46 @@
-// What a played scenario came to: worked out from what the stand-ins saw, and held against what the scenario
-// expects.
+// What a run came to: measured from what the emulated workers, clients and discovery service saw, and held
+// against what the scenario expects. How it is shown: report_table.h, report_json.h, report_plots.h.
 #pragma once
+#include <cstddef>
 #include <cstdint>
+#include <limits>
 #include <map>
 #include <optional>
 #include <string>
+#include <utility>
 #include <vector>
 
 #include "emulator/scenario_run.h"
 
 namespace whinpost::simulation {
 
-// One container of the day, from its owner's side. Times since the day's begin.
+// Times in all of these count from the begin of the run.
+
+// One task, from its client's side.
 struct TaskHistory {
     int group = 0;
-    Nanos asked = 0, until = 0;
-    Nanos placed = 0;  // 0: never, or after its owner gave up
-    int launches = 0;
+    Nanos submitted = 0, until = 0;  // until 0: no client submitted it
+    Nanos placed = 0;                // 0: never, or after its client gave up
+    int attempts = 0;
 };
 
 struct WorkerRow {
     std::string name;
     std::uint64_t attempts = 0, accepted = 0, rejected = 0, errors = 0, started = 0;
-    bool fell = false;
+    bool overloaded = false;
 };
 
-// One placer's knowledge of one node's drain.
+// One placer's knowledge of one worker's drain.
 struct DrainRow {
     std::string worker, placer;
     Nanos known_at = 0;
-    Nanos last_attempt_at = 0;  // the last launch of that placer that arrived there afterwards; 0: none
+    Nanos last_attempt_at = 0;  // the placer's last attempt that arrived there afterwards; 0: none
+};
+
+struct AttemptRow {
+    Nanos at;
+    std::size_t worker;  // index of its WorkerRow
+    bool rejected;
 };
 
 struct CheckedExpectation {
@@ -39,49 +50,68 @@
     double value = 0;
 };
 
+// A value of Metric::recovery_time: service did not recover.
+inline constexpr double kNever = std::numeric_limits<double>::infinity();
+
 class RunReport {
 public:
-    // `digest`: of all bytes that were delivered, where the run was in virtual time.
+    // The run must outlive the report. `digest`: of all bytes that were delivered, if it was in virtual time.
     RunReport(const emulator::ScenarioRun&, const emulator::RunResult&,
               std::optional<std::uint64_t> digest = {});
 
-    const std::vector<WorkerRow>& workers() const { return nodes_; }
+    const emulator::ScenarioRun& run() const { return run_; }
+    const emulator::RunResult& result() const { return result_; }
+    const std::vector<WorkerRow>& workers() const { return workers_; }
     const std::vector<DrainRow>& drains() const { return drains_; }
-    const std::vector<CheckedExpectation>& expectations() const { return checked_; }
+    const std::vector<AttemptRow>& attempts() const { return attempts_; }
+    const std::vector<CheckedExpectation>& expectations() const { return expectations_; }
     bool expectations_met() const;
-    // The digest as sixteen hex digits; empty where there is none.
+    // Sixteen hex digits; empty if there is none.
     std::string digest() const;
-    // Share of the service that was wanted in [from, to), of a group or of all (-1); below 0: none was
+    // Share of the service that was wanted in [from, to), of a group or of all (-1). Below 0: none was
     // wanted.
     double service(int group, Nanos from, Nanos to) const;
-    std::string table() const;
-    std::string json() const;
-    // Writes report.json and the data and script of the plots; gives back what was written. Throws where it
-    // can't.
-    std::vector<std::string> write(const std::string& dir) const;
 
 private:
-    void read();
+    std::size_t row_of(const std::string& worker);
+    void observe(const emulator::RecordedEvent&);
+    void observe_client(const emulator::RecordedEvent&, Nanos at);
+    void observe_attempt(const emulator::RecordedEvent&, Nanos at);
+    void observe_task(const emulator::RecordedEvent&);
+    void observe_drain(const emulator::RecordedEvent&, Nanos at);
+
+    struct Measurement {
+        double value = 0;
+        bool known = true;
+    };
     CheckedExpectation check(const emulator::Expectation&) const;
+    Measurement measure(const emulator::Expectation&) const;
+    Measurement measure_tasks(const emulator::Expectation&) const;
+    Measurement measure_attempts_per_task(const emulator::Expectation&) const;
+    Measurement measure_rejected(const emulator::Expectation&) const;
+    Measurement measure_busiest(const emulator::Expectation&) const;
+    Measurement measure_worst_second(const emulator::Expectation&) const;
+    Measurement measure_recovery_time(const emulator::Expectation&) const;
+    Measurement measure_drain_lag(const emulator::Expectation&) const;
 
-    const emulator::ScenarioRun& play_;
-    const emulator::Scenario& plan_;
-    emulator::RunResult outcome_;
+    const emulator::ScenarioRun& run_;
+    const emulator::Scenario& scenario_;
+    emulator::RunResult result_;
     std::optional<std::uint64_t> digest_;
-    std::map<std::string, TaskHistory> courses_;
-    std::vector<WorkerRow> nodes_;
+    std::map<std::string, TaskHistory> tasks_;
+    std::vector<WorkerRow> workers_;
     std::vector<DrainRow> drains_;
-    struct Sent {
-        Nanos at;
-        std::size_t node;
-        bool refused;
-    };
-    std::vector<Sent> sent_;
+    std::vector<AttemptRow> attempts_;
     std::vector<Nanos> wrongly_lost_;
-    std::vector<CheckedExpectation> checked_;
+    std::vector<CheckedExpectation> expectations_;
+    // Only while the events are read.
+    std::map<std::string, std::size_t> worker_rows_;
+    std::map<std::pair<std::string, std::uint64_t>, std::size_t> attempt_rows_;  // by placer, number
+    std::map<std::pair<std::string, std::string>, std::size_t> open_drains_;     // by placer, worker
+    std::map<std::string, std::vector<std::string>> running_;                    // by task: its workers
 };
 
-// All that concerns one node, a line each.
-std::vector<std::string> worker_history_of(const emulator::EventLog&, const std::string& node, Nanos start);
+// All that concerns one worker, a line each.
+std::vector<std::string> worker_history_of(const emulator::EventLog&, const std::string& worker, Nanos start);
 
 }  // namespace whinpost::simulation
--- a/simulation/scenario_generator.cpp
+++ b/simulation/scenario_generator.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "emulator/scenario_run.h"
+#include "emulator/scenario_parser.h"
 
 namespace whinpost::simulation {
 
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -1,78 +1,101 @@
 #include "simulation/simulated_environment.h"
 
 #include <stdexcept>
+#include <utility>
 
 namespace whinpost::simulation {
 
-SimulatedEnvironment::SimulatedEnvironment(SimulatedNetwork& w, std::size_t placers,
+namespace {
+
+constexpr std::size_t kPlacersPerSubnet = 250;
+// Stands for the discovery service in the placers' files, which take IP addresses only.
+constexpr const char* kDiscoveryIpAddress = "10.255.0.1:1";
+constexpr int kLongestRun = 24 * 3600;  // seconds
+
+std::string placer_file(const std::string& configuration, const std::string& discovery_address) {
+    std::string text = configuration;
+    const std::string address = "address = \"" + discovery_address + "\"";
+    text.replace(text.find(address), address.size(),
+                 std::string("address = \"") + kDiscoveryIpAddress + "\"");
+    if (text.find("[log]") == std::string::npos) text += "\n[log]\nlevel = \"off\"\n";
+    return text;
+}
+
+}  // namespace
+
+SimulatedEnvironment::SimulatedEnvironment(SimulatedNetwork& network, std::size_t placers,
                                            std::vector<std::string> zones)
-    : world_(w), script_(&w.process("script")), zones_(std::move(zones)), processes_(placers),
-      placers_(placers) {}
+    : network_(network), scenario_process_(&network.process("script")), zones_(std::move(zones)),
+      placer_processes_(placers), placers_(placers) {}
 
 SimulatedEnvironment::~SimulatedEnvironment() = default;
 
-net::EventLoop& SimulatedEnvironment::worker_loop(const std::string& node, int zone) {
-    SimulatedProcess*& p = nodes_[node];
-    if (!p || !p->alive()) p = &world_.process(node, zone);
-    return *p;
+net::EventLoop& SimulatedEnvironment::worker_loop(const std::string& worker, int zone) {
+    SimulatedProcess*& process = worker_processes_[worker];
+    if (!process || !process->alive()) process = &network_.process(worker, zone);
+    return *process;
 }
 
-// The simulated network knows no addresses but a placer's file does: these are read as IP addresses and stand
-// for hosts.
-std::string SimulatedEnvironment::placer_address(std::size_t i) {
-    return "10.0." + std::to_string(i / 250) + "." + std::to_string(i % 250 + 1) + ":7400";
+// The simulated network takes any text for a host, but a placer's file takes IP addresses only.
+std::string SimulatedEnvironment::placer_address(std::size_t placer) {
+    return "10.0." + std::to_string(placer / kPlacersPerSubnet) + "." +
+           std::to_string(placer % kPlacersPerSubnet + 1) + ":7400";
 }
 
-void SimulatedEnvironment::start_placer(std::size_t i, const std::string& file) {
-    const std::string at = placer_address(i);
-    processes_[i] = &world_.process(at.substr(0, at.find(':')), static_cast<int>(i % zones_.size()));
-    // The list's address is a host's name here.
-    std::string text = file;
-    const std::string list = "address = \"" + discovery_address() + "\"";
-    text.replace(text.find(list), list.size(), "address = \"10.255.0.1:1\"");
-    if (text.find("[log]") == std::string::npos) text += "\n[log]\nlevel = \"off\"\n";
-    config::Document document = config::Document::parse(text, "placer-" + std::to_string(i));
+void SimulatedEnvironment::start_placer(std::size_t number, const std::string& configuration) {
+    const std::string address = placer_address(number);
+    const std::string host = address.substr(0, address.find(':'));
+    placer_processes_[number] = &network_.process(host, static_cast<int>(number % zones_.size()));
+    config::Document document = config::Document::parse(placer_file(configuration, discovery_address()),
+                                                        "placer-" + std::to_string(number));
     ++incarnations_;
-    auto placer = apps::EmbeddedPlacer::make(*processes_[i], document,
-                                             {i * 1000 + incarnations_, incarnations_, ledger});
-    if (!placer) throw std::runtime_error(to_string(placer.error().at(0)));
-    placers_[i] = std::move(*placer);
-    placers_[i]->discovery_address = discovery_address();
-    if (made) made(i, *placers_[i]);
-    if (const auto listening = placers_[i]->start(); !listening)
-        throw std::runtime_error(placers_[i]->listen_address + ": " + to_string(listening.error()));
+    auto made = apps::EmbeddedPlacer::make(*placer_processes_[number], document,
+                                           {number * 1000 + incarnations_, incarnations_, make_ledger});
+    if (!made) throw std::runtime_error(to_string(made.error().at(0)));
+    placers_[number] = std::move(*made);
+    apps::EmbeddedPlacer& placer = *placers_[number];
+    placer.discovery_address = discovery_address();
+    if (on_placer_made) on_placer_made(number, placer);
+    if (const auto listening = placer.start(); !listening)
+        throw std::runtime_error(placer.listen_address + ": " + to_string(listening.error()));
+}
+
+void SimulatedEnvironment::kill_placer(std::size_t placer) {
+    network_.kill(*placer_processes_[placer]);
+    placers_[placer].reset();
 }
 
-void SimulatedEnvironment::kill_placer(std::size_t i) {
-    world_.kill(*processes_[i]);
-    placers_[i].reset();
+void SimulatedEnvironment::stall_placer(std::size_t placer, bool stalled) {
+    if (stalled) network_.stall(*placer_processes_[placer]);
+    else network_.resume(*placer_processes_[placer]);
 }
 
-void SimulatedEnvironment::stall_placer(std::size_t i, bool on) {
-    if (on) world_.stall(*processes_[i]);
-    else world_.resume(*processes_[i]);
+void SimulatedEnvironment::on_worker_killed(const std::string& worker) {
+    const auto it = worker_processes_.find(worker);
+    if (it != worker_processes_.end()) network_.kill(*it->second);
 }
 
-void SimulatedEnvironment::on_worker_killed(const std::string& node) {
-    if (const auto it = nodes_.find(node); it != nodes_.end()) world_.kill(*it->second);
+bool SimulatedEnvironment::cut(const std::string& worker, bool input, bool output) {
+    network_.cut_host(worker, input, output);
+    return true;
 }
 
-NetworkDelays network_delays(const emulator::Scenario& plan) {
-    const emulator::Scenario::NetworkSettings& n = plan.network;
-    return {n.least, n.spread, n.late_share, n.late};
+NetworkDelays network_delays(const emulator::Scenario& scenario) {
+    const emulator::Scenario::NetworkSettings& network = scenario.network;
+    return {network.least, network.spread, network.late_share, network.late};
 }
 
-emulator::RunResult run_to_end(SimulatedNetwork& world, emulator::ScenarioRun& day) {
-    emulator::RunResult out;
-    bool over = false;
-    const std::string wrong = day.start([&](const emulator::RunResult& o) {
-        out = o;
-        over = true;
+emulator::RunResult run_to_end(SimulatedNetwork& network, emulator::ScenarioRun& run) {
+    emulator::RunResult result;
+    bool done = false;
+    const auto started = run.start([&](const emulator::RunResult& outcome) {
+        result = outcome;
+        done = true;
     });
-    if (!wrong.empty()) throw std::runtime_error(wrong);
-    for (int second = 0; !over && second < 24 * 3600; ++second) world.run_until(world.now() + kSecond);
-    if (!over) throw std::runtime_error("the day does not end");
-    return out;
+    if (!started) throw std::runtime_error(to_string(started.error()));
+    for (int second = 0; !done && second < kLongestRun; ++second) network.run_until(network.now() + kSecond);
+    if (!done) throw std::runtime_error("the day does not end");
+    return result;
 }
 
 }  // namespace whinpost::simulation
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -1,5 +1,7 @@
-// A scripted day in virtual time: every node and placer a process of its own on the simulated network.
+// A scenario in virtual time: every worker and placer is a process of its own on the simulated network.
 #pragma once
+#include <cstdint>
+#include <functional>
 #include <map>
 #include <memory>
 #include <string>
@@ -13,43 +15,43 @@
 
 class SimulatedEnvironment final : public emulator::TestEnvironment {
 public:
+    // The network must outlive the environment.
     SimulatedEnvironment(SimulatedNetwork&, std::size_t placers, std::vector<std::string> zones);
     ~SimulatedEnvironment() override;
-    net::EventLoop& loop() override { return *script_; }
-    net::EventLoop& worker_loop(const std::string& node, int zone) override;
-    std::string worker_address(const std::string& node) override { return node + ":1"; }
+
+    net::EventLoop& loop() override { return *scenario_process_; }
+    net::EventLoop& worker_loop(const std::string& worker, int zone) override;
+    std::string worker_address(const std::string& worker) override { return worker + ":1"; }
     std::string discovery_address() override { return "script:1"; }
-    std::string placer_address(std::size_t i) override;
-    void start_placer(std::size_t, const std::string& file) override;
-    void kill_placer(std::size_t) override;
-    void stall_placer(std::size_t, bool) override;
-    void on_worker_killed(const std::string&) override;
-    std::string dead_address(std::size_t i) override { return "nowhere-" + std::to_string(i) + ":1"; }
-    bool cut(const std::string& node, bool in, bool out) override {
-        world_.cut_host(node, in, out);
-        return true;
+    std::string dead_address(std::size_t number) override {
+        return "nowhere-" + std::to_string(number) + ":1";
     }
-
-    apps::EmbeddedPlacer* placer(std::size_t i) { return placers_[i].get(); }
-    SimulatedProcess& placer_process(std::size_t i) { return *processes_[i]; }
-    // To change a placer before it starts: a test's own planner or ledger.
-    std::function<void(std::size_t, apps::EmbeddedPlacer&)> made;
-    apps::LedgerFactory ledger;
+    std::string placer_address(std::size_t placer) override;
+    void start_placer(std::size_t placer, const std::string& configuration) override;
+    void kill_placer(std::size_t placer) override;
+    void stall_placer(std::size_t placer, bool stalled) override;
+    void on_worker_killed(const std::string& worker) override;
+    bool cut(const std::string& worker, bool input, bool output) override;
+
+    // For tests: called with each placer before it starts, which may give it another planner.
+    std::function<void(std::size_t, apps::EmbeddedPlacer&)> on_placer_made;
+    // For tests: makes another ledger than the program's.
+    apps::LedgerFactory make_ledger;
 
 private:
-    SimulatedNetwork& world_;
-    SimulatedProcess* script_;
+    SimulatedNetwork& network_;
+    SimulatedProcess* scenario_process_;
     std::vector<std::string> zones_;
-    std::vector<SimulatedProcess*> processes_;
+    std::vector<SimulatedProcess*> placer_processes_;
     std::vector<std::unique_ptr<apps::EmbeddedPlacer>> placers_;
-    std::map<std::string, SimulatedProcess*> nodes_;
+    std::map<std::string, SimulatedProcess*> worker_processes_;
     std::uint64_t incarnations_ = 0;
 };
 
-// Of the network that the plan asks for.
+// Of the network that the scenario asks for.
 NetworkDelays network_delays(const emulator::Scenario&);
 
-// Plays a whole day; gives back its outcome. `steps` at most, to end what would not.
+// Runs a scenario to its end. Throws std::runtime_error if it can't start or does not end.
 emulator::RunResult run_to_end(SimulatedNetwork&, emulator::ScenarioRun&);
 
 }  // namespace whinpost::simulation
--- a/simulation/socket_environment.cpp
+++ b/simulation/socket_environment.cpp
@@ -9,20 +9,32 @@
 #include <cstring>
 #include <fstream>
 #include <stdexcept>
+#include <utility>
 
 namespace whinpost::simulation {
 
+namespace {
+
+constexpr int kMaxDescriptors = 4096;
+constexpr int kExecFailed = 127;  // as a shell's
+
+std::runtime_error system_error(const char* call) {
+    return std::runtime_error(std::string(call) + ": " + std::strerror(errno));
+}
+
+}  // namespace
+
 SocketEnvironment::SocketEnvironment(net::LibeventLoop& loop, std::string program, std::string dir,
                                      std::size_t placers)
     : loop_(loop), program_(std::move(program)), dir_(std::move(dir)), addresses_(placers),
       children_(placers, 0) {
-    // A restarted placer must be found where it was: its port is chosen once. Each is held until its placer
-    // starts: let go before, it was given to a node that asked for any port, and owners met that.
-    for (std::string& a : addresses_) {
+    // A restarted placer must be found where it was: its port is chosen once. Each is reserved until its
+    // placer starts: let go before, it was given to a worker that asked for any port, and clients met that.
+    for (std::string& address : addresses_) {
         auto listener = loop.listen("127.0.0.1:0", [](std::unique_ptr<net::Stream>) {});
         if (!listener) throw std::runtime_error("no port can be had: " + to_string(listener.error()));
-        held_.push_back(std::move(*listener));
-        a = held_.back()->address();
+        reserved_ports_.push_back(std::move(*listener));
+        address = reserved_ports_.back()->address();
     }
 }
 
@@ -30,60 +42,66 @@
     for (std::size_t i = 0; i < children_.size(); ++i) kill_placer(i);
 }
 
-void SocketEnvironment::start_placer(std::size_t i, const std::string& file) {
-    const std::string path = dir_ + "/placer-" + std::to_string(i) + ".toml";
-    std::ofstream(path) << file;
-    const std::string log = dir_ + "/placer-" + std::to_string(i) + ".log";
-    held_[i].reset();
-    // Until the child has started its program it holds copies of all ports that are still held: the next
+void SocketEnvironment::start_placer(std::size_t placer, const std::string& configuration) {
+    const std::string path = dir_ + "/placer-" + std::to_string(placer);
+    std::ofstream(path + ".toml") << configuration;
+    reserved_ports_[placer].reset();
+    children_[placer] = fork_placer(path + ".toml", path + ".log");
+}
+
+pid_t SocketEnvironment::fork_placer(const std::string& configuration_path, const std::string& log_path) {
+    // Until the child has started its program it holds copies of all ports that are still reserved: the next
     // placer would find its own in use. The pipe closes when it has.
     int started[2];
-    if (pipe2(started, O_CLOEXEC) != 0)
-        throw std::runtime_error(std::string("pipe: ") + std::strerror(errno));
+    if (pipe2(started, O_CLOEXEC) != 0) throw system_error("pipe");
     const pid_t child = fork();
-    if (child < 0) throw std::runtime_error(std::string("fork: ") + std::strerror(errno));
-    if (child == 0) {
-        const int to = open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
-        if (to >= 0) {
-            dup2(to, 1);
-            dup2(to, 2);
-        }
-        for (int fd = 3; fd < 4096; ++fd)
-            if (fd != started[1]) close(fd);  // the stand-ins' sockets are not the child's
-        execl(program_.c_str(), program_.c_str(), "run", path.c_str(), static_cast<char*>(nullptr));
-        _exit(127);
-    }
+    if (child < 0) throw system_error("fork");
+    if (child == 0) exec_placer(configuration_path, log_path, started[1]);
     close(started[1]);
-    char none = 0;
-    while (read(started[0], &none, 1) < 0 && errno == EINTR) {
+    char ignored = 0;
+    while (read(started[0], &ignored, 1) < 0 && errno == EINTR) {
     }
     close(started[0]);
-    children_[i] = child;
+    return child;
+}
+
+void SocketEnvironment::exec_placer(const std::string& configuration_path, const std::string& log_path,
+                                    int started_pipe) {
+    const int log = open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
+    if (log >= 0) {
+        dup2(log, STDOUT_FILENO);
+        dup2(log, STDERR_FILENO);
+    }
+    for (int fd = STDERR_FILENO + 1; fd < kMaxDescriptors; ++fd)
+        if (fd != started_pipe) close(fd);  // the emulator's sockets are not the child's
+    execl(program_.c_str(), program_.c_str(), "run", configuration_path.c_str(), static_cast<char*>(nullptr));
+    _exit(kExecFailed);
 }
 
-void SocketEnvironment::kill_placer(std::size_t i) {
-    if (!children_[i]) return;
-    ::kill(children_[i], SIGKILL);
+void SocketEnvironment::kill_placer(std::size_t placer) {
+    if (!children_[placer]) return;
+    ::kill(children_[placer], SIGKILL);
     int status = 0;
-    waitpid(children_[i], &status, 0);
-    children_[i] = 0;
+    waitpid(children_[placer], &status, 0);
+    children_[placer] = 0;
 }
 
-void SocketEnvironment::stall_placer(std::size_t i, bool on) {
-    if (children_[i]) ::kill(children_[i], on ? SIGSTOP : SIGCONT);
+void SocketEnvironment::stall_placer(std::size_t placer, bool stalled) {
+    if (children_[placer]) ::kill(children_[placer], stalled ? SIGSTOP : SIGCONT);
 }
 
 std::size_t SocketEnvironment::end_all() {
-    std::size_t clean = 0;
-    for (const pid_t c : children_)
-        if (c) ::kill(c, SIGTERM);
-    for (pid_t& c : children_) {
-        if (!c) continue;
+    for (const pid_t child : children_)
+        if (child) ::kill(child, SIGTERM);
+    std::size_t clean_exits = 0;
+    for (pid_t& child : children_) {
+        if (!child) continue;
         int status = 0;
-        if (waitpid(c, &status, 0) == c && WIFEXITED(status) && WEXITSTATUS(status) == 0) ++clean;
-        c = 0;
+        if (waitpid(child, &status, 0) == child && WIFEXITED(status) && WEXITSTATUS(status) == 0)
+            ++clean_exits;
+        child = 0;
     }
-    return clean;
+    return clean_exits;
 }
 
 }  // namespace whinpost::simulation
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -15,7 +15,7 @@
 
 #include "config/placer_file.h"
 #include "config/toml.h"
-#include "emulator/scenario_run.h"
+#include "emulator/scenario_parser.h"
 #include "migrate/migrate.h"
 #include "net/stream.h"
 #include "platform/bootstrap_config.h"
@@ -394,11 +394,13 @@
     values.add("spread", plan.network.spread).add("late", plan.network.late);
     values.add("late share", plan.network.late_share).add("launches", plan.retry.max_attempts);
     const emulator::EmulatedWorkerSettings& node = plan.worker;
-    values.add("judge", node.judge).add("line", node.line).add("starts", node.starts);
-    values.add("start", node.start).add("without program", node.without_program);
-    values.add("program kept", node.program_kept).add("gives turns", node.gives_turns);
-    values.add("drawn starts", node.drawn_starts).add("reports", node.reports);
-    values.add("sends away every", node.sends_away_every).add("report every", node.report_every);
+    values.add("judge", node.admission_time)
+        .add("line", node.queue_limit)
+        .add("starts", node.concurrent_starts);
+    values.add("start", node.start_time).add("without program", node.missing_image_factor);
+    values.add("program kept", node.image_kept_for).add("gives turns", node.issues_tokens);
+    values.add("drawn starts", node.random_start_time).add("reports", node.reports_load);
+    values.add("sends away every", node.drain_interval).add("report every", node.report_interval);
     for (const emulator::NamedQueueGroup& g : plan.groups) values.add("group", g.name);
     for (const emulator::LoadProfile& load : plan.loads) {
         values.add("load group", load.group).add("a second", load.per_second).add("services", load.services);
@@ -409,9 +411,9 @@
     }
     for (const emulator::Fault& fault : plan.faults) {
         values.add("fault", static_cast<int>(fault.kind)).add("at", fault.at).add("lasts", fault.duration);
-        for (const std::size_t i : fault.nodes) values.add("fault node", i);
+        for (const std::size_t i : fault.workers) values.add("fault node", i);
         values.add("which", fault.target).add("size", fault.size).add("tell", fault.announce);
-        values.add("fault group", fault.group).add("in", fault.in).add("out", fault.out);
+        values.add("fault group", fault.group).add("in", fault.blocks_input).add("out", fault.blocks_output);
     }
     for (const emulator::Expectation& expect : plan.expectations) {
         values.add("expect", emulator::to_string(expect.metric)).add("expect group", expect.group);
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -3,7 +3,7 @@
 #include <vector>
 
 #include "config/placer_file.h"
-#include "emulator/scenario_run.h"
+#include "emulator/scenario_parser.h"
 
 using namespace whinpost;
 
--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -15,8 +15,9 @@
     explicit Line1(emulator::EmulatedWorkerSettings terms, std::uint64_t seed = 1, int priorities = 1)
         : world(seed), host(world.process("node")), client(world.process("client")),
           fleet(host, seen, groups(priorities), seed), chance(static_cast<unsigned>(seed) + 77) {
-        node = std::make_unique<emulator::EmulatedWorker>(fleet, host, "n", 0, 0, terms, 1, 0);
-        REQUIRE(node->listen("node:1").empty());
+        node = std::make_unique<emulator::EmulatedWorker>(fleet, host, emulator::WorkerIdentity{"n", 0, 0, 1},
+                                                          terms, 0);
+        REQUIRE(node->listen("node:1"));
         peer.stream = client.dial("node:1", peer);
         run(10 * kMillisecond);
         v1::ToWorker m;
@@ -119,11 +120,11 @@
     emulator::EmulatedWorkerSettings t;
     t.cores = 1e6;
     t.memory = 1e6;
-    t.line = 1'000'000;
-    t.starts = 100'000;
-    t.start = kMillisecond;
-    t.without_program = 1;
-    t.note_every = 3600 * kSecond;
+    t.queue_limit = 1'000'000;
+    t.concurrent_starts = 100'000;
+    t.start_time = kMillisecond;
+    t.missing_image_factor = 1;
+    t.usage_interval = 3600 * kSecond;
     return t;
 }
 
@@ -131,10 +132,11 @@
 
 TEST_CASE("the line of asks is M/D/1: one server, always the same time") {
     emulator::EmulatedWorkerSettings terms = roomy();
-    terms.judge = 200 * kMillisecond;
+    terms.admission_time = 200 * kMillisecond;
     Line1 t(terms);
     t.stream(60'000, 3.5, 0.001);
-    const Estimate e = batches(t.between(emulator::EventKind::launch, emulator::EventKind::accepted));
+    const Estimate e =
+        batches(t.between(emulator::EventKind::attempt_received, emulator::EventKind::attempt_accepted));
     const double rho = 0.7, wait = rho * 0.2 / (2 * (1 - rho));
     INFO("mean " << e.mean << " s, 95% within " << e.half << "; by the formula " << wait + 0.2);
     CHECK(std::abs(e.mean - 0.2 - wait) < 0.03 * wait + e.half);
@@ -144,13 +146,14 @@
 
 TEST_CASE("starts are M/M/c: so many at a time, each for a drawn time") {
     emulator::EmulatedWorkerSettings terms = roomy();
-    terms.judge = 0;
-    terms.starts = 3;
-    terms.start = 600 * kMillisecond;
-    terms.drawn_starts = true;
+    terms.admission_time = 0;
+    terms.concurrent_starts = 3;
+    terms.start_time = 600 * kMillisecond;
+    terms.random_start_time = true;
     Line1 t(terms, 2);
     t.stream(150'000, 3.5, 0.001);
-    const Estimate e = batches(t.between(emulator::EventKind::accepted, emulator::EventKind::started));
+    const Estimate e =
+        batches(t.between(emulator::EventKind::attempt_accepted, emulator::EventKind::task_started));
     const double load = 2.1, rho = load / 3, b = erlang_b(3, load);
     const double c = b / (1 - rho * (1 - b)), whole = c / (3 / 0.6 - 3.5) + 0.6;
     INFO("mean " << e.mean << " s, 95% within " << e.half << "; by Erlang's C " << whole);
@@ -160,12 +163,12 @@
 
 TEST_CASE("a full node turns away as Erlang's loss formula says") {
     emulator::EmulatedWorkerSettings terms = roomy();
-    terms.judge = 0;
+    terms.admission_time = 0;
     terms.cores = 8;
-    terms.cores_multiple = 1;
+    terms.cores_overcommit = 1;
     Line1 t(terms, 3);
     t.stream(60'000, 3, 2);
-    const double loss = static_cast<double>(t.count(emulator::EventKind::refused)) / 60'000;
+    const double loss = static_cast<double>(t.count(emulator::EventKind::attempt_rejected)) / 60'000;
     const double formula = erlang_b(8, 6);
     INFO("lost " << loss << ", by the formula " << formula);
     CHECK(std::abs(loss - formula) < 0.03 * formula);
@@ -173,53 +176,53 @@
 
 TEST_CASE("what a node plays when it is paused, deaf or mute, and let have a rate") {
     emulator::EmulatedWorkerSettings terms = roomy();
-    terms.judge = kMillisecond;
+    terms.admission_time = kMillisecond;
     Line1 t(terms, 4, 2);
     emulator::ActiveFaults f;
     const auto answers = [&t] { return t.peer.count(&v1::FromWorker::has_accepted); };
     SECTION("paused: nothing moves, and then all of it does") {
         f.paused = true;
-        t.node->set(f);
+        t.node->set_faults(f);
         t.launch(5);
         t.run(2 * kSecond);
-        CHECK(t.count(emulator::EventKind::launch) == 0);
-        t.node->set({});
+        CHECK(t.count(emulator::EventKind::attempt_received) == 0);
+        t.node->set_faults({});
         t.run(kSecond);
         CHECK(answers() == 1);
-        CHECK(t.count(emulator::EventKind::started) == 1);
+        CHECK(t.count(emulator::EventKind::task_started) == 1);
     }
     SECTION("mute: it goes on working, and its words come late") {
-        f.mute = true;
-        t.node->set(f);
+        f.output_blocked = true;
+        t.node->set_faults(f);
         t.launch(5);
         t.run(2 * kSecond);
-        CHECK(t.count(emulator::EventKind::started) == 1);
+        CHECK(t.count(emulator::EventKind::task_started) == 1);
         CHECK(answers() == 0);
-        t.node->set({});
+        t.node->set_faults({});
         t.run(kSecond);
         CHECK(answers() == 1);
     }
     SECTION("deaf: it hears nothing and still speaks") {
         t.launch(1);
         t.run(100 * kMillisecond);
-        f.deaf = true;
-        t.node->set(f);
+        f.input_blocked = true;
+        t.node->set_faults(f);
         t.launch(1);
         t.run(3 * kSecond);
-        CHECK(t.count(emulator::EventKind::launch) == 1);
+        CHECK(t.count(emulator::EventKind::attempt_received) == 1);
         CHECK(t.peer.count(&v1::FromWorker::has_ended) == 1);
-        t.node->set({});
+        t.node->set_faults({});
         t.run(kSecond);
-        CHECK(t.count(emulator::EventKind::launch) == 2);
+        CHECK(t.count(emulator::EventKind::attempt_received) == 2);
     }
     SECTION("a rate: of one group so many a second, whatever room there is") {
-        f.rate_group = 1;
-        f.rate = 2;
-        t.node->set(f);
+        f.limited_group = 1;
+        f.accepted_per_second = 2;
+        t.node->set_faults(f);
         for (int i = 0; i < 6; ++i) t.launch(5, 1, i % 2);
         t.run(200 * kMillisecond);
         CHECK(answers() == 5);
-        CHECK(t.count(emulator::EventKind::refused) == 1);
+        CHECK(t.count(emulator::EventKind::attempt_rejected) == 1);
         t.run(kSecond);
         t.launch(5, 1, 1);
         t.run(200 * kMillisecond);
@@ -231,33 +234,33 @@
     "crowded cores serve less, by the queue group's own curve; swelling and other programs crowd them") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.cores = 10;
-    terms.cores_multiple = 10;
+    terms.cores_overcommit = 10;
     Line1 t(terms, 5);
     for (int i = 0; i < 8; ++i) t.launch(100);
     t.run(kSecond);
     const auto share = [&t] {
         std::vector<double> running(1), served(1);
-        t.node->serves(running, served);
+        t.node->add_service(running, served);
         REQUIRE(running[0] == 8);
         return served[0] / running[0];
     };
     CHECK(share() == 1);
-    t.fleet.swell[0] = 2.5;
-    t.node->set({});
+    t.fleet.set_use_factor(0, 2.5);
+    t.node->set_faults({});
     const double swollen = share();
     CHECK(swollen < 1);
     emulator::ActiveFaults f;
     f.other_cores = 5;
-    t.node->set(f);
+    t.node->set_faults(f);
     CHECK(share() < swollen);
-    t.fleet.swell[0] = 1;
-    t.node->set({});
+    t.fleet.set_use_factor(0, 1);
+    t.node->set_faults({});
     CHECK(share() == 1);
 }
 
 TEST_CASE("a launch that is read or judged after its time never begins") {
     emulator::EmulatedWorkerSettings terms = roomy();
-    terms.judge = 100 * kMillisecond;
+    terms.admission_time = 100 * kMillisecond;
     Line1 t(terms, 6);
     v1::ToWorker m;
     v1::StartAttempt& l = *m.mutable_start_attempt();
@@ -275,6 +278,6 @@
     l.set_not_after(clock + kSecond);
     t.peer.send(m);
     t.run(kSecond);
-    CHECK(t.count(emulator::EventKind::refused) == 2);
-    CHECK(t.count(emulator::EventKind::started) == 1);
+    CHECK(t.count(emulator::EventKind::attempt_rejected) == 2);
+    CHECK(t.count(emulator::EventKind::task_started) == 1);
 }
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -2,11 +2,12 @@
 // allows all. The same planner over the program's own ledger breaks nothing.
 #include <catch2/catch.hpp>
 
+#include "emulator/scenario_parser.h"
 #include "simulation/simulated_environment.h"
 #include "support/quiet_planner.h"
 
 using namespace whinpost;
-using emulator::Violation;
+using emulator::Rule;
 
 namespace {
 
@@ -107,10 +108,10 @@
     simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
     std::vector<std::unique_ptr<Rogue>> rogues;
     if (lax)
-        ground.ledger = [does](std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c) {
+        ground.make_ledger = [does](std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c) {
             return std::make_unique<Lax>(std::move(g), t, c, does == Does::says_nothing);
         };
-    ground.made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
+    ground.on_placer_made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
         rogues.push_back(std::make_unique<Rogue>(placer.edge, does));
         placer.edge.set_planner(*rogues.back());
     };
@@ -122,12 +123,11 @@
 
 TEST_CASE(
     "each rule's breach is caught from the sockets alone, and none comes past the program's own ledger") {
-    const auto [does, rule] =
-        GENERATE(table<Does, Violation::Rule>({{Does::binds_twice, Violation::twice},
-                                               {Does::ignores_drains, Violation::drain},
-                                               {Does::floods_the_cold, Violation::pushed_over},
-                                               {Does::crowds, Violation::spread},
-                                               {Does::says_nothing, Violation::lost}}));
+    const auto [does, rule] = GENERATE(table<Does, Rule>({{Does::binds_twice, Rule::twice},
+                                                          {Does::ignores_drains, Rule::drain},
+                                                          {Does::floods_the_cold, Rule::overload},
+                                                          {Does::crowds, Rule::spread},
+                                                          {Does::says_nothing, Rule::lost}}));
     const emulator::RunResult broken = play(does, true);
     INFO(broken.verdict.summary());
     CHECK(broken.verdict.count(rule) > 0);
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -6,7 +6,9 @@
 #include <cstdlib>
 #include <sstream>
 
+#include "emulator/scenario_parser.h"
 #include "simulation/bundled_scenarios.h"
+#include "simulation/report_table.h"
 #include "simulation/scenario_generator.h"
 
 using namespace whinpost;
@@ -46,7 +48,7 @@
             for (const emulator::QueueGroupCounts& g : out.counts) c.placed += g.accepted;
             c.digest = digest;
             c.checked = found.expectations();
-            c.told = found.table();
+            c.told = simulation::to_table(found);
             for (const emulator::Violation& b : out.verdict.violations)
                 c.told += "\n" + emulator::describe(day.events(), b, day.started_at());
         });
--- a/tests/scenario_run_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -5,6 +5,7 @@
 #include <fstream>
 #include <iterator>
 
+#include "emulator/scenario_parser.h"
 #include "simulation/simulated_environment.h"
 
 using namespace whinpost;
