--- /dev/null
+++ b/tests/client_server_test.cpp
@@ -0,0 +1,142 @@
+// The clients' side of the platform's server by itself.
+#include "platform/client_server.h"
+
+#include <catch2/catch.hpp>
+
+#include "support/platform_fakes.h"
+
+using namespace whinpost;
+using platform_codec::Cause;
+
+namespace {
+
+struct ClientServerFixture {
+    ClientServerFixture() { REQUIRE(server.listen("10.0.0.1:1").has_value()); }
+    void run(Nanos by = 20 * kMillisecond) { world.run_until(world.now() + by); }
+    TestClient& connect(int number = 1) {
+        clients.push_back(std::make_unique<TestClient>());
+        clients.back()->stream =
+            world.process("10.0.2." + std::to_string(number)).dial("10.0.0.1:1", *clients.back());
+        run();
+        return *clients.back();
+    }
+    void request(TestClient& client, std::uint64_t id) {
+        client.send_bytes(place_task_bytes(id, "free", 1000, ""));
+        run();
+    }
+    // Sweeps as the server does, every 100 ms.
+    void sweep_for(Nanos by) {
+        for (const Nanos end = world.now() + by; world.now() < end;) {
+            run(100 * kMillisecond);
+            server.sweep(world.now());
+        }
+    }
+
+    simulation::SimulatedNetwork world{1};
+    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    log::Logger log;
+    RecordingClientHandler handler;
+    platform::ClientServer server{process, log, handler};
+    std::vector<std::unique_ptr<TestClient>> clients;
+};
+
+}  // namespace
+
+TEST_CASE("an address that can't be listened on is a typed error") {
+    ClientServerFixture fixture;
+    platform::ClientServer second(fixture.process, fixture.log, fixture.handler);
+    const auto listening = second.listen("10.0.0.1:1");
+    REQUIRE_FALSE(listening.has_value());
+    CHECK(listening.error().address == "10.0.0.1:1");
+    CHECK_FALSE(listening.error().reason.empty());
+}
+
+TEST_CASE("a client is identified once, found by its address, and told apart from others") {
+    ClientServerFixture fixture;
+    TestClient& client = fixture.connect(1);
+    CHECK(fixture.server.find_by_address("10.0.2.1") == nullptr);  // it has sent nothing yet
+    fixture.request(client, 5);
+    fixture.request(client, 6);
+    CHECK(fixture.handler.identified == 1);
+    REQUIRE(fixture.handler.requests.size() == 2);
+    CHECK(fixture.server.find_by_address("10.0.2.1") == fixture.handler.requests[0].first);
+    CHECK(fixture.server.find_by_address("10.0.2.2") == nullptr);
+    CHECK(fixture.server.size() == 1);
+}
+
+TEST_CASE("a client that sends nothing is closed after 2 s, one with an open request is not") {
+    ClientServerFixture fixture;
+    TestClient& silent = fixture.connect(1);
+    TestClient& waiting = fixture.connect(2);
+    fixture.request(waiting, 5);
+    fixture.handler.requests[0].first->add_open_request();
+    fixture.sweep_for(1900 * kMillisecond);
+    CHECK_FALSE(silent.closed);
+    fixture.sweep_for(300 * kMillisecond);
+    CHECK(silent.closed);
+    CHECK_FALSE(waiting.closed);
+    CHECK(fixture.handler.left == 1);
+}
+
+TEST_CASE(
+    "where there is no room the client of least use is evicted, and without one the new client rejected") {
+    ClientServerFixture fixture;
+    TestClient& idle = fixture.connect(1);
+    TestClient& running = fixture.connect(2);
+    fixture.request(idle, 5);
+    fixture.request(running, 6);
+    fixture.handler.requests[1].first->add_running_task();
+    fixture.handler.room = false;
+    fixture.connect(3);
+    fixture.run(200 * kMillisecond);
+    CHECK(idle.closed);
+    CHECK_FALSE(running.closed);
+    for (const auto& [client, task] : fixture.handler.requests)
+        if (task == 6) client->add_open_request();
+    TestClient& evicting = fixture.connect(4);  // evicts the third, which has sent nothing
+    fixture.request(evicting, 7);
+    fixture.handler.requests.back().first->add_open_request();
+    const std::size_t before = fixture.handler.requests.size();
+    TestClient& rejected = fixture.connect(5);
+    fixture.request(rejected, 8);
+    CHECK(fixture.handler.requests.size() == before);
+    REQUIRE(rejected.messages(MessageType::release).size() == 1);
+    CHECK(rejected.messages(MessageType::release)[0].cause == Cause::try_later);
+    CHECK_FALSE(running.closed);
+    CHECK_FALSE(evicting.closed);
+}
+
+TEST_CASE("ends of tasks are kept until the client acknowledges them") {
+    ClientServerFixture fixture;
+    TestClient& client = fixture.connect(1);
+    fixture.request(client, 5);
+    platform::ClientConnection& connection = *fixture.handler.requests[0].first;
+    connection.send_task_ended(5, Cause::ok);
+    connection.send_task_ended(6, Cause::reset);
+    CHECK_FALSE(fixture.server.clients_acknowledge());
+    Message acknowledgement;
+    acknowledgement.type = MessageType::release_ack;
+    acknowledgement.task = 5;
+    client.send(acknowledgement);
+    fixture.run();
+    CHECK(fixture.server.clients_acknowledge());
+    REQUIRE(connection.unacknowledged_releases().size() == 1);
+    CHECK(connection.unacknowledged_releases()[0].id == 6);
+    CHECK(client.count(MessageType::release, 5) == 1);
+}
+
+TEST_CASE("a drain closes idle clients at once, waits for those with a request, and ends at its deadline") {
+    ClientServerFixture fixture;
+    TestClient& idle = fixture.connect(1);
+    TestClient& waiting = fixture.connect(2);
+    fixture.request(idle, 5);
+    fixture.request(waiting, 6);
+    fixture.handler.requests[1].first->add_open_request();
+    const Nanos deadline = fixture.world.now() + kSecond;
+    CHECK_FALSE(fixture.server.drain(fixture.world.now(), deadline));
+    fixture.run();
+    CHECK(idle.closed);
+    CHECK_FALSE(waiting.closed);
+    CHECK_FALSE(fixture.server.drain(fixture.world.now(), deadline));
+    CHECK(fixture.server.drain(deadline, deadline));
+}
--- /dev/null
+++ b/tests/support/platform_fakes.h
@@ -0,0 +1,89 @@
+// Handlers that record what the parts of the platform's server tell them and decide nothing, to derive from.
+#pragma once
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "platform/client_handler.h"
+#include "platform/worker_handler.h"
+#include "simulation/simulated_network.h"
+#include "support/platform_rig.h"
+
+namespace whinpost {
+
+struct RecordingWorkerHandler : platform::WorkerHandler, platform::ConnectionReserver {
+    using Task = platform::InFlightTask;
+    bool may_send(Task&) override { return allow_send; }
+    void on_attempt_accepted(Task&, std::string_view description) override {
+        accepted.emplace_back(description);
+    }
+    void on_attempt_ended(Task&, AttemptOutcome outcome, OutcomeReason reason, const LoadReport&) override {
+        outcomes.push_back(outcome);
+        reasons.push_back(reason);
+    }
+    void on_task_ended(Task& task, AttemptOutcome, OutcomeReason, platform_codec::Cause cause,
+                       const LoadReport&) override {
+        ended_tasks.emplace_back(task.id, cause);
+    }
+    void on_task_metric(Task&, std::string_view metric, double value) override {
+        metrics.emplace_back(metric, value);
+    }
+    void on_load_report(platform::PooledWorker&, const LoadReport& report) override {
+        load_reports.push_back(report);
+    }
+    bool reserve_connection(platform::PooledWorker&) override {
+        if (allow_connections) ++connections;
+        return allow_connections;
+    }
+    void on_connection_ended() override { --connections; }
+
+    bool allow_send = true, allow_connections = true;
+    int connections = 0;
+    std::vector<std::string> accepted;
+    std::vector<AttemptOutcome> outcomes;
+    std::vector<OutcomeReason> reasons;
+    std::vector<std::pair<std::uint64_t, platform_codec::Cause>> ended_tasks;
+    std::vector<std::pair<std::string, double>> metrics;
+    std::vector<LoadReport> load_reports;
+};
+
+struct RecordingClientHandler : platform::ClientHandler {
+    using Client = platform::ClientConnection;
+    void on_place_task(Client& client, const Message& message, Nanos) override {
+        requests.emplace_back(&client, message.task);
+    }
+    void on_release(Client&, std::uint64_t task) override { releases.push_back(task); }
+    bool is_healthy() const override { return healthy; }
+    void on_health_check() override { ++health_checks; }
+    bool make_room_for_client() override { return room; }
+    void on_client_identified(Client&) override { ++identified; }
+    void on_client_ending(Client&) override { ++ending; }
+    void on_client_left(Client&) override { ++left; }
+    void on_client_stalled() override { ++stalled; }
+
+    bool healthy = true, room = true;
+    std::vector<std::pair<Client*, std::uint64_t>> requests;
+    std::vector<std::uint64_t> releases;
+    int health_checks = 0, identified = 0, ending = 0, left = 0, stalled = 0;
+};
+
+// A peer that accepts connections and keeps what comes on them.
+struct FakeListener {
+    FakeListener(simulation::SimulatedNetwork& world, const std::string& ip)
+        : process(world.process(ip)), address(ip + ":1") {
+        auto made = process.listen(address, [this](std::unique_ptr<net::Stream> accepted) {
+            connections.push_back(std::make_unique<TestClient>());
+            connections.back()->stream = std::move(accepted);
+            process.attach(*connections.back()->stream, *connections.back());
+        });
+        PlatformRig::require(made.has_value());
+        listener = std::move(*made);
+    }
+    simulation::SimulatedProcess& process;
+    std::string address;
+    std::unique_ptr<net::Listener> listener;
+    std::vector<std::unique_ptr<TestClient>> connections;
+};
+
+}  // namespace whinpost
