--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -50,7 +50,7 @@
         options.zone_names = to_strings(settings.list("zones"));
         options.dial_timeout = settings.duration("limits.dial_timeout_us");
         options.idle_timeout = settings.duration("limits.conn_idle_us");
-        options.descriptors = config.sockets();
+        options.descriptors = config.descriptors();
         options.seed = config.seed();
         return options;
     }
@@ -69,7 +69,7 @@
 // A file that is wrong changes nothing.
 void reload(const std::string& path, platform::DiscoveryWatch& watch, const log::Logger& log) {
     try {
-        watch.move_to(platform::BootstrapConfig::read(path).bus());
+        watch.move_to(platform::BootstrapConfig::read(path).discovery_address());
         log(log::Level::info, "config_reloaded", {{"file", path}});
     } catch (const std::exception& error) {
         log(log::Level::error, "config_reload_failed", {{"reason", error.what()}});
@@ -90,7 +90,8 @@
                                   deployment.kinds, deployment.acceptance, deployment.slow_start,
                                   deployment.discovery, deployment.retry, deployment.prices);
     server.set_planner(planner);
-    for (const std::string& event : config->known()) server.discovery_watch().apply_initial_event(event);
+    for (const std::string& event : config->initial_events())
+        server.discovery_watch().apply_initial_event(event);
     // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
     loop.on_signal(SIGHUP, [&] { reload(path, server.discovery_watch(), log); });
     const auto drain = [&] { server.drain([&loop] { loop.stop(); }); };
@@ -98,7 +99,7 @@
     loop.on_signal(SIGINT, drain);
     if (const auto listening = server.listen(listen); !listening)
         throw platform::BootstrapError("GW_LISTEN", "", listen + ": " + to_string(listening.error()));
-    server.discovery_watch().follow(config->bus(), config->offset());
+    server.discovery_watch().follow(config->discovery_address(), config->last_sequence());
     config.reset();  // the initial events may be large
     log(log::Level::info, "serving", {{"listen", listen}});
     loop.run();
--- a/src/platform/bootstrap_config.cpp
+++ b/src/platform/bootstrap_config.cpp
@@ -120,14 +120,14 @@
     const ObjectReader file(root, path);
     BootstrapConfig config(path);
     config.listen_ = file.address("listen");
-    config.bus_ = file.address("bus");
+    config.discovery_address_ = file.address("bus");
     config.seed_ = file.hex_number("seed");
-    config.sockets_ = ObjectReader(file.object("limits"), path, "limits.").socket_count("sockets");
+    config.descriptors_ = ObjectReader(file.object("limits"), path, "limits.").socket_count("sockets");
     if (file.has_object("known")) {
         const ObjectReader known(file.object("known"), path, "known.");
-        config.offset_ = known.whole_number("offset");
+        config.last_sequence_ = known.whole_number("offset");
         for (const Json& event : known.list("batch"))
-            config.known_.push_back(event.is_string() ? event.get<std::string>() : event.dump());
+            config.initial_events_.push_back(event.is_string() ? event.get<std::string>() : event.dump());
     }
     flatten(file.object("settings"), "", config.settings_);
     return config;
--- a/src/platform/bootstrap_config.h
+++ b/src/platform/bootstrap_config.h
@@ -26,21 +26,21 @@
 
     const std::string& listen() const { return listen_; }
     std::uint64_t seed() const { return seed_; }
-    std::size_t sockets() const { return sockets_; }  // file descriptors for clients and workers
-    const std::string& bus() const { return bus_; }   // the address of discovery
+    std::size_t descriptors() const { return descriptors_; }  // for connections to clients and workers
+    const std::string& discovery_address() const { return discovery_address_; }
     // The number of the last initial event.
-    std::int64_t offset() const { return offset_; }
-    const std::vector<std::string>& known() const { return known_; }  // initial events, each as JSON
+    std::int64_t last_sequence() const { return last_sequence_; }
+    const std::vector<std::string>& initial_events() const { return initial_events_; }  // each as JSON
     // Not checked here: its getters throw settings::SettingsError, which names the file and the key.
     const settings::Settings& settings() const { return settings_; }
 
 private:
     explicit BootstrapConfig(std::string path) : settings_(std::move(path)) {}
-    std::string listen_, bus_;
+    std::string listen_, discovery_address_;
     std::uint64_t seed_ = 0;
-    std::size_t sockets_ = 0;
-    std::int64_t offset_ = 0;
-    std::vector<std::string> known_;
+    std::size_t descriptors_ = 0;
+    std::int64_t last_sequence_ = 0;
+    std::vector<std::string> initial_events_;
     settings::Settings settings_;
 };
 
--- a/tests/bootstrap_config_test.cpp
+++ b/tests/bootstrap_config_test.cpp
@@ -14,7 +14,7 @@
                   "zones":["a","b"],"limits":{"probes":true,"dial_timeout_us":250000},"me":0}})",
         "f.json");
     CHECK(config.seed() == 0x8c1f);
-    CHECK(config.offset() == 3);
+    CHECK(config.last_sequence() == 3);
     CHECK(config.settings().text("classes.count") == "1");
     CHECK(config.settings().text("classes.0.name") == "x");
     CHECK(config.settings().list("zones").size() == 2);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -354,9 +354,9 @@
     const platform::BootstrapConfig file =
         platform::BootstrapConfig::parse(read_file(fixture("platform.json")), "platform.json");
     Values values;
-    values.add("listen", file.listen()).add("bus", file.bus()).add("seed", file.seed());
-    values.add("sockets", file.sockets()).add("offset", file.offset());
-    for (const std::string& event : file.known()) values.add("known", event);
+    values.add("listen", file.listen()).add("bus", file.discovery_address()).add("seed", file.seed());
+    values.add("sockets", file.descriptors()).add("offset", file.last_sequence());
+    for (const std::string& event : file.initial_events()) values.add("known", event);
     const settings::Settings& settings = file.settings();
     for (const std::string& name : settings::group_names(settings)) values.add("group", name);
     add_groups(values, settings::queue_groups(settings));
