--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -82,9 +82,8 @@
 
     net::EventLoop& loop_;
     const log::Logger& log_;
-    // Declared in the order in which they are to be destroyed last: tasks before the timers they are armed
-    // in, connections before what they report to is of no use. References to later members are only kept
-    // here.
+    // Parts refer to each other, also to later ones, and use these references only once all are constructed.
+    // Tasks are destroyed before the timers that they are armed in.
     PlannerRounds rounds_;
     DeadlineTimers timers_;
     const ServerContext context_;
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -256,7 +256,7 @@
 }
 
 void WorkerConnection::on_release(const Message& message) {
-    const Cause cause = message.cause.value_or(Cause{});
+    const Cause cause = message.cause.value_or(platform_codec::kNoCause);
     if (const auto it = in_flight_.find(message.task); it != in_flight_.end()) {
         InFlightTask& task = *it->second;
         in_flight_.erase(it);
@@ -274,7 +274,7 @@
 }
 
 void WorkerConnection::on_released_in_flight(InFlightTask& task, const Message& message) {
-    const Cause cause = message.cause.value_or(Cause{});
+    const Cause cause = message.cause.value_or(platform_codec::kNoCause);
     task.connection = nullptr;
     // It has run and ended by now: the worker gives its answer and its end in one. Taken for a reset, a short
     // task was started four times over, each time to its end.
--- a/src/platform_codec/message.h
+++ b/src/platform_codec/message.h
@@ -37,6 +37,9 @@
     never_sent = 102
 };
 
+// What a release without a cause counts as.
+constexpr Cause kNoCause{0};
+
 // The texts point into the bytes that were decoded, or are to be encoded.
 struct Message {
     MessageType type = MessageType::progress;
