--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -371,7 +371,7 @@
 
 std::string Membership::explain(Nanos now, const WorkerEntry& worker) const {
     std::string out(to_string(worker.state));
-    const auto add = [&out](const std::string& s) { out += "; " + s; };
+    const auto add = [&out](const std::string& remark) { out += "; " + remark; };
     if (worker.listed.is_known) {
         const char* phase = worker.listed.is_omitted                                  ? "omits it"
                             : worker.listed.endpoint.phase == EndpointPhase::gone     ? "calls it gone"
--- a/src/planner/local_planner.h
+++ b/src/planner/local_planner.h
@@ -1,5 +1,5 @@
-// The decision module's embedding: numbers become objects here, and its decisions leave as Bindings. Decides
-// nothing.
+// The planner in the server's own process: it maps the server's numbers to the scheduler's objects, and the
+// scheduler's decisions back. It decides nothing.
 #pragma once
 #include <unordered_map>
 #include <vector>
@@ -14,19 +14,19 @@
                  std::vector<WorkerKind>, WorkerAcceptance, SlowStartSettings, DiscoverySettings,
                  RetrySettings, Prices);
 
-    void on_endpoint(Nanos now, WorkerNumber, std::uint64_t mark, const EndpointState&) override;
-    void on_watch_event_done(Nanos now, bool whole) override;
+    void on_endpoint(Nanos now, WorkerNumber, std::uint64_t stable_hash, const EndpointState&) override;
+    void on_watch_event_done(Nanos now, bool is_snapshot) override;
     void on_watch_failed(Nanos now) override;
     void start(Nanos now) override;
     void submit(Nanos now, TaskNumber, std::uint64_t service, const ResourceRequest&) override;
     void adopt(Nanos now, TaskNumber, std::uint64_t service, const ResourceRequest&, WorkerNumber) override;
-    void on_accepted(Nanos now, TaskNumber, int launch) override;
-    void on_running(Nanos now, TaskNumber, int launch) override;
-    void on_cores_used(Nanos now, TaskNumber, int launch, double) override;
-    void on_memory_used(Nanos now, TaskNumber, int launch, double) override;
-    void on_service_share(Nanos now, TaskNumber, int launch, double) override;
-    void on_worker_memory(Nanos now, TaskNumber, int launch, double) override;
-    void on_attempt_ended(Nanos now, TaskNumber, int launch, AttemptOutcome, OutcomeReason, bool closed,
+    void on_accepted(Nanos now, TaskNumber, int attempt) override;
+    void on_running(Nanos now, TaskNumber, int attempt) override;
+    void on_cores_used(Nanos now, TaskNumber, int attempt, double) override;
+    void on_memory_used(Nanos now, TaskNumber, int attempt, double) override;
+    void on_service_share(Nanos now, TaskNumber, int attempt, double) override;
+    void on_worker_memory(Nanos now, TaskNumber, int attempt, double) override;
+    void on_attempt_ended(Nanos now, TaskNumber, int attempt, AttemptOutcome, OutcomeReason, bool closed,
                           const LoadReport&) override;
     void cancel(Nanos now, TaskNumber) override;
     void on_load_report(Nanos now, WorkerNumber, const LoadReport&) override;
@@ -37,10 +37,10 @@
 
 private:
     void place(Task&, Worker&, Nanos time_out) override;
-    void reject(Task&, Nanos stay_away) override;
+    void reject(Task&, Nanos retry_after) override;
     void fail(Task&) override;
     void migrate(Task&) override;
-    void cancel_attempt(Task&, int launch) override;
+    void cancel_attempt(Task&, int attempt) override;
     void check_health(Worker&) override;
     void watch_endpoints() override { handler_.watch_endpoints(); }
     void fetch_endpoints() override { handler_.fetch_endpoints(); }
@@ -48,14 +48,14 @@
     void log(std::string_view line) override { handler_.log(line); }
 
     Task* find(TaskNumber);
-    Service& service(std::uint64_t mark);
+    Service& service(std::uint64_t stable_hash);
     void drop_if_finished(Task&);
 
     PlannerHandler& handler_;
     Scheduler scheduler_;
-    std::unordered_map<TaskNumber, Task*> tasks_;  // looked up, never walked
+    std::unordered_map<TaskNumber, Task*> tasks_;  // looked up, never iterated
     std::unordered_map<std::uint64_t, Service*> services_;
-    std::vector<Worker*> workers_;  // by the edge's number
+    std::vector<Worker*> workers_;  // by the server's number
     std::unordered_map<const Worker*, WorkerNumber> numbers_;
     std::vector<TaskNumber> answered_tasks_;  // in this round; dropped when it ends
 };
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -121,7 +121,9 @@
 
 std::vector<ledger::Attempt*> WorkerConnection::attempts_in_order() const {
     std::vector<ledger::Attempt*> all = in_flight_;
-    std::sort(all.begin(), all.end(), [](const auto* a, const auto* b) { return a->number < b->number; });
+    std::sort(all.begin(), all.end(), [](const ledger::Attempt* first, const ledger::Attempt* second) {
+        return first->number < second->number;
+    });
     return all;
 }
 
--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -8,62 +8,62 @@
 using namespace whinpost;
 using namespace whinpost::admission;
 
-TEST_CASE("one owner's flood leaves the others their share, and takes what nobody needs") {
-    AdmissionController in({1000, 1000, 1'000'000, 10}, 1);
-    ClientShare flood(in), quiet(in);
+TEST_CASE("one client's flood leaves the others their share, and takes what nobody needs") {
+    AdmissionController controller({1000, 1000, 1'000'000, 10}, 1);
+    ClientShare flood(controller), quiet(controller);
     int taken = 0;
-    while (in.admit(0, flood, 0) == AdmissionLimit::none) ++taken;
+    while (controller.admit(0, flood, 0) == AdmissionLimit::none) ++taken;
     CHECK(taken == 825);  // all but what is kept for the other owner
     int others = 0;
-    while (in.admit(0, quiet, 0) == AdmissionLimit::none) ++others;
+    while (controller.admit(0, quiet, 0) == AdmissionLimit::none) ++others;
     CHECK(others == 175);
     // A third comes: the guarantees shrink; what is held stays held, and it gets its part as room comes.
-    ClientShare late(in);
-    CHECK(in.admit(0, late, 0) == AdmissionLimit::waiting);
-    for (int i = 0; i < 400; ++i) in.on_answered(&flood, 0);
+    ClientShare late(controller);
+    CHECK(controller.admit(0, late, 0) == AdmissionLimit::waiting);
+    for (int i = 0; i < 400; ++i) controller.on_answered(&flood, 0);
     int third = 0;
-    while (in.admit(0, late, 0) == AdmissionLimit::none) ++third;
+    while (controller.admit(0, late, 0) == AdmissionLimit::none) ++third;
     CHECK(third >= 116);
 }
 
-TEST_CASE("the flood of one queue group leaves the worst served its share") {
-    AdmissionController in({1000, 1000, 1'000'000, 10}, 3);
-    ClientShare a(in);
-    while (in.admit(0, a, 0) == AdmissionLimit::none) {
+TEST_CASE("the flood of one queue group leaves the others their share") {
+    AdmissionController controller({1000, 1000, 1'000'000, 10}, 3);
+    ClientShare a(controller);
+    while (controller.admit(0, a, 0) == AdmissionLimit::none) {
     }
-    CHECK(in.admit(0, a, 0) == AdmissionLimit::group_waiting);
-    for (int i = 0; i < 116; ++i) REQUIRE(in.admit(0, a, 1) == AdmissionLimit::none);
-    for (int i = 0; i < 116; ++i) REQUIRE(in.admit(0, a, 2) == AdmissionLimit::none);
+    CHECK(controller.admit(0, a, 0) == AdmissionLimit::group_waiting);
+    for (int i = 0; i < 116; ++i) REQUIRE(controller.admit(0, a, 1) == AdmissionLimit::none);
+    for (int i = 0; i < 116; ++i) REQUIRE(controller.admit(0, a, 2) == AdmissionLimit::none);
 }
 
-TEST_CASE("containers a second are counted over a sliding second, also of owners that fell silent") {
-    AdmissionController in({1'000'000, 1'000'000, 100, 10}, 1);
-    ClientShare a(in), b(in);
+TEST_CASE("tasks a second are counted over a sliding second, also of clients that fell silent") {
+    AdmissionController controller({1'000'000, 1'000'000, 100, 10}, 1);
+    ClientShare a(controller), b(controller);
     Nanos now = 50 * kMillisecond;
     int first = 0;
-    while (in.admit(now, a, 0) == AdmissionLimit::none) ++first;
+    while (controller.admit(now, a, 0) == AdmissionLimit::none) ++first;
     CHECK(first == 75);
-    CHECK(in.admit(now, a, 0) == AdmissionLimit::client_rate);
-    CHECK(in.admit(now + 500 * kMillisecond, a, 0) == AdmissionLimit::client_rate);
+    CHECK(controller.admit(now, a, 0) == AdmissionLimit::client_rate);
+    CHECK(controller.admit(now + 500 * kMillisecond, a, 0) == AdmissionLimit::client_rate);
     int second = 0;
     now += 1100 * kMillisecond;
-    while (in.admit(now, b, 0) == AdmissionLimit::none) ++second;
+    while (controller.admit(now, b, 0) == AdmissionLimit::none) ++second;
     CHECK(second == 75);
-    CHECK(in.rejected(AdmissionLimit::client_rate) >= 3);
+    CHECK(controller.rejected(AdmissionLimit::client_rate) >= 3);
 }
 
-TEST_CASE("an owner that leaves frees what it held, and nothing is taken once closing") {
-    AdmissionController in({10, 10, 1000, 10}, 1);
+TEST_CASE("a client that disconnects frees what it held, and nothing is admitted once draining") {
+    AdmissionController controller({10, 10, 1000, 10}, 1);
     {
-        ClientShare a(in);
-        for (int i = 0; i < 10; ++i) CHECK(in.admit(0, a, 0) == AdmissionLimit::none);
-        for (int i = 0; i < 10; ++i) in.on_answered(&a, 0);
+        ClientShare a(controller);
+        for (int i = 0; i < 10; ++i) CHECK(controller.admit(0, a, 0) == AdmissionLimit::none);
+        for (int i = 0; i < 10; ++i) controller.on_answered(&a, 0);
     }
-    ClientShare b(in);
-    CHECK(in.admit(0, b, 0) == AdmissionLimit::none);
-    in.start_drain();
-    CHECK(in.admit(0, b, 0) == AdmissionLimit::draining);
-    CHECK(in.waiting() == 1);
+    ClientShare b(controller);
+    CHECK(controller.admit(0, b, 0) == AdmissionLimit::none);
+    controller.start_drain();
+    CHECK(controller.admit(0, b, 0) == AdmissionLimit::draining);
+    CHECK(controller.waiting() == 1);
 }
 
 TEST_CASE(
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -17,26 +17,26 @@
 namespace {
 
 // The model keeps a history and derives everything from it anew each time.
-struct PlainLaunch {
+struct ModelAttempt {
     ledger::WorkerRecord* node;
     Nanos sent;
     bool ended = false, yes = false, proven = false;
 };
-struct PlainContainer {
+struct ModelTask {
     const QueueGroup* group;
     std::uint64_t service;
     Nanos until;
-    std::vector<PlainLaunch> launches;
+    std::vector<ModelAttempt> attempts;
     char answer = 0;  // p, d, k, w
     bool is_over() const {
-        for (const PlainLaunch& l : launches)
+        for (const ModelAttempt& l : attempts)
             if (!l.ended) return false;
         return answer != 0;
     }
 };
 
-struct Plain {
-    std::map<std::uint64_t, PlainContainer> all;
+struct LedgerModel {
+    std::map<std::uint64_t, ModelTask> all;
     std::map<const ledger::WorkerRecord*, std::vector<Nanos>> young;
     SlowStartSettings cold;
     int most;
@@ -57,14 +57,14 @@
         for (int k = 1; k <= half; ++k) out += (k * cold.placers + half - 1) / half - 1 == mine;
         return out;
     }
-    bool may_launch(Nanos now, const PlainContainer& c, const ledger::WorkerRecord& n, bool listed,
-                    bool drains) const {
-        if (c.answer || now >= c.until || static_cast<int>(c.launches.size()) >= most) return false;
+    bool may_start(Nanos now, const ModelTask& c, const ledger::WorkerRecord& n, bool listed,
+                   bool drains) const {
+        if (c.answer || now >= c.until || static_cast<int>(c.attempts.size()) >= most) return false;
         if (!listed || drains) return false;
         if (c.group->worker_kind >= 0 && c.group->worker_kind != n.endpoint.kind) return false;
-        for (const PlainLaunch& l : c.launches)
+        for (const ModelAttempt& l : c.attempts)
             if (!l.ended) return false;
-        for (const PlainLaunch& l : c.launches) {
+        for (const ModelAttempt& l : c.attempts) {
             if (l.proven) continue;
             if (c.group->effect == Effect::side_effecting) return false;
             if (c.group->effect == Effect::keyed && (!same(*l.node, n, c.group->deduplicated_by) ||
@@ -75,7 +75,7 @@
         if (c.group->spread_domain != FailureDomain::none) {
             int there = 0;
             for (const auto& [number, other] : all)
-                for (const PlainLaunch& l : other.launches)
+                for (const ModelAttempt& l : other.attempts)
                     there += !l.ended && other.service == c.service &&
                              other.group->spread_domain != FailureDomain::none &&
                              same(*l.node, n, c.group->spread_domain);
@@ -90,8 +90,8 @@
         }
         return true;
     }
-    static bool may_defer(const PlainContainer& c) {
-        for (const PlainLaunch& l : c.launches) {
+    static bool may_defer(const ModelTask& c) {
+        for (const ModelAttempt& l : c.attempts) {
             if (c.group->effect == Effect::idempotent) break;
             if (!l.ended) return false;
             if (!l.proven &&
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-TEST_CASE("on generated sequences ledger and plain model allow the same and owe the same") {
+TEST_CASE("on generated sequences the ledger and a plain model allow the same and owe the same") {
     const auto seed = GENERATE(take(80, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -140,7 +140,7 @@
         groups.push_back(g);
     }
     SlowStartSettings cold{0.2, 8 * kSecond, 2, kSecond, static_cast<double>(roll(20)), 1 + roll(4), 0};
-    Plain plain;
+    LedgerModel plain;
     plain.cold = cold;
     plain.most = 1 + roll(4);
     ledger::Ledger led(groups, {plain.most, true}, cold);
@@ -195,24 +195,24 @@
         if (open.empty()) continue;
         const std::uint64_t number = open[static_cast<std::size_t>(roll(static_cast<int>(open.size())))];
         ledger::TaskRecord& r = *led.find_task(number);
-        PlainContainer& c = plain.all[number];
+        ModelTask& c = plain.all[number];
         if (what < 8) {
             ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
-            const bool allowed = plain.may_launch(now, c, n, listed[&n], said[&n] || listed_draining[&n]);
+            const bool allowed = plain.may_start(now, c, n, listed[&n], said[&n] || listed_draining[&n]);
             INFO(ledger::to_string(led.check_attempt(now, r, n)));
             REQUIRE((led.check_attempt(now, r, n) == Refusal::none) == allowed);
             ledger::Attempt* l = led.start_attempt(now, r, n, roll(3000) * kMillisecond).value_or(nullptr);
             REQUIRE((l != nullptr) == allowed);
             if (!l) continue;
             REQUIRE(l->deadline <= r.deadline);
-            c.launches.push_back({&n, now});
+            c.attempts.push_back({&n, now});
             if (n.endpoint.started_at > 0 && now - n.endpoint.started_at < cold.warm_up_time)
                 plain.young[&n].push_back(now);
         } else if (what < 11 && !r.attempts.empty()) {
             // Anything may be said of any launch, late, twice and crossing.
             const auto i = static_cast<std::size_t>(roll(static_cast<int>(r.attempts.size())));
             ledger::Attempt& l = r.attempts[i];
-            PlainLaunch& p = c.launches[i];
+            ModelAttempt& p = c.attempts[i];
             if (roll(3) == 0) {
                 const bool counts = !p.ended && !p.yes && !c.answer;
                 REQUIRE(led.on_accepted(now, l) == counts);
@@ -232,8 +232,8 @@
             }
         } else {
             const Answer a = roll(3) == 0 ? Answer::cancelled : roll(2) ? Answer::rejected : Answer::failed;
-            const bool allowed = !c.answer && (a != Answer::rejected || Plain::may_defer(c));
-            REQUIRE(led.may_reject(r) == Plain::may_defer(c));
+            const bool allowed = !c.answer && (a != Answer::rejected || LedgerModel::may_defer(c));
+            REQUIRE(led.may_reject(r) == LedgerModel::may_defer(c));
             REQUIRE(led.record_answer(now, r, a) == allowed);
             if (allowed) c.answer = a == Answer::cancelled ? 'w' : a == Answer::rejected ? 'd' : 'k';
         }
@@ -246,7 +246,9 @@
     }
 }
 
-TEST_CASE("a yes counts once, and not after the answer, after the launch's end, or from an earlier launch") {
+TEST_CASE(
+    "an acceptance counts once, and not after the answer, after the attempt's end, or from an earlier "
+    "attempt") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
@@ -269,7 +271,8 @@
     CHECK(late.closed);
 }
 
-TEST_CASE("what the node says of its drain stands against a list that says it serves, until it starts anew") {
+TEST_CASE(
+    "a drain that the worker announced holds against a list that says it serves, until the worker restarts") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
@@ -284,7 +287,7 @@
     CHECK(led.check_attempt(4, r, n) == Refusal::none);
 }
 
-TEST_CASE("a launch written but not handed over is not sent once the drain is heard or the answer given") {
+TEST_CASE("an attempt recorded but not handed over is not sent once the drain is known or the answer given") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
--- a/tests/support/quiet_planner.h
+++ b/tests/support/quiet_planner.h
@@ -1,4 +1,4 @@
-// A planner that hears everything and decides nothing, to derive from.
+// A planner that decides nothing, to derive from.
 #pragma once
 #include <vector>
 
@@ -11,8 +11,8 @@
     void on_watch_event_done(Nanos, bool) override {}
     void on_watch_failed(Nanos) override {}
     void start(Nanos) override {}
-    void submit(Nanos, planner::TaskNumber n, std::uint64_t, const ResourceRequest&) override {
-        taken.push_back(n);
+    void submit(Nanos, planner::TaskNumber task, std::uint64_t, const ResourceRequest&) override {
+        taken.push_back(task);
     }
     void adopt(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&,
                planner::WorkerNumber) override {}
--- a/tests/timer_wheel_test.cpp
+++ b/tests/timer_wheel_test.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-struct Probe : timer_wheel::Timer {
+struct RecordingTimer : timer_wheel::Timer {
     void on_deadline(Nanos now) override {
         ++fired;
         fired_at = now;
@@ -26,8 +26,7 @@
 }  // namespace
 
 TEST_CASE(
-    "each timer comes due at the first turn of the tick after its time, never before, as a plain map has "
-    "it") {
+    "each timer fires in the first run at or after its deadline's tick, never before, as in a plain map") {
     const auto seed = GENERATE(take(40, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](std::int64_t n) {
@@ -36,12 +35,13 @@
     };
     Nanos now = 1'700'000'000 * kSecond + roll(kSecond);
     TimerWheel w(now);
-    std::vector<std::unique_ptr<Probe>> timers;
-    std::map<Probe*, std::int64_t> plain;  // the tick in which each is due: one that has been turned is past
+    std::vector<std::unique_ptr<RecordingTimer>> timers;
+    std::map<RecordingTimer*, std::int64_t>
+        plain;  // the tick in which each is due: one that has been turned is past
     std::int64_t turned = now / TimerWheel::kTick - 1;
-    for (int i = 0; i < 60; ++i) timers.push_back(std::make_unique<Probe>());
+    for (int i = 0; i < 60; ++i) timers.push_back(std::make_unique<RecordingTimer>());
     for (int step = 0; step < 2000; ++step) {
-        Probe& t = *timers[static_cast<std::size_t>(roll(60))];
+        RecordingTimer& t = *timers[static_cast<std::size_t>(roll(60))];
         const auto what = roll(10);
         if (what < 5) {
             // From what has passed to far beyond the levels below.
@@ -77,9 +77,9 @@
 }
 
 TEST_CASE(
-    "a timer that arms itself for the same moment comes again in a later turn, not in the same for ever") {
+    "a timer that arms itself for the same moment fires again in a later run, not endlessly in the same") {
     TimerWheel w(0);
-    Probe t;
+    RecordingTimer t;
     t.on = &w;
     t.again = 1;
     w.arm(t, kMillisecond);
@@ -89,12 +89,12 @@
     CHECK(t.fired == 2);
 }
 
-TEST_CASE("timers destroyed by another's call in the same turn do not come due") {
+TEST_CASE("timers destroyed by another's call in the same run do not fire") {
     TimerWheel w(0);
-    auto victim = std::make_unique<Probe>();
+    auto victim = std::make_unique<RecordingTimer>();
     struct Killer : timer_wheel::Timer {
         void on_deadline(Nanos) override { victim->reset(); }
-        std::unique_ptr<Probe>* victim;
+        std::unique_ptr<RecordingTimer>* victim;
     } killer;
     killer.victim = &victim;
     w.arm(killer, 5 * kMillisecond);
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-struct Told {
+struct EndedAttempt {
     ledger::Attempt* launch;
     AttemptOutcome how;
 };
 
 // The edge's side, with a socket whose kernel takes what it is let take.
-struct Bench : worker_connection::ConnectionHandler {
-    explicit Bench(int at_once = 100, int a_second = 1000) : dialler(at_once, a_second) {
-        led.on_endpoint(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
+struct TestHandler : worker_connection::ConnectionHandler {
+    explicit TestHandler(int at_once = 100, int a_second = 1000) : dialler(at_once, a_second) {
+        ledger.on_endpoint(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
     }
     void dial(WorkerConnection&) override {
         ++dials;
@@ -41,10 +41,12 @@
     }
     std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return taken; }
     std::uint64_t written_bytes(const WorkerConnection&) const override { return bytes; }
-    bool may_still_send(Nanos t, const ledger::Attempt& l) const override { return led.may_still_send(t, l); }
+    bool may_still_send(Nanos t, const ledger::Attempt& l) const override {
+        return ledger.may_still_send(t, l);
+    }
     void on_attempt_ended(Nanos t, ledger::Attempt& l, AttemptOutcome how) override {
-        told.push_back({&l, how});
-        led.on_ended(t, l, how);
+        ended.push_back({&l, how});
+        ledger.on_ended(t, l, how);
     }
     void wake_at(WorkerConnection&, Nanos at) override { next_wakeup = at; }
     void on_disconnected(Nanos, WorkerConnection&, bool was_up) override { downs.push_back(was_up); }
@@ -52,7 +54,7 @@
     ledger::Attempt& launch() {
         ResourceRequest a;
         a.time_left = 60 * kSecond;
-        return **led.start_attempt(now, led.create_task(now, "c", 1, a), node, 50 * kSecond);
+        return **ledger.start_attempt(now, ledger.create_task(now, "c", 1, a), node, 50 * kSecond);
     }
     void up(WorkerConnection& l, std::uint64_t incarnation = 7, std::vector<std::uint64_t> holds = {}) {
         l.set_wanted(now, true);
@@ -65,22 +67,23 @@
     using Refusal = ledger::Refusal;
 
     worker_connection::DialLimiter dialler;
-    ledger::Ledger led{{QueueGroup{}}, {4, true}, {}};
-    ledger::WorkerRecord& node = led.add_worker("n");
+    ledger::Ledger ledger{{QueueGroup{}}, {4, true}, {}};
+    ledger::WorkerRecord& node = ledger.add_worker("n");
     Nanos now = 1000 * kSecond, next_wakeup = 0;
     std::uint64_t bytes = 0, taken = 0;
     int dials = 0, drops = 0, asked = 0, asked_after = 0;
     bool aborted = false;
     std::vector<ledger::Attempt*> sent;
-    std::vector<Told> told;
+    std::vector<EndedAttempt> ended;
     std::vector<bool> downs;  // whether it had been up
 };
 
 }  // namespace
 
 TEST_CASE(
-    "when a connection breaks, what the kernel never had whole is proven unsent; the rest is in doubt") {
-    Bench b;
+    "when a connection breaks, attempts not completely handed to the kernel are proven unsent; the rest are "
+    "in doubt") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     std::vector<ledger::Attempt*> all;
@@ -91,54 +94,57 @@
     CHECK(b.sent.size() == 41);  // the others were kept back: 4 KiB lie unsent
     b.taken = 1050;              // ten whole launches, and half of one
     l.on_disconnected(b.now, b.taken);
-    REQUIRE(b.told.size() == 50);
-    for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::not_sent);
+    REQUIRE(b.ended.size() == 50);
+    for (const EndedAttempt& t : b.ended) CHECK(t.how == AttemptOutcome::not_sent);
     for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->ended);
     CHECK(l.statistics().in_doubt == 10);
 }
 
 TEST_CASE(
-    "a node that greets again clears up what was in doubt: held, never taken, or lost with another life") {
-    Bench b;
+    "a worker that greets again resolves what was in doubt: held, never accepted, or lost with another "
+    "incarnation") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     ledger::Attempt &held = b.launch(), &never = b.launch(), &yes = b.launch();
     for (ledger::Attempt* each : {&held, &never, &yes}) l.send(b.now, *each);
-    b.led.on_accepted(b.now, yes);
+    b.ledger.on_accepted(b.now, yes);
     b.taken = b.bytes;
     l.on_disconnected(b.now, b.taken);
-    CHECK(b.told.empty());
+    CHECK(b.ended.empty());
     SECTION("the same incarnation") {
         b.up(l, 7, {held.number, yes.number});
-        REQUIRE(b.told.size() == 1);
-        CHECK(b.told[0].launch == &never);
-        CHECK(b.told[0].how == AttemptOutcome::not_sent);
+        REQUIRE(b.ended.size() == 1);
+        CHECK(b.ended[0].launch == &never);
+        CHECK(b.ended[0].how == AttemptOutcome::not_sent);
     }
     SECTION("the same, but gone for longer than it remembers") {
         b.now += 100 * kSecond;
         b.up(l, 7, {held.number, yes.number});
-        REQUIRE(b.told.size() == 1);
-        CHECK(b.told[0].how == AttemptOutcome::reset);
+        REQUIRE(b.ended.size() == 1);
+        CHECK(b.ended[0].how == AttemptOutcome::reset);
     }
-    SECTION("the same, and a container that it accepted is there no more") {
+    SECTION("the same, and a task that it accepted is gone") {
         b.up(l, 7, {held.number});
-        REQUIRE(b.told.size() == 2);
-        CHECK(b.told[0].how == AttemptOutcome::not_sent);
-        CHECK(b.told[1].how == AttemptOutcome::reset);
+        REQUIRE(b.ended.size() == 2);
+        CHECK(b.ended[0].how == AttemptOutcome::not_sent);
+        CHECK(b.ended[1].how == AttemptOutcome::reset);
     }
     SECTION("another one at its address, under its name") {
         b.up(l, 8, {});
-        REQUIRE(b.told.size() == 3);
-        for (const Told& t : b.told) CHECK(t.how == AttemptOutcome::reset);
+        REQUIRE(b.ended.size() == 3);
+        for (const EndedAttempt& t : b.ended) CHECK(t.how == AttemptOutcome::reset);
     }
     SECTION("gone by the list") {
         l.on_worker_gone(b.now);
-        CHECK(b.told.size() == 3);
+        CHECK(b.ended.size() == 3);
     }
 }
 
-TEST_CASE("a node that takes the connection and never greets is cut, and what waited for it was never sent") {
-    Bench b;
+TEST_CASE(
+    "a worker that accepts the connection and never greets is closed, and what waited for it was never "
+    "sent") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.set_wanted(b.now, true);
     ledger::Attempt& waits = b.launch();
@@ -147,16 +153,16 @@
     CHECK(b.sent.empty());
     l.run_timers(b.now + 2 * kSecond);
     CHECK(b.drops == 1);
-    REQUIRE(b.told.size() == 1);
-    CHECK(b.told[0].how == AttemptOutcome::not_sent);
+    REQUIRE(b.ended.size() == 1);
+    CHECK(b.ended[0].how == AttemptOutcome::not_sent);
     // While it pauses, nothing is held for it.
     l.send(b.now + 2 * kSecond, b.launch());
-    REQUIRE(b.told.size() == 2);
-    CHECK(b.told[1].how == AttemptOutcome::connect_failed);
+    REQUIRE(b.ended.size() == 2);
+    CHECK(b.ended[1].how == AttemptOutcome::connect_failed);
 }
 
-TEST_CASE("a connection that stays open and says nothing is asked for life once, then cut") {
-    Bench b;
+TEST_CASE("a silent connection is sent one keepalive, and then closed") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     l.run_timers(b.now + 3 * kSecond);
@@ -172,38 +178,38 @@
 }
 
 TEST_CASE(
-    "when a drain is heard, what waits is taken back, and what may lie in a buffer is cut before the grace "
-    "ends") {
-    Bench b;
+    "when a drain is known, queued attempts are withdrawn, and the connection is aborted within the grace if "
+    "any may lie in a buffer") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
     for (int i = 0; i < 60; ++i) l.send(b.now, b.launch());
     b.taken = 400;
     l.on_attempts_read(b.now, 3);
     CHECK(b.sent.size() == 45);
-    b.led.on_drain_announced(b.now, b.node, true);
+    b.ledger.on_drain_announced(b.now, b.node, true);
     l.on_drain(b.now);
-    CHECK(b.told.size() == 15);  // those that had not been written
+    CHECK(b.ended.size() == 15);  // those that had not been written
     l.run_timers(b.now + 500 * kMillisecond);
     CHECK(b.drops == 0);
-    SECTION("not received: cut in time, in a way that nothing arrives after") {
+    SECTION("not read: aborted in time, so that nothing arrives after") {
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
         CHECK(b.aborted);
-        CHECK(b.told.size() == 15 + 41);
+        CHECK(b.ended.size() == 15 + 41);
         CHECK(l.statistics().in_doubt == 1);  // whole in the kernel's hands, not received
     }
-    SECTION("given up meanwhile: it may still lie in a buffer, and is cut all the same") {
+    SECTION("given up meanwhile: it may still lie in a buffer, and the connection is aborted all the same") {
         for (ledger::Attempt* out : l.attempts_in_order()) l.on_attempt_ended(*out, false);
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
     }
-    SECTION("the node answers the last on the way: it has read all, and there is nothing to cut") {
+    SECTION("the worker answers the last one: it has read all, and the connection stays") {
         l.on_attempt_ended(*l.attempts_in_order().back(), true);
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 0);
     }
-    SECTION("received meanwhile: there is nothing to cut") {
+    SECTION("read meanwhile: the connection stays") {
         b.taken = b.bytes;
         l.on_attempts_read(b.now + 600 * kMillisecond, 45);
         l.run_timers(b.now + 750 * kMillisecond);
@@ -211,8 +217,8 @@
     }
 }
 
-TEST_CASE("a launch whose time is up while it waits here was never sent") {
-    Bench b;
+TEST_CASE("an attempt whose time is up while it is queued here was never sent") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.set_wanted(b.now, true);
     ledger::Attempt& waits = b.launch();
@@ -224,7 +230,7 @@
     CHECK(b.sent.empty());
 }
 
-TEST_CASE("a hundred nodes that come back after a cut are not dialled in one moment") {
+TEST_CASE("a hundred workers that come back after a partition are not dialled in one moment") {
     struct Many : worker_connection::ConnectionHandler {
         void dial(WorkerConnection&) override { ++dials; }
         void close(WorkerConnection&, bool) override {}
@@ -244,14 +250,14 @@
         std::vector<Nanos> wakes = std::vector<Nanos>(100, 0);
     } wire;
     worker_connection::DialLimiter dialler(16, 50);
-    ledger::Ledger led({QueueGroup{}}, {4, true}, {});
+    ledger::Ledger ledger({QueueGroup{}}, {4, true}, {});
     std::vector<std::unique_ptr<WorkerConnection>> links;
     std::vector<std::size_t> numbers(100);
     Nanos now = kSecond;
     for (std::size_t i = 0; i < 100; ++i) {
         numbers[i] = i;
         links.push_back(
-            std::make_unique<WorkerConnection>(wire, dialler, led.add_worker("n" + std::to_string(i)),
+            std::make_unique<WorkerConnection>(wire, dialler, ledger.add_worker("n" + std::to_string(i)),
                                                worker_connection::ConnectionSettings{}, i * 77 + 1));
         links.back()->tag = &numbers[i];
         links.back()->set_wanted(now, true);
@@ -284,8 +290,8 @@
     CHECK(most_at_once <= 16);
 }
 
-TEST_CASE("no more than a window of launches is on the way to a node that has not said it read them") {
-    Bench b;
+TEST_CASE("no more than a window of attempts is on the way to a worker that has not confirmed reading them") {
+    TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, worker_connection::ConnectionSettings{}, 1);
     b.up(l);
     std::vector<ledger::Attempt*> all;
@@ -305,6 +311,6 @@
     CHECK(l.withdraw(*all[99]));
     l.on_disconnected(b.now, b.bytes);
     int unsent = 0;
-    for (const Told& t : b.told) unsent += t.how == AttemptOutcome::not_sent;
+    for (const EndedAttempt& t : b.ended) unsent += t.how == AttemptOutcome::not_sent;
     CHECK(unsent == 24);
 }
