--- a/fuzz/worker_endpoint.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -12,10 +12,7 @@
     if (worker.connections.empty() || !worker.connection().stream) return 0;
     send_bytes(rig, worker.connection(), data, size);
     rig.run(3 * kSecond);
-    const std::size_t finals = client.count(&v1::ToClient::has_placed) +
-                               client.count(&v1::ToClient::has_rejected) +
-                               client.count(&v1::ToClient::has_failed);
-    if (finals != 1) __builtin_trap();
+    if (final_answers(client) != 1) __builtin_trap();
     if (rig.placer->intake.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -25,9 +25,9 @@
             return true;
         });
     }
-    void on_closed(net::CloseReason outcome) override {
+    void on_closed(net::CloseReason reason) override {
         is_closed = true;
-        close_reason = outcome;
+        close_reason = reason;
         stream.reset();
     }
     void send(const Out& message) {
@@ -82,6 +82,21 @@
                 if (message.has_start_attempt()) out.push_back(message.start_attempt());
         return out;
     }
+    // Both halves of the greeting: who it is, and what it holds.
+    void greet() {
+        v1::FromWorker message;
+        introduce(*message.mutable_hello(), name, incarnation);
+        connection().send(message);
+        message.mutable_state()->set_remembers_for(60 * kSecond);
+        message.mutable_state()->set_uptime(uptime);
+        message.mutable_state()->set_clock(clock);
+        for (const std::uint64_t attempt : held_attempts) {
+            v1::HeldAttempt* held = message.mutable_state()->add_attempts();
+            held->set_attempt(attempt);
+            held->set_accepted(true);
+        }
+        connection().send(message);
+    }
     void accept(std::uint64_t attempt) {
         v1::FromWorker message;
         message.mutable_accepted()->set_attempt(attempt);
@@ -97,21 +112,20 @@
     }
 };
 
+// One placer of its own program, with its peers, in one simulated network.
 struct ServerRig {
     explicit ServerRig(const std::string& more_config = "", std::uint64_t seed = 1) : network(seed) {
         discovery_process = &network.process("list");
-        listeners.push_back(discovery_process
-                                ->listen("list:1",
-                                         [this](std::unique_ptr<net::Stream> accepted) {
-                                             discovery_streams.push_back(std::make_unique<FakeDiscovery>());
-                                             net::Stream& stream = *accepted;
-                                             discovery_streams.back()->stream = std::move(accepted);
-                                             discovery_process->attach(stream, *discovery_streams.back());
-                                             v1::FromDiscovery hello;
-                                             introduce(*hello.mutable_hello(), "list", 1);
-                                             discovery_streams.back()->send(hello);
-                                         })
-                                .value());
+        const auto on_connection = [this](std::unique_ptr<net::Stream> accepted) {
+            discovery_streams.push_back(std::make_unique<FakeDiscovery>());
+            net::Stream& stream = *accepted;
+            discovery_streams.back()->stream = std::move(accepted);
+            discovery_process->attach(stream, *discovery_streams.back());
+            v1::FromDiscovery hello;
+            introduce(*hello.mutable_hello(), "list", 1);
+            discovery_streams.back()->send(hello);
+        };
+        listeners.push_back(discovery_process->listen("list:1", on_connection).value());
         config = R"([placer]
 name = "p"
 listen = "10.0.0.1:7400"
@@ -197,29 +211,15 @@
     }
     void start_worker(FakeWorker& worker) {
         worker.process = &network.process(worker.name);
-        worker.listener =
-            worker.process
-                ->listen(worker.name + ":1",
-                         [&worker](std::unique_ptr<net::Stream> accepted) {
-                             worker.connections.push_back(std::make_unique<WorkerStream>());
-                             net::Stream& stream = *accepted;
-                             worker.connection().stream = std::move(accepted);
-                             worker.process->attach(stream, worker.connection());
-                             if (worker.is_silent) return stream.set_reading(false);
-                             v1::FromWorker message;
-                             introduce(*message.mutable_hello(), worker.name, worker.incarnation);
-                             worker.connection().send(message);
-                             message.mutable_state()->set_remembers_for(60 * kSecond);
-                             message.mutable_state()->set_uptime(worker.uptime);
-                             message.mutable_state()->set_clock(worker.clock);
-                             for (const std::uint64_t attempt : worker.held_attempts) {
-                                 v1::HeldAttempt* held = message.mutable_state()->add_attempts();
-                                 held->set_attempt(attempt);
-                                 held->set_accepted(true);
-                             }
-                             worker.connection().send(message);
-                         })
-                .value();
+        const auto on_connection = [&worker](std::unique_ptr<net::Stream> accepted) {
+            worker.connections.push_back(std::make_unique<WorkerStream>());
+            net::Stream& stream = *accepted;
+            worker.connection().stream = std::move(accepted);
+            worker.process->attach(stream, worker.connection());
+            if (worker.is_silent) stream.set_reading(false);
+            else worker.greet();
+        };
+        worker.listener = worker.process->listen(worker.name + ":1", on_connection).value();
     }
     // As by kill -9: another incarnation may be started under its name.
     void kill_worker(FakeWorker& worker) {
@@ -244,15 +244,15 @@
     }
     v1::SubmitTask request(std::uint64_t id, const std::string& group = "free",
                            Nanos time_left = 2 * kSecond) const {
-        v1::SubmitTask client;
-        client.set_id(id);
-        client.set_task("c" + std::to_string(id));
-        client.set_service("s");
-        client.set_queue_group(group);
-        client.set_cores(0.1);
-        client.set_memory(0.1);
-        client.set_time_left(time_left);
-        return client;
+        v1::SubmitTask message;
+        message.set_id(id);
+        message.set_task("c" + std::to_string(id));
+        message.set_service("s");
+        message.set_queue_group(group);
+        message.set_cores(0.1);
+        message.set_memory(0.1);
+        message.set_time_left(time_left);
+        return message;
     }
     void submit(TestClient& client, const v1::SubmitTask& request) {
         v1::FromClient message;
