--- a/apps/embedded_placer.cpp
+++ b/apps/embedded_placer.cpp
@@ -6,12 +6,14 @@
 
 std::vector<std::string> names_of(const std::vector<config::NamedQueueGroup>& groups) {
     std::vector<std::string> names;
+    names.reserve(groups.size());
     for (const config::NamedQueueGroup& group : groups) names.push_back(group.name);
     return names;
 }
 
 std::vector<QueueGroup> settings_of(const std::vector<config::NamedQueueGroup>& groups) {
     std::vector<QueueGroup> settings;
+    settings.reserve(groups.size());
     for (const config::NamedQueueGroup& group : groups) settings.push_back(group.queue_group);
     return settings;
 }
--- a/apps/emulator_main.cpp
+++ b/apps/emulator_main.cpp
@@ -93,7 +93,7 @@
 std::string draw_scenario(const RehearseCommand& command) {
     const std::string& dir = command.options.out;
     if (!dir.empty()) std::filesystem::create_directories(dir);
-    const std::string path =
+    std::string path =
         (dir.empty() ? "" : dir + "/") + "drawn-" + std::to_string(command.draw_seed) + ".toml";
     std::ofstream(path) << simulation::generate_scenario(command.draw_seed, command.big);
     std::cout << "kept as " << path << '\n';
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -84,6 +84,7 @@
     const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-emulator").string();
     arguments.insert(arguments.begin(), {program, "rehearse"});
     std::vector<char*> argv;
+    argv.reserve(arguments.size() + 1);
     for (std::string& argument : arguments) argv.push_back(argument.data());
     argv.push_back(nullptr);
     execvp(program.c_str(), argv.data());
--- a/emulator/emulated_worker_admission.cpp
+++ b/emulator/emulated_worker_admission.cpp
@@ -134,8 +134,8 @@
 bool EmulatedWorker::make_room(const v1::StartAttempt& attempt) {
     if (fits(attempt, 0, 0)) return true;
     if (!settings_.preempts) return false;
-    const auto priority = [this](const v1::StartAttempt& of) {
-        return fleet_.group(static_cast<int>(of.queue_group())).priority;
+    const auto priority = [this](const v1::StartAttempt& other) {
+        return fleet_.group(static_cast<int>(other.queue_group())).priority;
     };
     double cores = 0, memory = 0;
     std::vector<HostedTask*> evicted;
--- a/emulator/event_log.cpp
+++ b/emulator/event_log.cpp
@@ -5,16 +5,16 @@
 namespace whinpost::emulator {
 
 const char* to_string(EventKind kind) {
-    static const char* const kTexts[] = {"launch read",    "stop read",       "said accepted",
-                                         "said refused",   "said ended",      "began to run",
-                                         "runs no more",   "said drains",     "fell over",
-                                         "trouble begins", "trouble ends",    "connection lost",
-                                         "listed serving", "listed draining", "listed gone",
-                                         "offered",        "handed over",     "taken",
-                                         "placed",         "deferred",        "killed",
-                                         "over",           "withdrawn",       "placer lost",
-                                         "placer killed",  "placer stalled",  "placer well"};
-    return kTexts[static_cast<std::size_t>(kind)];
+    static const char* const texts[] = {"launch read",    "stop read",       "said accepted",
+                                        "said refused",   "said ended",      "began to run",
+                                        "runs no more",   "said drains",     "fell over",
+                                        "trouble begins", "trouble ends",    "connection lost",
+                                        "listed serving", "listed draining", "listed gone",
+                                        "offered",        "handed over",     "taken",
+                                        "placed",         "deferred",        "killed",
+                                        "over",           "withdrawn",       "placer lost",
+                                        "placer killed",  "placer stalled",  "placer well"};
+    return texts[static_cast<std::size_t>(kind)];
 }
 
 std::string to_string(const RecordedEvent& event, Nanos start) {
--- a/emulator/fault_injector.cpp
+++ b/emulator/fault_injector.cpp
@@ -2,6 +2,7 @@
 
 #include <array>
 #include <string>
+#include <tuple>
 #include <utility>
 
 #include "emulator/scenario_parser.h"
@@ -26,9 +27,10 @@
     void (FaultInjector::*heal)(const Fault&) = nullptr;  // null: nothing to do
 };
 
-const FaultInjector::Actions& FaultInjector::actions_of(FaultKind kind) {
+struct FaultInjector::ActionTable {
     using Injector = FaultInjector;
-    static const std::array<Actions, 28> kActions{{
+    // In the order of FaultKind.
+    inline static const std::array<Actions, 28> entries{{
         {.kind = FaultKind::drain, .inject = &Injector::drain, .heal = &Injector::replace_drained},
         {.kind = FaultKind::kill, .inject = &Injector::kill},
         {.kind = FaultKind::rejoin, .inject = &Injector::rejoin},
@@ -91,8 +93,12 @@
          .heal = &Injector::restart_discovery},
         {.kind = FaultKind::increase_use, .inject = &Injector::increase_use, .heal = &Injector::restore_use},
     }};
-    static_assert(kActions.size() == static_cast<std::size_t>(FaultKind::increase_use) + 1);
-    return kActions[static_cast<std::size_t>(kind)];
+};
+
+const FaultInjector::Actions& FaultInjector::actions_of(FaultKind kind) {
+    static_assert(std::tuple_size_v<decltype(ActionTable::entries)> ==
+                  static_cast<std::size_t>(FaultKind::increase_use) + 1);
+    return ActionTable::entries[static_cast<std::size_t>(kind)];
 }
 
 template <class Function>
--- a/emulator/fault_injector.h
+++ b/emulator/fault_injector.h
@@ -34,6 +34,7 @@
 
 private:
     struct Actions;
+    struct ActionTable;
     static const Actions& actions_of(FaultKind);
 
     template <class Function>
--- a/emulator/scenario_parser.cpp
+++ b/emulator/scenario_parser.cpp
@@ -50,6 +50,7 @@
 
 std::vector<std::string_view> fault_words() {
     std::vector<std::string_view> words;
+    words.reserve(kFaults.size());
     for (const FaultTraits& traits : kFaults) words.push_back(traits.word);
     return words;
 }
@@ -241,7 +242,7 @@
         if (root_.has("list_at_start")) read_stale_discovery();
         for (Table& table : root_.tables("fault")) FaultReader(scenario_, table, group_words_).read();
         std::stable_sort(scenario_.faults.begin(), scenario_.faults.end(),
-                         [](const Fault& a, const Fault& b) { return a.at < b.at; });
+                         [](const Fault& one, const Fault& other) { return one.at < other.at; });
         for (Table& table : root_.tables("expect")) scenario_.expectations.push_back(read_expectation(table));
         return std::move(scenario_);
     }
@@ -346,7 +347,7 @@
     void read_stale_discovery() {
         Table table = root_.table("list_at_start");
         Scenario::StaleDiscovery& stale = scenario_.stale_discovery;
-        stale.age = table.duration("age_s", kSecond, 30 * 24 * kHour);
+        stale.age = table.duration("age_s", kSecond, 24 * kHour * 30);
         stale.lasts = table.duration("for_s", kSecond, scenario_.length);
         stale.ghosts = static_cast<std::size_t>(table.integer("ghosts", 0, 100'000, 0));
         stale.missing = static_cast<std::size_t>(
--- a/emulator/scenario_run.cpp
+++ b/emulator/scenario_run.cpp
@@ -21,7 +21,8 @@
 constexpr Nanos kSampleInterval = kSecond;
 constexpr Nanos kFinishPoll = 100 * kMillisecond;
 constexpr Nanos kFinishGrace = 5 * kSecond;
-constexpr std::size_t kMaxScheduledCalls = 4096;  // before those that are over are removed
+constexpr std::size_t kNameWidth = 20, kNumberWidth = 12;  // of the result table
+constexpr std::size_t kMaxScheduledCalls = 4096;           // before those that are over are removed
 
 std::ranlux24_base make_random(std::uint64_t seed) {
     return std::ranlux24_base(static_cast<std::ranlux24_base::result_type>(seed * 7919 + 1));
@@ -263,7 +264,6 @@
 }
 
 std::string ScenarioRun::table(const RunResult& result) const {
-    constexpr std::size_t kNameWidth = 20, kNumberWidth = 12;
     std::ostringstream out;
     const auto add_cell = [&out](const std::string& text, std::size_t width) {
         out << text << std::string(width > text.size() ? width - text.size() : 1, ' ');
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -182,14 +182,14 @@
     SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
     std::vector<std::unique_ptr<BaselinePlanner>> baselines(scenario.placers);
     if (const std::optional<BaselinePolicy> policy = policy_of(planner))
-        environment.on_placer_made = [&, policy](std::size_t i, apps::EmbeddedPlacer& placer) {
+        environment.on_placer_made = [&, policy](std::size_t number, apps::EmbeddedPlacer& placer) {
             std::vector<QueueGroup> groups;
             for (const emulator::NamedQueueGroup& group : scenario.groups)
                 groups.push_back(group.queue_group);
-            baselines[i] = std::make_unique<BaselinePlanner>(
-                placer.edge, *policy, scenario.seed * 1009 + i, std::move(groups), scenario.retry,
+            baselines[number] = std::make_unique<BaselinePlanner>(
+                placer.edge, *policy, scenario.seed * 1009 + number, std::move(groups), scenario.retry,
                 scenario.worker.warm_up_time + scenario.worker.overload_window);
-            placer.edge.set_planner(*baselines[i]);
+            placer.edge.set_planner(*baselines[number]);
         };
     emulator::ScenarioRun run(scenario, environment, progress);
     const emulator::RunResult result = run_to_end(network, run);
--- a/simulation/report_table.cpp
+++ b/simulation/report_table.cpp
@@ -44,8 +44,9 @@
 
 void add_busiest_workers(std::ostream& out, const RunReport& report) {
     std::vector<WorkerRow> busiest = report.workers();
-    std::stable_sort(busiest.begin(), busiest.end(),
-                     [](const WorkerRow& a, const WorkerRow& b) { return a.attempts > b.attempts; });
+    std::stable_sort(busiest.begin(), busiest.end(), [](const WorkerRow& one, const WorkerRow& other) {
+        return one.attempts > other.attempts;
+    });
     out << "\nnodes that were sent the most (of " << busiest.size() << ")\n"
         << pad("node", 14) << pad("launches", 10) << pad("accepted", 10) << pad("refused", 10)
         << pad("errors", 8) << "started\n";
--- a/simulation/scenario_generator.cpp
+++ b/simulation/scenario_generator.cpp
@@ -1,5 +1,7 @@
 #include "simulation/scenario_generator.h"
 
+#include <algorithm>
+#include <ostream>
 #include <random>
 #include <sstream>
 #include <stdexcept>
@@ -20,7 +22,7 @@
     std::string text() {
         std::string whole = fleet();  // first: the load is drawn for it
         whole += groups();
-        // Troubles are drawn one by one; one that makes no sense beside the earlier ones is drawn again.
+        // Faults are drawn one by one; one that makes no sense beside the earlier ones is drawn again.
         const int wanted = 2 + roll(big_ ? 4 : 3);
         for (int have = 0, tried = 0; have < wanted && tried < 60; ++tried) {
             const std::string with = whole + fault();
@@ -112,132 +114,121 @@
         return t.str();
     }
 
+    // Starts a [[fault]] of that kind.
+    void begin_fault(std::ostream& out, const char* word, bool lasts) {
+        out << "do = \"" << word << "\"\n";
+        if (lasts) out << "for_s = " << std::min(fault_duration_, length_ - fault_at_) << '\n';
+    }
+
+    void add_worker_range(std::ostream& out, int count) {
+        out << "node = " << roll(nodes_ - count + 1) << "\ncount = " << count << '\n';
+    }
+
+    void add_workers(std::ostream& out, int most) {
+        if (luck(0.2)) out << "zone = \"" << any_of(zones_) << "\"\n";
+        else add_worker_range(out, between(1, std::max(1, most)));
+    }
+
+    void add_drain(std::ostream& out) {
+        begin_fault(out, "drain", false);
+        out << "for_s = " << between(1, 5) << "\ntell = " << yes(0.7) << '\n';
+        const int count = between(1, nodes_ / 2);
+        add_worker_range(out, count);
+        if (count > 2 && luck(0.5)) out << "waves = 2\nevery_s = " << between(1, 5) << '\n';
+    }
+
+    void add_cut(std::ostream& out) {
+        const char* ways[] = {"both", "in", "out"};
+        begin_fault(out, "cut", true);
+        out << "way = \"" << ways[roll(3)] << "\"\n";
+        add_workers(out, nodes_ / 2);
+    }
+
+    void add_discovery_fault(std::ostream& out) {
+        const char* words[] = {"list_backwards", "list_none", "list_still", "list_down"};
+        const int which = roll(4);
+        begin_fault(out, words[which], which >= 2);
+    }
+
+    void add_placer_fault(std::ostream& out, const char* word) {
+        begin_fault(out, word, true);
+        out << "placer = " << roll(placers_) << '\n';
+    }
+
+    void add_rate(std::ostream& out) {
+        begin_fault(out, "rate", true);
+        out << "size = " << part(0, 4) << "\ngroup = \"" << any_of(groups_) << "\"\n";
+        add_workers(out, nodes_ / 2);
+    }
+
+    const std::string& any_of(const std::vector<std::string>& names) {
+        return names[static_cast<std::size_t>(roll(static_cast<int>(names.size())))];
+    }
+
+    // A fault of a word, perhaps a size, and at most a part of the workers.
+    struct SimpleFault {
+        const char* word;
+        bool lasts;
+        double least_size, most_size;  // both 0: it has no size
+        int worker_part;               // one in so many at most; 0: it is not for workers
+    };
+
+    void add_simple(std::ostream& out, const SimpleFault& fault) {
+        begin_fault(out, fault.word, fault.lasts);
+        if (fault.most_size > 0) out << "size = " << part(fault.least_size, fault.most_size) << '\n';
+        if (fault.worker_part > 0) add_workers(out, nodes_ / fault.worker_part);
+    }
+
     std::string fault() {
-        std::ostringstream t;
-        const int at = between(2, length_ - 6), lasts = between(1, 8);
-        t << "[[fault]]\nat_s = " << at << '\n';
-        const auto nodes = [&](int most) {
-            if (luck(0.2)) {
-                t << "zone = \"" << zones_[static_cast<std::size_t>(roll(static_cast<int>(zones_.size())))]
-                  << "\"\n";
-                return;
-            }
-            const int n = between(1, std::max(1, most)), first = roll(nodes_ - n + 1);
-            t << "node = " << first << "\ncount = " << n << '\n';
-        };
-        const auto of = [&](const char* what, bool lasting) {
-            t << "do = \"" << what << "\"\n";
-            if (lasting) t << "for_s = " << std::min(lasts, length_ - at) << '\n';
-        };
-        switch (roll(22)) {
-            case 0:
-            case 1:
-                of("drain", false);
-                t << "for_s = " << between(1, 5) << "\ntell = " << yes(0.7) << '\n';
-                {
-                    const int n = between(1, nodes_ / 2), first = roll(nodes_ - n + 1);
-                    t << "node = " << first << "\ncount = " << n << '\n';
-                    if (n > 2 && luck(0.5)) t << "waves = 2\nevery_s = " << between(1, 5) << '\n';
-                }
-                break;
-            case 2:
-                of("kill", false);
-                nodes(nodes_ / 5);
-                break;
-            case 3:
-                of("rejoin", false);
-                nodes(nodes_ / 3);
-                break;
-            case 4:
-                of("silent", true);
-                nodes(nodes_ / 2);
-                break;
-            case 5:
-                of("slow", true);
-                t << "size = " << part(2, 12) << '\n';
-                nodes(nodes_ / 3);
-                break;
-            case 6:
-                of("refuse", true);
-                t << "size = " << part(0.2, 1) << '\n';
-                nodes(nodes_ / 2);
-                break;
-            case 7:
-                of("fail_starts", true);
-                t << "size = " << part(0.2, 1) << '\n';
-                nodes(nodes_ / 3);
-                break;
-            case 8:
-                of("lose_answers", true);
-                t << "size = " << part(0.2, 1) << '\n';
-                nodes(nodes_ / 2);
-                break;
-            case 9:
-                of("late_yes", true);
-                t << "size = " << part(0.5, 6) << '\n';
-                nodes(nodes_ / 2);
-                break;
-            case 10:
-                of("twice", true);
-                nodes(nodes_);
-                break;
+        std::ostringstream out;
+        fault_at_ = between(2, length_ - 6);
+        fault_duration_ = between(1, 8);
+        out << "[[fault]]\nat_s = " << fault_at_ << '\n';
+        const SimpleFault simple_faults[] = {
+            {"kill", false, 0, 0, 5},          {"rejoin", false, 0, 0, 3},
+            {"silent", true, 0, 0, 2},         {"slow", true, 2, 12, 3},
+            {"refuse", true, 0.2, 1, 2},       {"fail_starts", true, 0.2, 1, 3},
+            {"lose_answers", true, 0.2, 1, 2}, {"late_yes", true, 0.5, 6, 2},
+            {"twice", true, 0, 0, 1}};
+        constexpr int kFirstSimple = 2;
+        const int kind = roll(22);
+        if (kind < kFirstSimple) add_drain(out);
+        else if (kind <= 10) add_simple(out, simple_faults[kind - kFirstSimple]);
+        else add_other(out, kind);
+        return out.str();
+    }
+
+    void add_other(std::ostream& out, int kind) {
+        switch (kind) {
             case 11:
-            case 12: {
-                const char* ways[] = {"both", "in", "out"};
-                of("cut", true);
-                t << "way = \"" << ways[roll(3)] << "\"\n";
-                nodes(nodes_ / 2);
-                break;
-            }
+            case 12:
+                return add_cut(out);
             case 13:
-                of("pause", true);
-                nodes(nodes_ / 2);
-                break;
+                return add_simple(out, {"pause", true, 0, 0, 2});
             case 14:
-                of("other", true);
-                t << "size = " << part(1, cores_) << '\n';
-                nodes(nodes_ / 3);
-                break;
+                return add_simple(out, {"other", true, 1, static_cast<double>(cores_), 3});
             case 15:
-                of("reset", false);
-                nodes(nodes_);
-                break;
-            case 16: {
-                const char* lists[] = {"list_backwards", "list_none", "list_still", "list_down"};
-                const int which = roll(4);
-                of(lists[which], which >= 2);
-                break;
-            }
+                return add_simple(out, {"reset", false, 0, 0, 1});
+            case 16:
+                return add_discovery_fault(out);
             case 17:
-                of("placer_kill", true);
-                t << "placer = " << roll(placers_) << '\n';
-                break;
+                return add_placer_fault(out, "placer_kill");
             case 18:
-                of("placer_stall", true);
-                t << "placer = " << roll(placers_) << '\n';
-                break;
+                return add_placer_fault(out, "placer_stall");
             case 19:
-                of("burst", true);
-                t << "size = " << part(1.5, 4) << '\n';
-                break;
+                return add_simple(out, {"burst", true, 1.5, 4, 0});
             case 20:
-                of("swell", true);
-                t << "size = " << part(1.2, 2.5) << '\n';
-                break;
-            case 21:
-                of("rate", true);
-                t << "size = " << part(0, 4) << "\ngroup = \""
-                  << groups_[static_cast<std::size_t>(roll(static_cast<int>(groups_.size())))] << "\"\n";
-                nodes(nodes_ / 2);
-                break;
+                return add_simple(out, {"swell", true, 1.2, 2.5, 0});
+            default:
+                return add_rate(out);
         }
-        return t.str();
     }
 
     std::uint64_t seed_;
     bool big_;
     std::ranlux24_base chance_;
     int nodes_ = 0, placers_ = 0, length_ = 0, cores_ = 0;
+    int fault_at_ = 0, fault_duration_ = 0;  // seconds
     double multiple_ = 1;
     bool yes_on_running_ = false;
     std::vector<std::string> zones_, groups_;
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -1,8 +1,9 @@
-// A network, clocks and processes in virtual time: the same edge, planner, ledger and stand-ins as on real
-// sockets, run many times faster than real time and the same way each time from one seed. What is met here:
+// A network, clocks and processes in virtual time: the same server, planner, ledger and emulator as on real
+// sockets, run many times faster than real time and the same way each time from one seed. What happens here:
 // delay, cuts in one direction or both, half-open connections, peers that do not read, processes that stand
 // still, kills at any step.
 #pragma once
+#include <cstdint>
 #include <functional>
 #include <map>
 #include <memory>
@@ -10,67 +11,37 @@
 #include <random>
 #include <set>
 #include <string>
+#include <string_view>
 #include <tuple>
 #include <utility>
 #include <vector>
 
 #include "net/stream.h"
+#include "simulation/simulated_process.h"
 
 namespace whinpost::simulation {
 
-class SimulatedNetwork;
-class SimulatedStream;
-class SimulatedListener;
-
 struct NetworkDelays {
     Nanos least = 200 * kMicrosecond;   // one way
-    Nanos spread = 300 * kMicrosecond;  // more than that, drawn for each lot of bytes
-    double late_share = 0;              // of all lots, those that are later by up to
+    Nanos spread = 300 * kMicrosecond;  // up to so much more, drawn for each chunk of bytes
+    double late_share = 0;              // of all chunks, those that are later by up to `late`
     Nanos late = 0;
 };
 
-// One process on one host, with a loop of its own.
-class SimulatedProcess final : public net::EventLoop {
-public:
-    SimulatedProcess(SimulatedNetwork&, std::string host, int zone, int number);
-    Nanos now() const override;
-    Nanos polled_at() const override { return unseen_since(); }
-    Nanos unseen_since() const override;
-    [[nodiscard]] net::ListenResult listen(const std::string& address, net::AcceptHandler) override;
-    std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamHandler&) override;
-    void attach(net::Stream&, net::StreamHandler&) override;
-    std::unique_ptr<net::Timer> make_timer(std::function<void()>) override;
-    void stop() override { stopped_ = true; }
-
-    bool stopped() const { return stopped_; }
-    bool alive() const { return alive_; }
-    const std::string& host() const { return host_; }
-    void files(int left) { files_ = left; }  // descriptors that it may still open
-
-private:
-    friend class SimulatedNetwork;
-    friend class SimulatedStream;
-    friend class SimulatedListener;
-    friend class SimulatedTimer;
-    SimulatedNetwork& world_;
-    std::string host_;
-    int zone_, number_;
-    bool stalled_ = false;
-    Nanos stalled_at_ = 0, resumed_at_ = 0;
-    std::vector<std::function<void()>> parked_;  // while it stands still
-    bool stopped_ = false, alive_ = true;
-    int files_ = 1 << 20;
-    std::vector<SimulatedStream*> streams_;
-};
-
 class SimulatedNetwork {
 public:
     explicit SimulatedNetwork(std::uint64_t seed, NetworkDelays = {});
     ~SimulatedNetwork();
+    SimulatedNetwork(const SimulatedNetwork&) = delete;
+    SimulatedNetwork& operator=(const SimulatedNetwork&) = delete;
 
-    // A host is the part of an address before the colon. Several processes may stand on one host.
+    // A host is the part of an address before the colon. Several processes may run on one host. Lives as long
+    // as the network.
     SimulatedProcess& process(std::string host, int zone = 0);
-    void kill(SimulatedProcess&);  // as by SIGKILL: its peers hear it; what used it is to be destroyed after
+
+    // ---- faults
+    // As by SIGKILL: its peers see a reset. Whatever uses the process is to be destroyed afterwards.
+    void kill(SimulatedProcess&);
     void vanish(SimulatedProcess&);  // as by a pulled plug: its peers keep half-open connections
     void stall(SimulatedProcess&);   // nothing of it runs; its kernel still takes bytes
     void resume(SimulatedProcess&);  // all that came meanwhile happens now, in its order
@@ -81,10 +52,10 @@
     void slow(const std::string& host, Nanos more);  // delay, each way
 
     Nanos now() const { return now_; }
-    void schedule(Nanos when, std::function<void()>);  // of the world: no stall holds it up
+    void schedule(Nanos when, std::function<void()>);  // of no process: no stall holds it up
     void run_until(Nanos);
     std::uint64_t steps() const { return steps_; }
-    // Of all bytes that were received, in their order: alike for runs that are alike.
+    // Of all bytes that were received, in their order: the same for runs that are the same.
     std::uint64_t digest() const { return digest_; }
 
 private:
@@ -94,28 +65,40 @@
     friend class SimulatedTimer;
     struct Event {
         Nanos at;
-        std::uint64_t number;
-        SimulatedProcess* process;  // null: the world's own
-        std::function<void()> then;
-        bool operator>(const Event& o) const { return std::tie(at, number) > std::tie(o.at, o.number); }
+        std::uint64_t number;       // orders events of the same time
+        SimulatedProcess* process;  // null: of no process
+        std::function<void()> callback;
+        bool operator>(const Event& other) const {
+            return std::tie(at, number) > std::tie(other.at, other.number);
+        }
+    };
+    struct HostCut {
+        bool in, out;
     };
+
     void post(Nanos when, SimulatedProcess*, std::function<void()>);
     bool blocked(const SimulatedProcess& from, const SimulatedProcess& to) const;
+    bool host_cut(const SimulatedProcess& from, const SimulatedProcess& to) const;
     bool blocked_in(const SimulatedStream&) const;
     Nanos delay(const SimulatedProcess& from, const SimulatedProcess& to);
-    void heal();
+    Nanos draw_up_to(Nanos most);
+    void continue_after_cut();
+    // Null: nobody listens there, or its process is dead.
+    SimulatedListener* find_listener(const std::string& address) const;
+    void add_to_digest(std::string_view bytes);
 
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     NetworkDelays delays_;
     Nanos now_ = 1'000'000 * kSecond;
-    std::uint64_t events_ = 0, steps_ = 0, digest_ = 14695981039346656037u;
+    std::uint64_t events_ = 0, steps_ = 0;
+    std::uint64_t digest_ = 14695981039346656037u;  // FNV-1a
     std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
     std::vector<std::unique_ptr<SimulatedProcess>> processes_;
     std::map<std::string, SimulatedListener*> listeners_;
     std::set<std::pair<std::string, std::string>> cuts_;
     std::set<int> zone_cuts_;
-    std::map<std::string, std::pair<bool, bool>> host_cuts_;  // in, out
-    std::map<std::string, Nanos> slow_;
+    std::map<std::string, HostCut> host_cuts_;
+    std::map<std::string, Nanos> added_delays_;  // by host
     int next_port_ = 40'000;
 };
 
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -72,7 +72,7 @@
     // A file that does not parse has no keys to be unknown.
     if (state_->errors.empty() || !state_->root.empty()) add_unknown_keys(*state_, state_->root, "");
     std::stable_sort(state_->errors.begin(), state_->errors.end(),
-                     [](const ConfigError& a, const ConfigError& b) { return a.line < b.line; });
+                     [](const ConfigError& one, const ConfigError& other) { return one.line < other.line; });
     ConfigErrors errors;
     for (const ConfigError& error : state_->errors)
         if (std::find(errors.begin(), errors.end(), error) == errors.end()) errors.push_back(error);
--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Nanos kDay = 24 * 3600 * kSecond;
+constexpr Nanos kDay = kSecond * 24 * 3600;
 // In the order of FailureDomain.
 const std::vector<std::string_view> kFailureDomains = {"none", "machine", "cell", "zone", "all"};
 
--- a/src/config/table.cpp
+++ b/src/config/table.cpp
@@ -162,7 +162,7 @@
 }
 
 std::string Table::address(std::string_view key) {
-    const std::string value = string(key);
+    std::string value = string(key);
     if (!value.empty() && !net::parse_socket_address(value))
         add_error(key, "must be an IP address and a port, as in \"127.0.0.1:7400\"");
     return value;
