--- a/bench/scale.h
+++ b/bench/scale.h
@@ -1,61 +1,24 @@
-// What one placer's control work costs as the fleet grows: hollow workers and clients in virtual time round
-// the real planner, decision module and ledger. Processor time is the host's; all else repeats exactly.
+// What one scheduler's control work costs as the fleet grows: the real planner, scheduler and ledger among
+// emulated workers and clients in virtual time. Processor time is this machine's; all else repeats exactly.
 #pragma once
-#include <cstdint>
+#include <optional>
 #include <string>
-#include <vector>
 
-#include "whinpost/scheduler.h"
+#include "scale_figures.h"
+#include "scale_record.h"
 
 namespace whinpost::bench {
 
-// One run's sizes. Rates are per second of virtual time, for this placer.
-struct ScaleSizes {
-    int workers = 14'000;
-    int placers = 57;
-    int services = 200;
-    int queue_groups = 4;
-    int asks = 33;     // tasks to start
-    int running = 50;  // tasks recovered at the start, on the first workers
-    int updates = 60;  // workers whose free room is told, three to an event
-    int zones = 19;
+// A size that can't be measured.
+struct InvalidSize {
+    std::string option;  // of the program, as "--workers"
+    std::string problem;
 };
+std::string to_string(const InvalidSize&);
 
-// What was measured. Times are processor time of this process.
-struct ScaleFigures {
-    double decision_us = 0;       // of one round that places one task
-    double update_event_ms = 0;   // told and followed by a round: three workers' free room
-    double state_event_ms = 0;    // told and followed by a round: one worker starts to drain, or serves again
-    double longest_event_ms = 0;  // of all events and rounds after the start
-    double calm_core_share = 0;   // asks, ends and updates at the stated rates
-    double no_room_core_share = 0;  // the same where no worker has room
-    double no_room_answered = 0;    // share of its asks that were answered before their time
-    double zone_lost_s = 0;         // one zone, told worker by worker, with a round after each
-    double zone_lost_once_ms = 0;   // the same in one event
-    double ready_s = 0;             // list and recovered tasks told to a new placer
-    double bytes_per_worker = 0;    // heap in use by module, planner and ledger
-};
-
-// Empty, or what is wrong: an argument and why.
-std::string check(const ScaleSizes&);
+// Nothing if the sizes can be measured.
+[[nodiscard]] std::optional<InvalidSize> check(const ScaleSizes&);
+// The sizes must have passed check().
 ScaleFigures measure(const ScaleSizes&);
 
-// One raw point, as written to docs/capacity/*.json.
-struct ScalePoint {
-    std::string varied;
-    ScaleSizes sizes;
-    std::vector<ScaleFigures> runs;
-};
-
-struct ScaleRecord {
-    std::string commit, command, machine;
-    std::vector<ScalePoint> points;
-};
-
-std::string to_json(const ScaleRecord&);
-// Throws std::runtime_error that names the file and what is wrong with it.
-ScaleRecord read_record(const std::string& path);
-// A Markdown table of all points: medians over the runs, and the spread of the decision.
-std::string table(const ScaleRecord&);
-
 }  // namespace whinpost::bench
--- a/bench/scale_program.cpp
+++ b/bench/scale_program.cpp
@@ -1,4 +1,4 @@
-// scale: measures one placer's control work at given sizes, and makes the tables of docs/CAPACITY.md.
+// scale: measures one scheduler's control work at given sizes, and makes the tables of docs/CAPACITY.md.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -10,8 +10,8 @@
 
 using whinpost::bench::ScaleSizes;
 
-int fail(const std::string& why) {
-    std::cerr << "scale: " << why << '\n';
+int fail(const std::string& problem) {
+    std::cerr << "scale: " << problem << '\n';
     return 1;
 }
 
@@ -57,7 +57,7 @@
         for (const int value : values) {
             ScaleSizes at = sizes;
             at.*variable->second = value;
-            if (const std::string wrong = check(at); !wrong.empty()) return fail(wrong);
+            if (const auto invalid = check(at)) return fail(to_string(*invalid));
         }
         for (const int value : values) {
             whinpost::bench::ScalePoint point{varied, sizes, {}};
--- a/src/scheduler/endpoint_list.h
+++ b/src/scheduler/endpoint_list.h
@@ -5,8 +5,8 @@
 #include <list>
 #include <vector>
 
+#include "scheduler/hash_ring.h"
 #include "whinpost/endpoint_state.h"
-#include "whinpost/hash_ring.h"
 #include "whinpost/worker.h"
 
 namespace whinpost::scheduler {
--- /dev/null
+++ b/tests/health_check_test.cpp
@@ -0,0 +1,76 @@
+// Health checks before a placement.
+#include "scheduler/health_check.h"
+
+#include <catch2/catch.hpp>
+
+#include "support/scheduler_rig.h"
+
+using namespace whinpost;
+
+TEST_CASE("a worker not heard from lately is checked before a placement, and the selection made anew") {
+    WorkerAcceptance acceptance{2.5, 1.5, false, true, false, false};
+    SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, acceptance);
+    Worker &one = rig.add_worker(), &two = rig.add_worker();
+    Task& task = rig.submit_and_run_round(rig.scheduler.add_service(1));
+    REQUIRE(rig.count(DecisionKind::place) == 0);
+    REQUIRE(rig.count(DecisionKind::check_health) == 1);
+    Worker &checked = *rig.decisions.back().worker, &other = &checked == &one ? two : one;
+    rig.now += 20 * kMillisecond;
+    LoadReport busy_report;
+    busy_report.utilization = 1.2;
+    busy_report.has_utilization = true;
+    rig.scheduler.on_load_report(rig.now, checked, busy_report);
+    rig.scheduler.run_round(rig.now);
+    CHECK(rig.decisions.back().worker == &other);
+    rig.advance(kSecond);  // it never answers
+    CHECK(task.worker == &checked);
+    CHECK(rig.count(DecisionKind::check_health) == 2);
+}
+
+TEST_CASE("a worker heard from just now gets a task at once, and the number of checks is bounded") {
+    QueueGroup group;
+    group.start_value_s = 10;
+    SchedulerRig rig({group}, SchedulerRig::default_slow_start(), {}, 4,
+                     {2.5, 1.5, false, true, false, false});
+    for (int i = 0; i < 20; ++i) rig.add_worker();
+    Task& task = rig.submit(rig.scheduler.add_service(1));
+    rig.advance(2 * kSecond);
+    REQUIRE(task.worker);
+    CHECK(rig.count(DecisionKind::check_health) == 3);
+    task.on_accepted(rig.now, 0);
+    rig.scheduler.on_load_report(rig.now, *task.worker, {});
+    Task& next = rig.submit_and_run_round(*task.service);
+    CHECK(next.worker == task.worker);
+    CHECK(rig.count(DecisionKind::check_health) == 3);
+}
+
+TEST_CASE("an answer to a health check that reports nothing ends the task's wait") {
+    WorkerAcceptance acceptance{2.5, 1.5};
+    acceptance.health_checks = true;
+    SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, acceptance);
+    Worker& worker = rig.add_worker();
+    Task& task = rig.submit_and_run_round(rig.scheduler.add_service(1));
+    REQUIRE(rig.count(DecisionKind::check_health) == 1);
+    REQUIRE_FALSE(task.worker);
+    rig.now += 5 * kMillisecond;
+    rig.scheduler.on_load_report(rig.now, worker, {});
+    rig.scheduler.run_round(rig.now);
+    CHECK(task.worker == &worker);
+}
+
+TEST_CASE("a worker that does not answer its check is overdue for a while, then may be checked again") {
+    const scheduler::HealthChecks checks({2.5, 1.5, false, true, false, false}, {});
+    SchedulerRig rig;
+    Worker worker(0, 1, kSecond, 1);
+    Task task;
+    const Nanos now = 1000 * kSecond;
+    CHECK(checks.check_first(now, task, worker, rig));
+    CHECK(rig.count(DecisionKind::check_health) == 1);
+    CHECK(task.not_before == now + 100 * kMillisecond);
+    CHECK_FALSE(checks.is_overdue(now + 99 * kMillisecond, worker));
+    CHECK(checks.is_overdue(now + 100 * kMillisecond, worker));
+    CHECK_FALSE(checks.is_overdue(now + 2 * kSecond, worker));
+    checks.on_report(now + 200 * kMillisecond, worker);
+    CHECK_FALSE(checks.is_overdue(now + 200 * kMillisecond, worker));
+    CHECK_FALSE(checks.check_first(now + 300 * kMillisecond, task, worker, rig));
+}
--- a/tests/placement_rules_test.cpp
+++ b/tests/placement_rules_test.cpp
@@ -1,8 +1,10 @@
-// A slow, plain model of the rules beside the module on generated days: each bind and answer must be one it
-// allows.
+// A slow, plain model of the rules beside the scheduler on generated days: each placement and answer must be
+// one that it allows.
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <map>
+#include <random>
+#include <vector>
 
 #include "support/scheduler_rig.h"
 
@@ -10,155 +12,161 @@
 
 namespace {
 
-struct Launch {
-    Worker* machine;
+struct SentAttempt {
+    Worker* worker;
     Nanos sent;
-    bool out = true, proven = false;
+    bool in_flight = true, proves_not_run = false;
 };
 
 struct Model {
-    Stand& t;
+    SchedulerRig& rig;
     std::vector<QueueGroup> groups;
-    SlowStartSettings cold;
-    std::map<Task*, std::vector<Launch>> launches;
-    std::map<Task*, char> answers;
-    std::map<Worker*, std::vector<Nanos>> young;
+    SlowStartSettings slow_start;
+    std::map<Task*, std::vector<SentAttempt>> attempts;
+    std::map<Task*, DecisionKind> answers;
+    std::map<Worker*, std::vector<Nanos>> warming_up;
     std::size_t read = 0;
-    Nanos told_before = 0;
+    Nanos previous_round = 0;
 
-    bool same(const Worker& a, const Worker& b, FailureDomain p) const {
-        return p == FailureDomain::all || (p == FailureDomain::zone && a.endpoint.zone == b.endpoint.zone) ||
-               (p == FailureDomain::cell && a.endpoint.cell == b.endpoint.cell) ||
-               (p == FailureDomain::worker && &a == &b);
+    bool same(const Worker& first, const Worker& second, FailureDomain domain) const {
+        return domain == FailureDomain::all ||
+               (domain == FailureDomain::zone && first.endpoint.zone == second.endpoint.zone) ||
+               (domain == FailureDomain::cell && first.endpoint.cell == second.endpoint.cell) ||
+               (domain == FailureDomain::worker && &first == &second);
     }
-    void check_bind(const Seen& s) {
-        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->request.queue_group)];
-        REQUIRE_FALSE(answers.contains(s.container));
-        REQUIRE(s.machine->endpoint.phase == EndpointPhase::serving);
-        REQUIRE((g.worker_kind < 0 || g.worker_kind == s.machine->endpoint.kind));
-        REQUIRE(t.now < s.container->deadline);
-        REQUIRE(s.time_out <= s.container->deadline - t.now);
-        auto& mine = launches[s.container];
-        REQUIRE(mine.size() < 4);
-        const Launch* first = nullptr;
-        for (const Launch& l : mine) {
-            REQUIRE_FALSE(l.out);
-            if (!l.proven && !first) first = &l;
+    void check_placement(const Decision& decision) {
+        const QueueGroup& group = groups[static_cast<std::size_t>(decision.task->request.queue_group)];
+        REQUIRE_FALSE(answers.contains(decision.task));
+        REQUIRE(decision.worker->endpoint.phase == EndpointPhase::serving);
+        REQUIRE((group.worker_kind < 0 || group.worker_kind == decision.worker->endpoint.kind));
+        REQUIRE(rig.now < decision.task->deadline);
+        REQUIRE(decision.attempt_timeout <= decision.task->deadline - rig.now);
+        auto& task_attempts = attempts[decision.task];
+        REQUIRE(task_attempts.size() < 4);
+        const SentAttempt* first = nullptr;
+        for (const SentAttempt& attempt : task_attempts) {
+            REQUIRE_FALSE(attempt.in_flight);
+            if (!attempt.proves_not_run && !first) first = &attempt;
         }
         if (first) {
-            REQUIRE(g.effect != Effect::side_effecting);
-            if (g.effect == Effect::keyed) {
-                REQUIRE(same(*first->machine, *s.machine, g.deduplicated_by));
-                REQUIRE(t.now - first->sent < g.deduplication_window);
+            REQUIRE(group.effect != Effect::side_effecting);
+            if (group.effect == Effect::keyed) {
+                REQUIRE(same(*first->worker, *decision.worker, group.deduplicated_by));
+                REQUIRE(rig.now - first->sent < group.deduplication_window);
             }
         }
-        mine.push_back({s.machine, t.now});
-        if (g.spread_domain != FailureDomain::none) {
-            int there = 0;
-            for (const auto& [c, all] : launches)
-                for (const Launch& l : all)
-                    there += l.out && c->service == s.container->service &&
-                             same(*l.machine, *s.machine, g.spread_domain);
-            REQUIRE(there <= g.max_per_domain);
+        task_attempts.push_back({decision.worker, rig.now});
+        if (group.spread_domain != FailureDomain::none) {
+            int running = 0;
+            for (const auto& [task, all] : attempts)
+                for (const SentAttempt& attempt : all)
+                    running += attempt.in_flight && task->service == decision.task->service &&
+                               same(*attempt.worker, *decision.worker, group.spread_domain);
+            REQUIRE(running <= group.max_per_domain);
         }
-        if (s.machine->endpoint.started_at && t.now - s.machine->endpoint.started_at < cold.warm_up_time) {
-            auto& binds = young[s.machine];
-            binds.push_back(t.now);
+        if (decision.worker->endpoint.started_at &&
+            rig.now - decision.worker->endpoint.started_at < slow_start.warm_up_time) {
+            auto& placements = warming_up[decision.worker];
+            placements.push_back(rig.now);
             int lately = 0;
-            for (const Nanos at : binds) lately += t.now - at < cold.window;
-            REQUIRE(lately <= 2 * std::ceil(std::floor(cold.guaranteed_attempts / 2) / cold.placers));
+            for (const Nanos at : placements) lately += rig.now - at < slow_start.window;
+            REQUIRE(lately <=
+                    2 * std::ceil(std::floor(slow_start.guaranteed_attempts / 2) / slow_start.placers));
         }
     }
-    void check_answer(const Seen& s) {
-        const QueueGroup& g = groups[static_cast<std::size_t>(s.container->request.queue_group)];
-        REQUIRE(answers.emplace(s.container, s.what).second);
-        REQUIRE(told_before <=
-                s.container->deadline);  // at the first moment it was told of after the queue timeout
-        if (s.what != 'd' || g.effect == Effect::idempotent) return;
-        for (const Launch& l : launches[s.container])
-            REQUIRE((l.proven ||
-                     (g.effect == Effect::keyed && g.deduplicated_by == FailureDomain::all && !l.out)));
+    void check_answer(const Decision& decision) {
+        const QueueGroup& group = groups[static_cast<std::size_t>(decision.task->request.queue_group)];
+        REQUIRE(answers.emplace(decision.task, decision.kind).second);
+        REQUIRE(previous_round <= decision.task->deadline);  // at the first round after the queue timeout
+        if (decision.kind != DecisionKind::reject || group.effect == Effect::idempotent) return;
+        for (const SentAttempt& attempt : attempts[decision.task])
+            REQUIRE((attempt.proves_not_run ||
+                     (group.effect == Effect::keyed && group.deduplicated_by == FailureDomain::all &&
+                      !attempt.in_flight)));
     }
     void catch_up() {
-        for (; read < t.seen.size(); ++read) {
-            const Seen& s = t.seen[read];
-            if (s.what == 'b') check_bind(s);
-            if (s.what == 'd' || s.what == 'k') check_answer(s);
+        for (; read < rig.decisions.size(); ++read) {
+            const Decision& decision = rig.decisions[read];
+            if (decision.kind == DecisionKind::place) check_placement(decision);
+            if (decision.kind == DecisionKind::reject || decision.kind == DecisionKind::fail)
+                check_answer(decision);
         }
     }
 };
 
 }  // namespace
 
-TEST_CASE("on generated days every bind and answer is one that the plain model of the rules allows") {
+TEST_CASE("on generated days every placement and answer is one that the plain model of the rules allows") {
     const auto seed = GENERATE(take(60, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     std::vector<QueueGroup> groups;
-    for (const Effect e : {Effect::idempotent, Effect::keyed, Effect::side_effecting}) {
+    for (const Effect effect : {Effect::idempotent, Effect::keyed, Effect::side_effecting}) {
         const FailureDomain places[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
                                         FailureDomain::worker};
         const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::worker, FailureDomain::cell,
                                          FailureDomain::zone};
-        QueueGroup g = group(e, places[roll(4)], (1 + roll(4)) * kSecond);
-        g.spread_domain = spreads[roll(4)];
-        g.max_per_domain = 1 + roll(4);
-        g.worker_kind = roll(5) - 4;
-        groups.push_back(g);
+        QueueGroup group = queue_group(effect, places[roll(4)], (1 + roll(4)) * kSecond);
+        group.spread_domain = spreads[roll(4)];
+        group.max_per_domain = 1 + roll(4);
+        group.worker_kind = roll(5) - 4;
+        groups.push_back(group);
     }
-    SlowStartSettings cold = Stand::usual_cold();
-    cold.guaranteed_attempts = roll(30);
-    Stand t(groups, cold);
-    Model model{t, groups, cold, {}, {}, {}};
+    SlowStartSettings slow_start = SchedulerRig::default_slow_start();
+    slow_start.guaranteed_attempts = roll(30);
+    SchedulerRig rig(groups, slow_start);
+    Model model{rig, groups, slow_start, {}, {}, {}};
     std::vector<Service*> services;
-    for (int i = 0; i < 4; ++i) services.push_back(&t.placer.add_service(1));
-    for (int i = 0; i < 6; ++i) t.machine(i / 2, i / 4, roll(2) ? 0 : t.now - roll(12) * kSecond);
+    for (int i = 0; i < 4; ++i) services.push_back(&rig.scheduler.add_service(1));
+    for (int i = 0; i < 6; ++i) rig.add_worker(i / 2, i / 4, roll(2) ? 0 : rig.now - roll(12) * kSecond);
     std::vector<Task*> alive;
     for (int step = 0; step < 1500; ++step) {
-        model.told_before = t.now;
-        t.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;  // the clock may jump far
-        for (Task* c : alive)  // the wire answers every launch by its time-out
-            if (c->worker && !c->accepted && t.now >= c->deadline) {
-                model.launches[c].back().out = false;
-                t.end(*c, AttemptOutcome::timed_out);
+        model.previous_round = rig.now;
+        rig.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;  // the clock may jump far
+        for (Task* task : alive)  // every attempt ends by its timeout
+            if (task->worker && !task->accepted && rig.now >= task->deadline) {
+                model.attempts[task].back().in_flight = false;
+                rig.end_attempt(*task, AttemptOutcome::timed_out);
                 model.catch_up();
             }
         if (roll(3) == 0) {
-            const int which = roll(3);
-            Task& c = t.take(*services[static_cast<std::size_t>(roll(4))], which, 0.5 + roll(8),
-                             (1 + roll(6)) * kSecond);
-            alive.push_back(&c);
+            const int group_number = roll(3);
+            Task& task = rig.submit(*services[static_cast<std::size_t>(roll(4))], group_number, 0.5 + roll(8),
+                                    (1 + roll(6)) * kSecond);
+            alive.push_back(&task);
         }
         if (roll(60) == 0) {
-            Worker& m = *t.machines[static_cast<std::size_t>(roll(6))];
-            EndpointState l = m.endpoint;
-            l.phase = static_cast<EndpointPhase>(roll(3));
-            if (roll(2)) l.started_at = t.now, l.phase = EndpointPhase::serving;
-            l.free_cores = roll(40) - 24;
-            t.entry(m, l);
+            Worker& worker = *rig.workers[static_cast<std::size_t>(roll(6))];
+            EndpointState state = worker.endpoint;
+            state.phase = static_cast<EndpointPhase>(roll(3));
+            if (roll(2)) state.started_at = rig.now, state.phase = EndpointPhase::serving;
+            state.free_cores = roll(40) - 24;
+            rig.list(worker, state);
         }
         if (!alive.empty() && roll(2) == 0) {
-            Task& c = *alive[static_cast<std::size_t>(roll(static_cast<int>(alive.size())))];
-            if (c.worker && !c.accepted && roll(2)) c.on_accepted(t.now, c.attempts - 1);
-            else if (c.worker) {
-                const auto how = static_cast<AttemptOutcome>(roll(9));
-                Launch& l = model.launches[&c].back();
-                l.out = false;
-                l.proven = how == AttemptOutcome::rejected || how == AttemptOutcome::connect_failed ||
-                           how == AttemptOutcome::not_sent;
-                t.end(c, how, static_cast<OutcomeReason>(roll(8)), c.accepted || c.settled);
+            Task& task = *alive[static_cast<std::size_t>(roll(static_cast<int>(alive.size())))];
+            if (task.worker && !task.accepted && roll(2)) task.on_accepted(rig.now, task.attempts - 1);
+            else if (task.worker) {
+                const auto outcome = static_cast<AttemptOutcome>(roll(9));
+                SentAttempt& attempt = model.attempts[&task].back();
+                attempt.in_flight = false;
+                attempt.proves_not_run = outcome == AttemptOutcome::rejected ||
+                                         outcome == AttemptOutcome::connect_failed ||
+                                         outcome == AttemptOutcome::not_sent;
+                rig.end_attempt(task, outcome, static_cast<OutcomeReason>(roll(8)),
+                                task.accepted || task.settled);
                 model.catch_up();
-                if (c.settled) model.answers.emplace(&c, 'e');
+                if (task.settled) model.answers.emplace(&task, DecisionKind::cancel);
             }
             model.catch_up();
         }
-        t.placer.run_round(t.now);
+        rig.scheduler.run_round(rig.now);
         model.catch_up();
     }
     for (int i = 0; i < 500; ++i) {
-        model.told_before = t.now;
-        t.pass(20 * kMillisecond);
+        model.previous_round = rig.now;
+        rig.advance(20 * kMillisecond);
         model.catch_up();
     }
-    for (Task* c : alive) CHECK((c->settled || c->worker));  // none is held for ever
+    for (Task* task : alive) CHECK((task->settled || task->worker));  // none waits for ever
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// Servers in slow start: what all placers together send, beside a slow, plain count of what arrives.
+// Workers in slow start: what all schedulers together send, beside a slow, plain count of what arrives.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -18,168 +18,176 @@
 constexpr Nanos kWindow = kSecond;
 constexpr Nanos kStep = 20 * kMillisecond;
 constexpr Nanos kTurns = 4;
-constexpr Nanos kLongestWay = 40 * kMillisecond;  // of an attempt to its server
+constexpr Nanos kLongestWay = 40 * kMillisecond;  // of an attempt to its worker
 constexpr Nanos kStart = 1000 * kSecond;
-const char* const kServer = "s-1";
+const char* const kWorker = "s-1";
 
-// The most attempts that may arrive in one window at a server that bears `n`: the users' terms.
-int most_in_window(int n) {
-    const double root = std::sqrt(n);
-    return static_cast<int>(n < 30 ? n + 3 * root + 3 : n + 2 * root + 2);
+// The most attempts that may arrive in one window at a worker that bears so many: the users' terms.
+int most_in_window(int bearable) {
+    const double root = std::sqrt(bearable);
+    return static_cast<int>(bearable < 30 ? bearable + 3 * root + 3 : bearable + 2 * root + 2);
 }
 
-// One placer: the decision module and the ledger, and attempts that wait for their connection.
+// One scheduler with its ledger, and attempts that wait for their connection.
 struct Sender {
-    Sender(SlowStartSettings terms, Nanos now)
-        : cold(terms), stand({QueueGroup{}}, terms), ledger({QueueGroup{}}, {4, true}, terms),
-          node(&ledger.add_worker(kServer)) {
-        stand.now = now;
-        Worker& m = stand.placer.add_worker(stable_hash(kServer));
-        stand.machines.push_back(&m);
+    Sender(SlowStartSettings settings, Nanos now)
+        : slow_start(settings), rig({QueueGroup{}}, settings), ledger({QueueGroup{}}, {4, true}, settings),
+          worker_record(&ledger.add_worker(kWorker)) {
+        rig.now = now;
+        Worker& worker = rig.scheduler.add_worker(stable_hash(kWorker));
+        rig.workers.push_back(&worker);
         const EndpointState listed{0, 0, 0, 16, 32, EndpointPhase::serving, kStart};
-        stand.entry(m, listed);
-        ledger.on_endpoint(now, *node, listed);
-        stand.placer.start(now);
+        rig.list(worker, listed);
+        ledger.on_endpoint(now, *worker_record, listed);
+        rig.scheduler.start(now);
     }
-    void ask(int count) {
-        for (int i = 0; i < count; ++i) stand.take(stand.placer.add_service(1), 0, 0.001);
+    void submit(int count) {
+        for (int i = 0; i < count; ++i) rig.submit(rig.scheduler.add_service(1), 0, 0.001);
     }
-    // Binds, as far as the ledger allows it; each attempt leaves once its dial is through.
-    void round(Nanos now, const std::function<Nanos()>& dial) {
-        stand.now = now;
-        const std::size_t before = stand.seen.size();
-        stand.placer.run_round(now);
-        for (std::size_t i = before; i < stand.seen.size(); ++i) {
-            if (stand.seen[i].what != 'b') continue;
-            ledger::TaskRecord& r = ledger.create_task(now, "c", 1, stand.seen[i].container->request);
-            if (const auto attempt = ledger.start_attempt(now, r, *node, kSecond))
-                waiting.push_back({*attempt, stand.seen[i].container, now + dial()});
-            else over.push_back(stand.seen[i].container);
+    // Places tasks as far as the ledger allows it; each attempt leaves once its connection is up.
+    void run_round(Nanos now, const std::function<Nanos()>& connect_time) {
+        rig.now = now;
+        const std::size_t before = rig.decisions.size();
+        rig.scheduler.run_round(now);
+        for (std::size_t i = before; i < rig.decisions.size(); ++i) {
+            if (rig.decisions[i].kind != DecisionKind::place) continue;
+            ledger::TaskRecord& task = ledger.create_task(now, "c", 1, rig.decisions[i].task->request);
+            if (const auto attempt = ledger.start_attempt(now, task, *worker_record, kSecond))
+                waiting.push_back({*attempt, rig.decisions[i].task, now + connect_time()});
+            else ended.push_back(rig.decisions[i].task);
         }
     }
-    // Writes what may still be written; gives back how many left.
+    // Writes what may still be written; gives back how many attempts left.
     int write(Nanos now) {
         int sent = 0;
-        std::erase_if(waiting, [&](const Waiting& w) {
-            if (now < w.up) return false;
-            const bool leaves = ledger.may_still_send(now, *w.attempt);
+        std::erase_if(waiting, [&](const Waiting& attempt) {
+            if (now < attempt.connected_at) return false;
+            const bool leaves = ledger.may_still_send(now, *attempt.record);
             sent += leaves;
-            if (!leaves) ledger.on_ended(now, *w.attempt, AttemptOutcome::not_sent);
-            over.push_back(w.container);
+            if (!leaves) ledger.on_ended(now, *attempt.record, AttemptOutcome::not_sent);
+            ended.push_back(attempt.task);
             return true;
         });
-        // The server answers at once that it is done, so that the module's own limits bind nothing.
-        for (Task* c : std::exchange(over, {}))
-            c->on_attempt_ended(now, c->attempts - 1, AttemptOutcome::completed, OutcomeReason::unspecified,
-                                true, {});
+        // The worker answers at once that it is done, so that the scheduler's own limits hold nothing back.
+        for (Task* task : std::exchange(ended, {}))
+            task->on_attempt_ended(now, task->attempts - 1, AttemptOutcome::completed,
+                                   OutcomeReason::unspecified, true, {});
         return sent;
     }
     struct Waiting {
-        ledger::Attempt* attempt;
-        Task* container;
-        Nanos up;
+        ledger::Attempt* record;
+        Task* task;
+        Nanos connected_at;
     };
-    SlowStartSettings cold;
-    Stand stand;
+    SlowStartSettings slow_start;
+    SchedulerRig rig;
     ledger::Ledger ledger;
-    ledger::WorkerRecord* node;
+    ledger::WorkerRecord* worker_record;
     std::vector<Waiting> waiting;
-    std::vector<Task*> over;
+    std::vector<Task*> ended;
 };
 
 }  // namespace
 
-TEST_CASE("no window brings a server in slow start more than it bears, from however many placers") {
-    const int placers = GENERATE(1, 3, 16, 57, 114);
-    const int borne = GENERATE(2, 29, 44, 600);
-    const bool late_dials = GENERATE(false, true), restarts = GENERATE(false, true);
-    std::ranlux24_base chance(static_cast<unsigned>(placers * 1000 + borne));
-    const auto roll = [&chance](Nanos n) { return static_cast<Nanos>(chance()) % n; };
+TEST_CASE("no window brings a worker in slow start more than it bears, from however many schedulers") {
+    const int schedulers = GENERATE(1, 3, 16, 57, 114);
+    const int bearable = GENERATE(2, 29, 44, 600);
+    const bool late_connections = GENERATE(false, true), restarts = GENERATE(false, true);
+    std::ranlux24_base chance(static_cast<unsigned>(schedulers * 1000 + bearable));
+    const auto roll = [&chance](Nanos limit) { return static_cast<Nanos>(chance()) % limit; };
     const auto start = [&](int i, Nanos now) {
         return std::make_unique<Sender>(
-            SlowStartSettings{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i}, now);
+            SlowStartSettings{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(bearable), schedulers, i},
+            now);
     };
     std::vector<std::unique_ptr<Sender>> all;
-    for (int i = 0; i < placers; ++i) all.push_back(start(i, kStart - kWindow));  // in an earlier turn
+    for (int i = 0; i < schedulers; ++i) all.push_back(start(i, kStart - kWindow));  // in an earlier turn
     std::vector<Nanos> arrived;
-    // Each placer's share, at the end of the first turn and at the start of all others: what must not come
+    // Each scheduler's share, at the end of the first turn and at the start of all others: what must not come
     // together are the first three of these, so the first two are slow on their way.
-    const int share = borne / 2 / placers + 1;
+    const int share = bearable / 2 / schedulers + 1;
     for (Nanos now = kStart; now < kStart + kTurns * kWindow; now += kStep) {
         const bool first_turn = now < kStart + kWindow;
         const bool rush = now % kWindow == (first_turn ? kWindow - kStep : 0);
-        for (auto& s : all) {
-            if (restarts && roll(200) == 0) s = start(s->cold.placer_index, now);
-            if (rush) s->ask(share);
-            s->round(now, [&] { return late_dials && first_turn ? roll(1000) * kMillisecond : 0; });
-            for (int n = s->write(now); n > 0; --n)
+        for (auto& sender : all) {
+            if (restarts && roll(200) == 0) sender = start(sender->slow_start.placer_index, now);
+            if (rush) sender->submit(share);
+            sender->run_round(now,
+                              [&] { return late_connections && first_turn ? roll(1000) * kMillisecond : 0; });
+            for (int left = sender->write(now); left > 0; --left)
                 arrived.push_back(now + (now < kStart + 2 * kWindow ? kLongestWay : 0));
         }
     }
     std::sort(arrived.begin(), arrived.end());
     int most = 0;
-    for (std::size_t i = 0, j = 0; i < arrived.size(); ++i) {
-        while (arrived[i] - arrived[j] >= kWindow) ++j;
-        most = std::max(most, static_cast<int>(i - j + 1));
+    for (std::size_t i = 0, oldest = 0; i < arrived.size(); ++i) {
+        while (arrived[i] - arrived[oldest] >= kWindow) ++oldest;
+        most = std::max(most, static_cast<int>(i - oldest + 1));
     }
-    INFO(placers << " placers, " << borne << " borne, " << arrived.size() << " arrived, most " << most);
-    CHECK(most <= most_in_window(borne));
-    // It is used, too: without late dials most of the tokens are.
-    if (!late_dials && !restarts) CHECK(static_cast<int>(arrived.size()) >= std::min(borne / 2, 8));
+    INFO(schedulers << " schedulers, " << bearable << " bearable, " << arrived.size() << " arrived, most "
+                    << most);
+    CHECK(most <= most_in_window(bearable));
+    // It is used, too: without late connections most of the tokens are.
+    if (!late_connections && !restarts) CHECK(static_cast<int>(arrived.size()) >= std::min(bearable / 2, 8));
 }
 
 TEST_CASE(
-    "an attempt that waited past the end of its turn, or for a server before its restart, is not sent") {
-    const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
-    ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-    ledger::WorkerRecord& n = l.add_worker(kServer);
-    l.on_endpoint(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
-    ResourceRequest asked;
-    asked.time_left = 10 * kSecond;
+    "an attempt that waited past the end of its turn, or for a worker before its restart, is not sent") {
+    const SlowStartSettings slow_start{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
+    ledger::Ledger ledger({QueueGroup{}}, {4, true}, slow_start);
+    ledger::WorkerRecord& worker_record = ledger.add_worker(kWorker);
+    ledger.on_endpoint(kStart, worker_record, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart - kSecond});
+    ResourceRequest request;
+    request.time_left = 10 * kSecond;
     const Nanos sent = kStart + kWindow / 2;
     ledger::Attempt* attempt =
-        l.start_attempt(sent, l.create_task(sent, "a", 1, asked), n, 5 * kSecond).value_or(nullptr);
+        ledger.start_attempt(sent, ledger.create_task(sent, "a", 1, request), worker_record, 5 * kSecond)
+            .value_or(nullptr);
     REQUIRE(attempt);
-    CHECK(l.may_still_send(kStart + kWindow - 1, *attempt));
-    CHECK_FALSE(l.may_still_send(kStart + kWindow, *attempt));
-    CHECK(l.may_still_send(sent + 1, *attempt));
-    l.on_endpoint(sent + 2, n, {0, 0, 0, 16, 32, EndpointPhase::serving, sent + 1});
-    CHECK_FALSE(l.may_still_send(sent + 3, *attempt));
+    CHECK(ledger.may_still_send(kStart + kWindow - 1, *attempt));
+    CHECK_FALSE(ledger.may_still_send(kStart + kWindow, *attempt));
+    CHECK(ledger.may_still_send(sent + 1, *attempt));
+    ledger.on_endpoint(sent + 2, worker_record, {0, 0, 0, 16, 32, EndpointPhase::serving, sent + 1});
+    CHECK_FALSE(ledger.may_still_send(sent + 3, *attempt));
 }
 
-TEST_CASE("the ledger alone holds all placers to what a server in slow start bears, whatever planners ask") {
-    const int placers = GENERATE(1, 3, 16, 57, 114);
-    const int borne = GENERATE(2, 9, 44, 600);
+TEST_CASE(
+    "the ledger alone holds all schedulers to what a worker in slow start bears, whatever planners ask") {
+    const int schedulers = GENERATE(1, 3, 16, 57, 114);
+    const int bearable = GENERATE(2, 9, 44, 600);
     // Whether attempts are bound at the end of the first turn, where they wait up to a second for their
     // connection, in the middle of the second and at the start of the others; or at the start of each.
-    const bool late_dials = GENERATE(false, true);
+    const bool late_connections = GENERATE(false, true);
     std::ranlux24_base chance(7);
     std::vector<Nanos> sent;
-    for (int i = 0; i < placers; ++i) {
-        const SlowStartSettings cold{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(borne), placers, i};
-        ledger::Ledger l({QueueGroup{}}, {4, true}, cold);
-        ledger::WorkerRecord& n = l.add_worker(kServer);
-        l.on_endpoint(kStart, n, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
-        ResourceRequest asked;
-        asked.time_left = 60 * kSecond;
-        const Nanos first = late_dials ? kStart + kWindow - kStep : kStart;
+    for (int i = 0; i < schedulers; ++i) {
+        const SlowStartSettings slow_start{
+            0.2, 60 * kSecond, 2, kWindow, static_cast<double>(bearable), schedulers, i};
+        ledger::Ledger ledger({QueueGroup{}}, {4, true}, slow_start);
+        ledger::WorkerRecord& worker_record = ledger.add_worker(kWorker);
+        ledger.on_endpoint(kStart, worker_record, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
+        ResourceRequest request;
+        request.time_left = 60 * kSecond;
+        const Nanos first = late_connections ? kStart + kWindow - kStep : kStart;
         for (Nanos now = first; now < kStart + kTurns * kWindow; now += kStep) {
-            if (late_dials && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
-            for (bool refused = false; !refused;) {
-                const auto attempt = l.start_attempt(now, l.create_task(now, "c", 1, asked), n, kSecond);
-                refused = !attempt;
-                if (refused) CHECK(attempt.error() == ledger::Refusal::no_admission_token);
-                if (refused) continue;
-                const bool waits = late_dials && now < kStart + kWindow;
-                const Nanos up = now + (waits ? static_cast<Nanos>(chance() % 1000) * kMillisecond : 0);
-                if (l.may_still_send(up, **attempt)) sent.push_back(up);
+            if (late_connections && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
+            for (bool rejected = false; !rejected;) {
+                const auto attempt = ledger.start_attempt(now, ledger.create_task(now, "c", 1, request),
+                                                          worker_record, kSecond);
+                rejected = !attempt;
+                if (rejected) CHECK(attempt.error() == ledger::Refusal::no_admission_token);
+                if (rejected) continue;
+                const bool waits = late_connections && now < kStart + kWindow;
+                const Nanos connected_at =
+                    now + (waits ? static_cast<Nanos>(chance() % 1000) * kMillisecond : 0);
+                if (ledger.may_still_send(connected_at, **attempt)) sent.push_back(connected_at);
             }
         }
     }
     for (const Nanos from : sent) {
         const auto in_window = std::count_if(sent.begin(), sent.end(),
                                              [from](Nanos at) { return at >= from && at - from < kWindow; });
-        CHECK(in_window <= borne);
+        CHECK(in_window <= bearable);
     }
-    if (!late_dials) CHECK(static_cast<int>(sent.size()) == kTurns * (borne / 2));
+    if (!late_connections) CHECK(static_cast<int>(sent.size()) == kTurns * (bearable / 2));
 }
--- a/tests/support/scheduler_rig.h
+++ b/tests/support/scheduler_rig.h
@@ -1,88 +1,107 @@
-// A port that keeps what left the placer, and a small fleet to place on.
+// A scheduler whose decisions are kept, and a small fleet to place tasks on.
 #pragma once
-#include <string>
+#include <algorithm>
+#include <cstdint>
+#include <string_view>
+#include <utility>
 #include <vector>
 
 #include "whinpost/scheduler.h"
 
 namespace whinpost {
 
-struct Seen {
-    char what;  // b bind, d defer, k kill, p probe, f follow
-    Task* container;
-    Worker* machine;
-    Nanos time_out;
+enum class DecisionKind { place, reject, fail, migrate, cancel, check_health, watch };
+
+struct Decision {
+    DecisionKind kind;
+    Task* task = nullptr;
+    Worker* worker = nullptr;
+    Nanos attempt_timeout = 0;
 };
 
-struct Stand : DecisionHandler {
-    explicit Stand(std::vector<QueueGroup> groups = {QueueGroup{}}, SlowStartSettings cold = usual_cold(),
-                   DiscoverySettings list = {}, int launches = 4, WorkerAcceptance accepts = {2.5, 1.5},
-                   Prices prices = {})
-        : placer(*this, 7, 0, std::move(groups), {{16, 32}, {48, 96}}, accepts, cold, list, {launches, true},
-                 prices) {}
-    static SlowStartSettings usual_cold() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 4}; }
+struct SchedulerRig : DecisionHandler {
+    explicit SchedulerRig(std::vector<QueueGroup> groups = {QueueGroup{}},
+                          SlowStartSettings slow_start = default_slow_start(),
+                          DiscoverySettings discovery = {}, int max_attempts = 4,
+                          WorkerAcceptance acceptance = {2.5, 1.5}, Prices prices = {})
+        : scheduler(*this, 7, 0, std::move(groups), {{16, 32}, {48, 96}}, acceptance, slow_start, discovery,
+                    {max_attempts, true}, prices) {}
+    static SlowStartSettings default_slow_start() { return {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 4}; }
 
-    void place(Task& c, Worker& m, Nanos t) override { seen.push_back({'b', &c, &m, t}); }
-    void reject(Task& c, Nanos) override { seen.push_back({'d', &c, nullptr, 0}); }
-    void fail(Task& c) override { seen.push_back({'k', &c, nullptr, 0}); }
-    void migrate(Task& c) override { seen.push_back({'m', &c, nullptr, 0}); }
-    void cancel_attempt(Task& c, int) override { seen.push_back({'s', &c, nullptr, 0}); }
-    void check_health(Worker& m) override { seen.push_back({'p', nullptr, &m, 0}); }
-    void watch_endpoints() override { seen.push_back({'f', nullptr, nullptr, 0}); }
+    void place(Task& task, Worker& worker, Nanos attempt_timeout) override {
+        decisions.push_back({DecisionKind::place, &task, &worker, attempt_timeout});
+    }
+    void reject(Task& task, Nanos) override { decisions.push_back({DecisionKind::reject, &task}); }
+    void fail(Task& task) override { decisions.push_back({DecisionKind::fail, &task}); }
+    void migrate(Task& task) override { decisions.push_back({DecisionKind::migrate, &task}); }
+    void cancel_attempt(Task& task, int) override { decisions.push_back({DecisionKind::cancel, &task}); }
+    void check_health(Worker& worker) override {
+        decisions.push_back({DecisionKind::check_health, nullptr, &worker});
+    }
+    void watch_endpoints() override { decisions.push_back({DecisionKind::watch}); }
     void fetch_endpoints() override {}
     void wake_at(Nanos) override {}
     void log(std::string_view) override {}
 
-    Worker& machine(int cell = 0, int zone = 0, Nanos started = 0) {
-        Worker& m = placer.add_worker(machines.size());
-        machines.push_back(&m);
-        entry(m, {zone, cell, 0, 16, 32, EndpointPhase::serving, started});
-        return m;
+    // A new worker of 16 cores and 32 of memory, all free.
+    Worker& add_worker(int cell = 0, int zone = 0, Nanos started_at = 0) {
+        Worker& worker = scheduler.add_worker(workers.size());
+        workers.push_back(&worker);
+        list(worker, {zone, cell, 0, 16, 32, EndpointPhase::serving, started_at});
+        return worker;
     }
-    void entry(Worker& m, EndpointState listed) {
-        placer.update_endpoint(now, m, listed);
-        placer.on_watch_event_done(now, false);
+    // One watch event that names one worker.
+    void list(Worker& worker, EndpointState state) {
+        scheduler.update_endpoint(now, worker, state);
+        scheduler.on_watch_event_done(now, false);
     }
-    Task& take(Service& s, int group = 0, double cores = 1, Nanos time_left = 5 * kSecond) {
-        ResourceRequest a;
-        a.cores = cores;
-        a.memory = 1;
-        a.queue_group = group;
-        a.time_left = time_left;
-        return placer.submit(now, s, a, ++tags);
+    Task& submit(Service& service, int queue_group = 0, double cores = 1, Nanos time_left = 5 * kSecond) {
+        ResourceRequest request;
+        request.cores = cores;
+        request.memory = 1;
+        request.queue_group = queue_group;
+        request.time_left = time_left;
+        return scheduler.submit(now, service, request, ++last_tag);
     }
-    Task& bound(Service& s, int group = 0) {  // taken, and launched at once
-        Task& c = take(s, group);
-        placer.run_round(now);
-        return c;
+    Task& submit_and_run_round(Service& service, int queue_group = 0) {
+        Task& task = submit(service, queue_group);
+        scheduler.run_round(now);
+        return task;
     }
-    void end(Task& c, AttemptOutcome how, OutcomeReason why = OutcomeReason::unspecified,
-             bool closed = false) {
-        c.on_attempt_ended(now, c.attempts - 1, how, why, closed, {});
+    void end_attempt(Task& task, AttemptOutcome outcome, OutcomeReason reason = OutcomeReason::unspecified,
+                     bool closed = false) {
+        task.on_attempt_ended(now, task.attempts - 1, outcome, reason, closed, {});
     }
-    void pass(Nanos by, Nanos step = 20 * kMillisecond) {
-        for (const Nanos until = now + by; now < until;) placer.run_round(now += step);
+    void advance(Nanos duration, Nanos step = 20 * kMillisecond) {
+        for (const Nanos until = now + duration; now < until;) scheduler.run_round(now += step);
     }
-    int count(char what) const {
-        int n = 0;
-        for (const Seen& s : seen) n += s.what == what;
-        return n;
+    int count(DecisionKind kind) const {
+        return static_cast<int>(
+            std::count_if(decisions.begin(), decisions.end(),
+                          [kind](const Decision& decision) { return decision.kind == kind; }));
     }
 
     Nanos now = 1000 * kSecond;
-    std::uint64_t tags = 0;
-    std::vector<Seen> seen;
-    std::vector<Worker*> machines;
-    Scheduler placer;
+    std::uint64_t last_tag = 0;
+    std::vector<Decision> decisions;
+    std::vector<Worker*> workers;
+    Scheduler scheduler;
 };
 
-inline QueueGroup group(Effect effect, FailureDomain dropped_by = FailureDomain::all,
-                        Nanos window = 3 * kSecond) {
-    QueueGroup g;
-    g.effect = effect;
-    g.deduplicated_by = dropped_by;
-    g.deduplication_window = window;
-    return g;
+inline QueueGroup queue_group(Effect effect, FailureDomain deduplicated_by = FailureDomain::all,
+                              Nanos deduplication_window = 3 * kSecond) {
+    QueueGroup group;
+    group.effect = effect;
+    group.deduplicated_by = deduplicated_by;
+    group.deduplication_window = deduplication_window;
+    return group;
+}
+
+// Workers that do not report how they serve.
+inline WorkerAcceptance without_pressure_reports() {
+    WorkerAcceptance acceptance{2.5, 1.5};
+    acceptance.reports_pressure = false;
+    return acceptance;
 }
 
 }  // namespace whinpost
