--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,4 +1,4 @@
-// whinpost_drill: hosts any number of placers on the bench's wire, on standard input and output.
+// whinpost_drill: hosts any number of schedulers on the simulator's wire, on standard input and output.
 #include <iostream>
 #include <string>
 
@@ -9,6 +9,6 @@
     std::cin.tie(nullptr);
     whinpost::simulator_adapter::SimulatorAdapter session(std::cout);
     for (std::string line; std::getline(std::cin, line);)
-        if (!session.line(line)) break;
+        if (!session.on_line(line)) break;
     return 0;
 }
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -2,6 +2,7 @@
 
 #include <catch2/catch.hpp>
 #include <sstream>
+#include <string>
 
 using whinpost::simulator_adapter::SimulatorAdapter;
 
@@ -16,50 +17,53 @@
     "family_info.memory_multiple=1.5 family_info.yes_at=accepted family_info.cpu_of_kind=8 "
     "family_info.size_memory=16 limits.send_cap=3 zones=north zone=0 brand_new_key=1";
 
-std::string talk(const std::string& lines, bool* more = nullptr) {
-    std::ostringstream out;
-    SimulatorAdapter session(out);
-    std::istringstream in(lines);
-    bool on = true;
-    for (std::string line; on && std::getline(in, line);) on = session.line(line);
-    if (more) *more = on;
-    return out.str();
+// The reply to these lines; `is_open`: whether the session went on after them.
+std::string reply_to(const std::string& lines, bool* is_open = nullptr) {
+    std::ostringstream output;
+    SimulatorAdapter adapter(output);
+    std::istringstream input(lines);
+    bool open = true;
+    for (std::string line; open && std::getline(input, line);) open = adapter.on_line(line);
+    if (is_open) *is_open = open;
+    return output.str();
 }
 
-std::string started(const std::string& rest) {
-    return talk("CLOCK 1000\nINSTANCE 4\n" + kInit +
-                "\nPOOL 0 1\nM h:1 0 0 16 0 8 SERVING 1 -\nROSTER_CHANGE Persisted 1 0\n" + rest +
-                "YOUR_TURN\n");
+std::string reply_after_start(const std::string& rest) {
+    return reply_to("CLOCK 1000\nINSTANCE 4\n" + kInit +
+                    "\nPOOL 0 1\nM h:1 0 0 16 0 8 SERVING 1 -\nROSTER_CHANGE Persisted 1 0\n" + rest +
+                    "YOUR_TURN\n");
 }
 
 const std::string kArrival = "ARRIVAL 77 - 4000000 1 svc - 0 2 t:k 0\n";
 
 }  // namespace
 
-TEST_CASE("an empty batch gets an empty reply") { CHECK(talk("CLOCK 8\nYOUR_TURN\n") == "READY\n"); }
+TEST_CASE("an empty batch gets an empty reply") { CHECK(reply_to("CLOCK 8\nYOUR_TURN\n") == "READY\n"); }
 
-TEST_CASE("a taken container is bound, in microseconds, by the instance that took it") {
-    const std::string reply = started(kArrival);
+TEST_CASE("a submitted task is placed, in microseconds, by the instance that got it") {
+    const std::string reply = reply_after_start(kArrival);
     CHECK(reply.find("SOURCE 4\nFOLLOW 1\nBIND 77 h:1 ") == 0);
     CHECK(reply.rfind("READY\n") == reply.size() - 6);
 }
 
 TEST_CASE("what a killed instance still had to say is not said") {
-    const std::string reply = started("DOWN\nINSTANCE 4\n" + kInit + "\nROSTER_CHANGE Persisted 1 0\n");
+    const std::string reply =
+        reply_after_start("DOWN\nINSTANCE 4\n" + kInit + "\nROSTER_CHANGE Persisted 1 0\n");
     CHECK(reply == "SOURCE 4\nFOLLOW 1\nREADY\n");
 }
 
-TEST_CASE("a finished container may still be named in the batch; one never given may not") {
+TEST_CASE("a finished task may still be named in the batch; one never given may not") {
     const std::string verdict = "VERDICT 77 125 1 0 - 10 h:1 -\n";
-    bool more = false;
+    bool is_open = false;
     const std::string open = "OPEN 77 0 - t:k - - svc 1 2 0 h:1\n";
-    CHECK(started(open + verdict + "VANISHED 77\n").find("EXCEPTION") == std::string::npos);
-    CHECK(started("VANISHED 78\n").find("EXCEPTION VANISHED: txn was never given") != std::string::npos);
-    talk("CLOCK 1\nINSTANCE 0\nYOUR_TURN\n", &more);
-    CHECK(more);
+    CHECK(reply_after_start(open + verdict + "VANISHED 77\n").find("EXCEPTION") == std::string::npos);
+    CHECK(reply_after_start("VANISHED 78\n").find("EXCEPTION VANISHED: txn was never given") !=
+          std::string::npos);
+    reply_to("CLOCK 1\nINSTANCE 0\nYOUR_TURN\n", &is_open);
+    CHECK(is_open);
 }
 
-TEST_CASE("malformed input ends the day with one line that names message and field") {
+TEST_CASE("malformed input ends the session with one line that names message and field") {
     const auto [line, says] = GENERATE(table<std::string, std::string>({
         {"ARRIVAL 77 - x 1 svc - 0 2 t:k 0\n", "EXCEPTION ARRIVAL: patience_left_us is not a whole number"},
         {"ARRIVAL 77 - 5 1 svc - 3 2 t:k 0\n", "EXCEPTION ARRIVAL: lane is out of range"},
@@ -73,7 +77,7 @@
         {"ECHO h:1 5 0 x0:1,x1:much\n", "EXCEPTION ECHO: gauge holds a pair without"},
         {"ECHO h:1 5 0 x0:1,strange:much\n", "READY"},
     }));
-    CHECK(started(line).find(says) != std::string::npos);
+    CHECK(reply_after_start(line).find(says) != std::string::npos);
 }
 
 TEST_CASE("settings outside sense are refused at the start") {
@@ -88,7 +92,7 @@
     }));
     std::string init = kInit;
     init.replace(init.find(from), from.size(), to);
-    const std::string reply = talk("CLOCK 1\nINSTANCE 0\n" + init + "\nYOUR_TURN\n");
+    const std::string reply = reply_to("CLOCK 1\nINSTANCE 0\n" + init + "\nYOUR_TURN\n");
     CHECK(reply.find("EXCEPTION INIT: ") != std::string::npos);
     CHECK(reply.find(says) != std::string::npos);
 }
