--- a/include/whinpost/service.h
+++ b/include/whinpost/service.h
@@ -5,8 +5,6 @@
 #include <map>
 #include <vector>
 
-#include "whinpost/nanos.h"
-
 namespace whinpost {
 
 struct Worker;
@@ -20,8 +18,7 @@
 struct Service {
     Service(int service_number, std::uint64_t hash) : number(service_number), name_hash(hash) {}
     int number;
-    std::uint64_t name_hash;  // identifies the service, alike at every scheduler
-    int tasks = 0;
+    std::uint64_t name_hash;                     // identifies the service, alike at every scheduler
     std::vector<Worker*> workers;                // where it runs or lately ran, as this scheduler knows
     std::map<int, PairInterference> neighbours;  // by the neighbour's number
     double mean_slowdown = 0, mean_cores = 0, core_reports = 0;
@@ -29,7 +26,6 @@
     std::vector<double> warm_starts_s;  // the latest latencies of starts beside a running one, a ring
     std::size_t next_warm_start = 0;
     double median_warm_start_s = 0, median_cold_start_s = 0;
-    Nanos last_submitted_at = 0;
 };
 
 }  // namespace whinpost
--- a/include/whinpost/task.h
+++ b/include/whinpost/task.h
@@ -52,7 +52,7 @@
     int rounds_without_worker = 0;
     std::size_t health_checks = 0;
     Nanos not_before = 0;  // no selection before this time
-    double order = 0, cores_used = 0;
+    double order = 0;      // see InterferenceModel::placement_order()
     std::vector<Worker*> rejected_by;
     Worker* first_failed_on = nullptr;  // the worker of its first attempt that ended in an error
     bool faulty = false;                // it failed on another worker, too
--- a/include/whinpost/worker.h
+++ b/include/whinpost/worker.h
@@ -67,8 +67,8 @@
 
 // Plain state, written by the modules in src/scheduler/ only. It keeps its address for the scheduler's life.
 struct Worker {
-    Worker(int worker_number, std::uint64_t hash, Nanos slow_start_window, std::size_t queue_groups)
-        : number(worker_number), name_hash(hash), slow_start(slow_start_window), outlier(queue_groups) {}
+    Worker(std::uint64_t hash, Nanos slow_start_window, std::size_t queue_groups)
+        : name_hash(hash), slow_start(slow_start_window), outlier(queue_groups) {}
     // Null where nothing is known of the service here.
     ColocatedService* find_service(const Service* service) {
         for (ColocatedService& colocated : services)
@@ -76,7 +76,6 @@
         return nullptr;
     }
 
-    int number;
     std::uint64_t name_hash;  // identifies the worker, alike at every scheduler
     EndpointState endpoint;
     const WorkerKind* kind = nullptr;
--- a/src/scheduler/colocation.cpp
+++ b/src/scheduler/colocation.cpp
@@ -28,7 +28,6 @@
     worker.tasks.push_back(&task);
     task.warm_start = colocated->running > 0 || ran_lately(now, *colocated);
     ++colocated->tasks;
-    ++task.service->tasks;
 }
 
 void detach_task(Nanos now, Task& task) {
@@ -45,7 +44,6 @@
         std::erase(known.service->workers, &worker);
         return true;
     });
-    --task.service->tasks;
     task.worker = nullptr;
 }
 
--- a/src/scheduler/endpoint_list.cpp
+++ b/src/scheduler/endpoint_list.cpp
@@ -19,8 +19,7 @@
 }  // namespace
 
 Worker& EndpointList::add_worker(std::uint64_t name_hash, Nanos slow_start_window, std::size_t queue_groups) {
-    return workers_.emplace_back(static_cast<int>(workers_.size()), name_hash, slow_start_window,
-                                 queue_groups);
+    return workers_.emplace_back(name_hash, slow_start_window, queue_groups);
 }
 
 bool EndpointList::is_large() const { return listed_workers_.size() > kLargeFleet; }
--- a/src/scheduler/scheduler_core.cpp
+++ b/src/scheduler/scheduler_core.cpp
@@ -72,7 +72,6 @@
     task.queue_group = &config_.groups[static_cast<std::size_t>(request.queue_group)];
     task.submitted_at = now;
     task.deadline = now + request.time_left;
-    service.last_submitted_at = now;
     enqueue(task);
     return task;
 }
--- a/src/scheduler/scheduler_core.h
+++ b/src/scheduler/scheduler_core.h
@@ -47,7 +47,7 @@
 
     void on_accepted(Nanos now, Task&);
     void on_running(Nanos now, Task&);
-    void on_cores_used(Task&, double cores);
+    void on_cores_used(const Task&, double cores);
     void on_memory_used(const Task&, double memory);
     void on_service_share(Nanos now, Task&, double share);
     void on_worker_memory(Nanos now, const Task&, double share);
--- a/src/scheduler/task_events.cpp
+++ b/src/scheduler/task_events.cpp
@@ -60,9 +60,8 @@
     interference_.observe_start(task, latency_s);
 }
 
-void SchedulerCore::on_cores_used(Task& task, double cores) {
+void SchedulerCore::on_cores_used(const Task& task, double cores) {
     if (!task.worker) return;
-    task.cores_used = cores;
     interference_.observe_cores(*task.service, cores);
     capacity_.on_cores_used(task, cores);
 }
--- a/tests/active_set_test.cpp
+++ b/tests/active_set_test.cpp
@@ -41,7 +41,7 @@
     const scheduler::OutlierDetection outliers(1, true, slow_start);
     scheduler::ActiveSet active_set(config, capacity, outliers);
     std::vector<Worker> workers;
-    for (int i = 0; i < 4; ++i) workers.emplace_back(i, static_cast<std::uint64_t>(i), kSecond, 1);
+    for (int i = 0; i < 4; ++i) workers.emplace_back(static_cast<std::uint64_t>(i), kSecond, 1);
     std::vector<Worker*> listed;
     for (Worker& worker : workers) {
         worker.kind = &config.kinds[0];
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -74,7 +74,7 @@
     const std::vector<QueueGroup> groups{QueueGroup{}};
     const scheduler::SlowStart slow_start{SchedulerRig::default_slow_start()};
     scheduler::Capacity capacity{acceptance, groups, slow_start};
-    Worker worker{0, 1, kSecond, 1};
+    Worker worker{1, kSecond, 1};
     Task task;
     const Nanos now = 1000 * kSecond;
 };
--- a/tests/colocation_test.cpp
+++ b/tests/colocation_test.cpp
@@ -9,7 +9,7 @@
 using namespace whinpost;
 
 TEST_CASE("a worker is warm for a service while it has its tasks, and five seconds longer") {
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     Service service(0, 1);
     Task task;
     task.service = &service;
@@ -18,7 +18,7 @@
     scheduler::attach_task(now, task, worker);
     CHECK_FALSE(task.warm_start);
     CHECK(scheduler::is_warm(now, worker, &service));
-    CHECK((service.tasks == 1 && service.workers == std::vector<Worker*>{&worker}));
+    CHECK((worker.find_service(&service)->tasks == 1 && service.workers == std::vector<Worker*>{&worker}));
     task.running = true;
     scheduler::mark_running(now, task);
     const Nanos end = now + 20 * kSecond;
@@ -32,7 +32,7 @@
 }
 
 TEST_CASE("a service that ran on a worker long ago is forgotten there") {
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     Service first(0, 1), second(1, 2);
     Task first_task, second_task;
     first_task.service = &first;
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -61,7 +61,7 @@
 TEST_CASE("a worker that does not answer its check is overdue for a while, then may be checked again") {
     const scheduler::HealthChecks checks({2.5, 1.5, false, true, false, false}, {});
     SchedulerRig rig;
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     Task task;
     const Nanos now = 1000 * kSecond;
     CHECK(checks.check_first(now, task, worker, rig));
--- a/tests/interference_model_test.cpp
+++ b/tests/interference_model_test.cpp
@@ -84,7 +84,7 @@
 TEST_CASE("warm starts are kept as a median of the latest fifteen, cold ones as an average") {
     scheduler::InterferenceModel model;
     const WorkerKind kind{16, 32};
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     worker.kind = &kind;
     Service service(0, 1);
     model.init(service);
--- a/tests/migration_test.cpp
+++ b/tests/migration_test.cpp
@@ -54,7 +54,7 @@
 TEST_CASE(
     "a task is moved once a second from a worker, only if the gain is worth the price and others have room") {
     const WorkerKind kind{16, 32};
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     worker.kind = &kind;
     worker.endpoint.free_cores = 16;
     worker.outlier.residual_slowdown = 1;
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -108,7 +108,7 @@
 TEST_CASE("the residual slowdown halves in three seconds, and a restart clears what spoke against a worker") {
     const scheduler::SlowStart slow_start(SchedulerRig::default_slow_start());
     const scheduler::OutlierDetection outliers(1, true, slow_start);
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     const Nanos now = 1000 * kSecond;
     Task task;
     CHECK(outliers.is_healthy(now, worker, 1));
--- a/tests/retry_policy_test.cpp
+++ b/tests/retry_policy_test.cpp
@@ -42,7 +42,7 @@
     static constexpr Nanos kSubmitted = 1000 * kSecond;
     QueueGroup group;
     Service service{0, 1};
-    Worker first{0, 1, kSecond, 1}, second{1, 2, kSecond, 1};
+    Worker first{1, kSecond, 1}, second{2, kSecond, 1};
     Task task;
 };
 
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -1,12 +1,12 @@
 // The capacity page beside its raw points, and the measurement's own checks.
+#include "scale.h"
+
 #include <catch2/catch.hpp>
 #include <filesystem>
 #include <fstream>
 #include <iterator>
 #include <string>
 
-#include "scale.h"
-
 using namespace whinpost;
 
 namespace {
--- a/tests/scheduler_endpoint_list_test.cpp
+++ b/tests/scheduler_endpoint_list_test.cpp
@@ -1,9 +1,8 @@
 // The endpoint list: which workers are listed, and which stand on the ring.
-#include "scheduler/endpoint_list.h"
-
 #include <catch2/catch.hpp>
 #include <vector>
 
+#include "scheduler/endpoint_list.h"
 #include "support/scheduler_rig.h"
 
 using namespace whinpost;
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -93,7 +93,7 @@
 TEST_CASE("tokens that a worker grants go before the schedulers' own shares, and are used up") {
     const scheduler::SlowStart slow_start({0.2, 60 * kSecond, 2, kSecond, 4, 1, 0});
     const Nanos now = 1000 * kSecond + kSecond / 2;
-    Worker worker(0, 1, kSecond, 1);
+    Worker worker(1, kSecond, 1);
     CHECK_FALSE(slow_start.is_warming_up(now, worker));
     worker.endpoint.started_at = now - kSecond;
     CHECK(slow_start.is_warming_up(now, worker));
