--- a/apps/embedded_placer.cpp
+++ b/apps/embedded_placer.cpp
@@ -34,19 +34,19 @@
                                const EmbeddedPlacerOptions& options)
     : listen_address(file.placer.listen), discovery_address(file.discovery.address),
       polls_discovery(file.discovery.settings.poll), log(file.log.level, file.log.format),
-      group_names(names_of(file.queue_groups)), intake(file.admission, file.queue_groups.size()),
+      group_names(names_of(file.queue_groups)), admission(file.admission, file.queue_groups.size()),
       ledger(make_ledger(file, options.make_ledger)),
-      edge(loop, log, *ledger, intake,
-           {.identity = {file.placer.name, options.incarnation, seed_of(file, options)},
-            .queue_groups = group_names,
-            .worker_kinds = file.worker_kinds.size(),
-            .workers = {file.connection, file.dial_limits.concurrent, file.dial_limits.per_second},
-            .report_is_free = !file.worker_acceptance.reports_use,
-            .slow_start_time = file.slow_start.warm_up_time + file.slow_start.window}),
-      planner(edge, seed_of(file, options), file.placer.zone, settings_of(file.queue_groups),
+      server(loop, log, *ledger, admission,
+             {.identity = {file.placer.name, options.incarnation, seed_of(file, options)},
+              .queue_groups = group_names,
+              .worker_kinds = file.worker_kinds.size(),
+              .workers = {file.connection, file.dial_limits.concurrent, file.dial_limits.per_second},
+              .report_is_free = !file.worker_acceptance.reports_use,
+              .slow_start_time = file.slow_start.warm_up_time + file.slow_start.window}),
+      planner(server, seed_of(file, options), file.placer.zone, settings_of(file.queue_groups),
               file.worker_kinds, file.worker_acceptance, file.slow_start, file.discovery.settings, file.retry,
               file.prices) {
-    edge.set_planner(planner);
+    server.set_planner(planner);
 }
 
 tl::expected<std::unique_ptr<EmbeddedPlacer>, config::ConfigErrors> EmbeddedPlacer::make(
--- a/apps/embedded_placer.h
+++ b/apps/embedded_placer.h
@@ -29,16 +29,16 @@
     [[nodiscard]] static tl::expected<std::unique_ptr<EmbeddedPlacer>, config::ConfigErrors> make(
         net::EventLoop&, config::Document&, const EmbeddedPlacerOptions&);
     [[nodiscard]] tl::expected<void, net::ListenError> start() {
-        return edge.start(listen_address, {discovery_address, polls_discovery});
+        return server.start(listen_address, {discovery_address, polls_discovery});
     }
 
     std::string listen_address, discovery_address;
     bool polls_discovery = false;
     log::Logger log;
     std::vector<std::string> group_names;
-    admission::AdmissionController intake;
+    admission::AdmissionController admission;
     std::unique_ptr<ledger::Ledger> ledger;
-    server::PlacerServer edge;
+    server::PlacerServer server;
     planner::LocalPlanner planner;
 
 private:
--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -50,7 +50,7 @@
     bool draining = false;
     const auto drain = [&] {
         if (std::exchange(draining, true)) return loop.stop();  // the second signal: at once
-        placer.edge.drain([&loop] { loop.stop(); });
+        placer.server.drain([&loop] { loop.stop(); });
     };
     loop.on_signal(SIGTERM, drain);
     loop.on_signal(SIGINT, drain);
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -31,7 +31,8 @@
     RandomPlanner(platform::PlatformServer& server, std::size_t workers, std::uint64_t seed)
         : server_(server), workers_(workers), random_(static_cast<std::ranlux24_base::result_type>(seed)) {}
     void run_round(Nanos now) override {
-        for (int i = 0; i < 3; ++i) decide_something(taken.empty() ? 1 : taken[roll(taken.size())]);
+        for (int i = 0; i < 3; ++i)
+            decide_something(submitted.empty() ? 1 : submitted[roll(submitted.size())]);
         server_.wake_at(now + static_cast<Nanos>(5 + roll(60)) * kMillisecond);
     }
 
--- a/fuzz/client_endpoint.cpp
+++ b/fuzz/client_endpoint.cpp
@@ -16,6 +16,6 @@
     for (const v1::StartAttempt& attempt : worker.attempts()) worker.accept(attempt.attempt());
     bad.stream.reset();
     rig.run(10 * kSecond);
-    if (rig.placer->intake.waiting() != 0) __builtin_trap();
+    if (rig.placer->admission.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/fuzz/discovery_endpoint.cpp
+++ b/fuzz/discovery_endpoint.cpp
@@ -12,6 +12,7 @@
     TestClient& client = rig.connect_client();
     rig.submit(client, rig.request(1));
     rig.run(6 * kSecond);
-    if (client.count(&v1::ToClient::has_received) != 1 || rig.placer->intake.waiting() != 0) __builtin_trap();
+    if (client.count(&v1::ToClient::has_received) != 1 || rig.placer->admission.waiting() != 0)
+        __builtin_trap();
     return 0;
 }
--- a/fuzz/worker_endpoint.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -13,6 +13,6 @@
     send_bytes(rig, worker.connection(), data, size);
     rig.run(3 * kSecond);
     if (final_answers(client) != 1) __builtin_trap();
-    if (rig.placer->intake.waiting() != 0) __builtin_trap();
+    if (rig.placer->admission.waiting() != 0) __builtin_trap();
     return 0;
 }
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -187,9 +187,9 @@
             for (const emulator::NamedQueueGroup& group : scenario.groups)
                 groups.push_back(group.queue_group);
             baselines[number] = std::make_unique<BaselinePlanner>(
-                placer.edge, *policy, scenario.seed * 1009 + number, std::move(groups), scenario.retry,
+                placer.server, *policy, scenario.seed * 1009 + number, std::move(groups), scenario.retry,
                 scenario.worker.warm_up_time + scenario.worker.overload_window);
-            placer.edge.set_planner(*baselines[number]);
+            placer.server.set_planner(*baselines[number]);
         };
     emulator::ScenarioRun run(scenario, environment, progress);
     const emulator::RunResult result = run_to_end(network, run);
--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -172,12 +172,12 @@
     worker_connection::ConnectionSettings links;
     const Nanos least = 10 * kMillisecond;
     const Nanos most = 3600 * kSecond;
-    links.dial_time_out = table.duration("dial_time_out_ms", least, most, links.dial_time_out);
-    links.greet_time_out = table.duration("greet_time_out_ms", least, most, links.greet_time_out);
+    links.dial_timeout = table.duration("dial_time_out_ms", least, most, links.dial_timeout);
+    links.greeting_timeout = table.duration("greet_time_out_ms", least, most, links.greeting_timeout);
     links.silent_after = table.duration("silent_after_ms", least, most, links.silent_after);
-    links.first_pause = table.duration("first_pause_ms", kMillisecond, most, links.first_pause);
-    links.longest_pause = table.duration("longest_pause_ms", kMillisecond, most, links.longest_pause);
-    if (links.longest_pause < links.first_pause)
+    links.initial_backoff = table.duration("first_pause_ms", kMillisecond, most, links.initial_backoff);
+    links.max_backoff = table.duration("longest_pause_ms", kMillisecond, most, links.max_backoff);
+    if (links.max_backoff < links.initial_backoff)
         table.add_error("longest_pause_ms", "must not be under first_pause_ms");
     links.drain_grace = table.duration("drain_grace_ms", least, most, links.drain_grace);
     return links;
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -167,7 +167,7 @@
 }
 
 void WorkerConnection::back_off(Nanos now) {
-    backoff_ = backoff_ ? std::min(settings_.longest_pause, 2 * backoff_) : settings_.first_pause;
+    backoff_ = backoff_ ? std::min(settings_.max_backoff, 2 * backoff_) : settings_.initial_backoff;
     // Between a half and the whole of it, so that placers that lost a zone in one moment come back spread
     // out.
     dial_at_ = now + backoff_ / 2 +
@@ -334,7 +334,7 @@
             try_dial(now);
             break;
         case ConnectionState::dialling:
-            if (now - state_since_ >= settings_.dial_time_out) {
+            if (now - state_since_ >= settings_.dial_timeout) {
                 handler_.close(*this, true);
                 on_dial_failed(now);
             }
@@ -342,7 +342,7 @@
         case ConnectionState::greeting:
             // Accepted by the kernel and never greeted: no attempt was handed over, so all that wait are
             // proven unsent.
-            if (now - state_since_ >= settings_.greet_time_out) {
+            if (now - state_since_ >= settings_.greeting_timeout) {
                 handler_.close(*this, true);
                 ++statistics_.failed_dials;
                 on_disconnected(now, 0);
@@ -376,15 +376,15 @@
         case ConnectionState::waiting: {
             const bool is_queued = awaits_permit_ && !dial_limiter_.is_first(*this);
             const Nanos permit_at = is_queued ? 0 : dial_limiter_.next_dial_at(now);
-            const Nanos fallback = now + (is_queued ? kQueuedWakeup : settings_.dial_time_out);
+            const Nanos fallback = now + (is_queued ? kQueuedWakeup : settings_.dial_timeout);
             handler_.wake_at(*this, std::max(dial_at_, permit_at ? permit_at : fallback));
             return;
         }
         case ConnectionState::dialling:
-            handler_.wake_at(*this, state_since_ + settings_.dial_time_out);
+            handler_.wake_at(*this, state_since_ + settings_.dial_timeout);
             return;
         case ConnectionState::greeting:
-            handler_.wake_at(*this, state_since_ + settings_.greet_time_out);
+            handler_.wake_at(*this, state_since_ + settings_.greeting_timeout);
             return;
         case ConnectionState::up: {
             Nanos at = last_data_at_ + (keepalive_sent_at_ ? 2 : 1) * settings_.silent_after;
--- a/src/worker_connection/worker_connection.h
+++ b/src/worker_connection/worker_connection.h
@@ -34,12 +34,12 @@
 std::string_view to_string(ConnectionState);
 
 struct ConnectionSettings {
-    Nanos dial_time_out = 1 * kSecond;
-    Nanos greet_time_out = 2 * kSecond;
+    Nanos dial_timeout = 1 * kSecond;
+    Nanos greeting_timeout = 2 * kSecond;
     // After so long without any data a keepalive is sent; after twice that the connection is closed.
     Nanos silent_after = 3 * kSecond;
-    Nanos first_pause = 100 * kMillisecond;  // the backoff between dials; it doubles, with jitter
-    Nanos longest_pause = 5 * kSecond;
+    Nanos initial_backoff = 100 * kMillisecond;  // the backoff between dials; it doubles, with jitter
+    Nanos max_backoff = 5 * kSecond;
     Nanos drain_grace = 1 * kSecond;  // once its drain is known, nothing new may reach the worker after this
 };
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -330,9 +330,9 @@
     values.add("waiting", limits.max_waiting).add("waiting an owner", limits.max_waiting_per_client);
     values.add("a second", limits.max_per_second).add("owners", limits.max_clients);
     const worker_connection::ConnectionSettings links = config::connection_settings(root);
-    values.add("dial time out", links.dial_time_out).add("greet time out", links.greet_time_out);
-    values.add("silent after", links.silent_after).add("first pause", links.first_pause);
-    values.add("longest pause", links.longest_pause).add("drain grace", links.drain_grace);
+    values.add("dial time out", links.dial_timeout).add("greet time out", links.greeting_timeout);
+    values.add("silent after", links.silent_after).add("first pause", links.initial_backoff);
+    values.add("longest pause", links.max_backoff).add("drain grace", links.drain_grace);
     const config::DialLimits dialling = config::dial_limits(root);
     values.add("dials at once", dialling.concurrent).add("dials a second", dialling.per_second);
     check_unchanged("placer-values.txt", values.text());
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -36,7 +36,7 @@
     }
     void run_round(Nanos) override {
         if (known.empty()) return;
-        for (const planner::TaskNumber c : std::exchange(taken, {})) {
+        for (const planner::TaskNumber c : std::exchange(submitted, {})) {
             const auto n = static_cast<planner::WorkerNumber>(known.size());
             planner::WorkerNumber to = turn++ % n;
             if (does == Does::crowds || does == Does::ignores_drains) to = 0;
@@ -112,8 +112,8 @@
             return std::make_unique<Lax>(std::move(g), t, c, does == Does::says_nothing);
         };
     ground.on_placer_made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
-        rogues.push_back(std::make_unique<Rogue>(placer.edge, does));
-        placer.edge.set_planner(*rogues.back());
+        rogues.push_back(std::make_unique<Rogue>(placer.server, does));
+        placer.server.set_planner(*rogues.back());
     };
     emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
     return simulation::run_to_end(world, day);
--- a/tests/platform_attempts_test.cpp
+++ b/tests/platform_attempts_test.cpp
@@ -53,12 +53,12 @@
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
     rig.request_placement(rig.client, 7, "free", 5000);
-    REQUIRE(quiet.taken.size() == 1);
-    rig.server.place(quiet.taken[0], 0, 500 * kMillisecond);
+    REQUIRE(quiet.submitted.size() == 1);
+    rig.server.place(quiet.submitted[0], 0, 500 * kMillisecond);
     rig.run(kSecond);
     REQUIRE(rig.worker.attempts().size() == 1);
     CHECK(rig.worker.count(MessageType::release, 7) == 1);  // given up
-    rig.server.place(quiet.taken[0], 0, 500 * kMillisecond);
+    rig.server.place(quiet.submitted[0], 0, 500 * kMillisecond);
     rig.run(50 * kMillisecond);
     REQUIRE(rig.worker.attempts().size() == 2);
     REQUIRE(rig.worker.connections.size() == 2);
--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -164,9 +164,10 @@
     struct AllAtOnce : QuietPlanner {
         explicit AllAtOnce(platform::PlatformServer& platform_server) : server(platform_server) {}
         void run_round(Nanos) override {
-            if (taken.size() < kAsked) return;
+            if (submitted.size() < kAsked) return;
             in_round = true;
-            for (std::size_t i = 0; i < kAsked - 50; ++i) server.reject(taken[i], kSecond * 1'000'000'000);
+            for (std::size_t i = 0; i < kAsked - 50; ++i)
+                server.reject(submitted[i], kSecond * 1'000'000'000);
             in_round = false;
         }
         void cancel(Nanos, planner::TaskNumber) override {
@@ -195,7 +196,7 @@
         client.send(message);
     }
     rig.run(kSecond);
-    REQUIRE(planner.taken.size() == kAsked);
+    REQUIRE(planner.submitted.size() == kAsked);
     CHECK(planner.cancelled == 50);
     CHECK(planner.cancelled_in_round == 0);
     CHECK(rig.server.task_count() == 0);
--- a/tests/platform_sockets_attempts_test.cpp
+++ b/tests/platform_sockets_attempts_test.cpp
@@ -77,12 +77,12 @@
     SocketPeer client = rig.connect_client();
     rig.run_task(client, worker, 7);
     client.send_bytes(SocketRig::place_task(8, "once"));
-    rig.run_until([&] { return rig.planner.taken.size() == 2; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 2; });
     worker.connections.back()->close();
-    rig.server->place(rig.planner.taken[1], 0, 10 * kSecond);
+    rig.server->place(rig.planner.submitted[1], 0, 10 * kSecond);
     rig.run_until([&] { return !rig.planner.outcomes.empty(); });
     CHECK(rig.planner.outcomes[0] != AttemptOutcome::completed);
-    rig.server->reject(rig.planner.taken[1], 0);
+    rig.server->reject(rig.planner.submitted[1], 0);
     rig.run_until([&] {
         client.read_available();
         return client.count(MessageType::release, 8) == 1;
--- a/tests/platform_sockets_clients_test.cpp
+++ b/tests/platform_sockets_clients_test.cpp
@@ -31,8 +31,8 @@
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
-    rig.server->place(rig.planner.taken[0], 0, 10 * kSecond);
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
+    rig.server->place(rig.planner.submitted[0], 0, 10 * kSecond);
     rig.run_times(5);
     client.close();
     rig.run_until([&] { return rig.server->task_count() == 0; });
@@ -68,13 +68,13 @@
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     client.half_close();
     rig.run_until([&] {
         client.read_available();
         return client.count(MessageType::release, 7) == 1;
     });
-    rig.server->place(rig.planner.taken[0], 0, kSecond);
+    rig.server->place(rig.planner.submitted[0], 0, kSecond);
     rig.run_times(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 0);
@@ -104,14 +104,14 @@
     client.send_bytes(bytes);
     if (how == 0) client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
     if (how == 1) client.close();
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
     auto busy = rig.loop.make_timer([&] {
         if (how == 2) {
             client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
             rig.block_for(80 * kMillisecond);
         }
-        rig.server->place(rig.planner.taken[0], 0, 10 * kSecond);
+        rig.server->place(rig.planner.submitted[0], 0, 10 * kSecond);
     });
     busy->arm(rig.loop.now());
     rig.run_until([&] { return rig.server->task_count() == 0; });
@@ -143,7 +143,7 @@
         newcomer.read_available();
         return newcomer.count(MessageType::health_check_reply, 2) == 1;
     });
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     clients[0].read_available();
     CHECK(!clients[0].peer_closed);
     CHECK(!clients[0].was_reset);
--- a/tests/platform_sockets_discovery_test.cpp
+++ b/tests/platform_sockets_discovery_test.cpp
@@ -64,9 +64,9 @@
     SocketPeer client = rig.connect_client();
     rig.run_task(client, worker, 7);
     client.send_bytes(SocketRig::place_task(8));
-    rig.run_until([&] { return rig.planner.taken.size() == 2; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 2; });
     rig.publish_initial({SocketRig::entry("o", other.address())}, true);
-    rig.server->place(rig.planner.taken[1], 0, kSecond);
+    rig.server->place(rig.planner.submitted[1], 0, kSecond);
     rig.run_times(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 8) == 0);
--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -43,8 +43,8 @@
     rig.server->drain([&] { done = true; });
     rig.run_times(3);
     client.send_bytes(bytes.substr(bytes.size() / 2));
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
-    rig.server->reject(rig.planner.taken[0], 0);
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
+    rig.server->reject(rig.planner.submitted[0], 0);
     run_until_drained(rig, {&client}, done);
     CHECK(client.count(MessageType::release, 7) == 1);
     CHECK(client.peer_closed);
@@ -78,14 +78,14 @@
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     bool done = false;
     rig.server->drain([&] {
         done = true;
         if (client.is_open()) client.send_plain(MessageType::progress, 7);
     });
     rig.block_for(kPastAccepting);
-    rig.server->reject(rig.planner.taken[0], 0);
+    rig.server->reject(rig.planner.submitted[0], 0);
     run_until_drained(rig, {&client}, done);
     check_rejected_not_reset(rig, client);
 }
--- a/tests/platform_sockets_requests_test.cpp
+++ b/tests/platform_sockets_requests_test.cpp
@@ -12,7 +12,7 @@
         client.send_bytes(std::string_view(&byte, 1));
         rig.run_once();
     }
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     client.read_available();
     CHECK(client.received.empty());
     CHECK(!client.peer_closed);
@@ -51,7 +51,7 @@
     for (std::uint64_t i = 0; i < 30; ++i) {  // all that there is room for
         clients.push_back(rig.connect_client());
         clients.back().send_bytes(SocketRig::place_task(100 + i));
-        rig.run_until([&] { return rig.planner.taken.size() == i + 1; });
+        rig.run_until([&] { return rig.planner.submitted.size() == i + 1; });
     }
     for (std::uint64_t id = 7; id < 27; ++id) {
         SocketPeer newcomer = rig.connect_client();
@@ -65,7 +65,7 @@
         CHECK(newcomer.count(MessageType::release, id) == 1);
         CHECK(newcomer.count(MessageType::release, id + 1000) == 1);
     }
-    CHECK(rig.planner.taken.size() == 30);
+    CHECK(rig.planner.submitted.size() == 30);
     for (SocketPeer& client : clients) {
         client.read_available();
         CHECK(client.received.empty());
@@ -89,8 +89,8 @@
     client.send_bytes(SocketRig::place_task(7, "free", "", kTimeLeft));
     rig.block_for(kAway * kMillisecond);
     rig.run_times(1);  // a new connection is accepted in one pass and read in the next
-    rig.run_until([&] { return rig.planner.taken.size() == 1; });
-    rig.server->place(rig.planner.taken[0], 0, kTimeLeft * kMillisecond);
+    rig.run_until([&] { return rig.planner.submitted.size() == 1; });
+    rig.server->place(rig.planner.submitted[0], 0, kTimeLeft * kMillisecond);
     rig.run_until([&] {
         worker.accept_and_read();
         return worker.count(MessageType::place_task, 7) == 1;
--- a/tests/platform_worker_connections_test.cpp
+++ b/tests/platform_worker_connections_test.cpp
@@ -36,7 +36,7 @@
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
     for (std::uint64_t id = 1; id <= 3; ++id) rig.request_placement(rig.client, id);
-    for (const auto n : quiet.taken) rig.server.place(n, 0, 2 * kSecond);
+    for (const auto n : quiet.submitted) rig.server.place(n, 0, 2 * kSecond);
     rig.run(50 * kMillisecond);
     REQUIRE(rig.worker.connections.size() == 3);
     for (const auto& connection : rig.worker.connections)
@@ -50,7 +50,7 @@
     CHECK(rig.worker.count(MessageType::release, 1) + rig.worker.count(MessageType::release, 2) +
               rig.worker.count(MessageType::release, 3) ==
           1);
-    for (const auto n : quiet.taken)
+    for (const auto n : quiet.submitted)
         rig.server.place(n, 0, 2 * kSecond);  // those that are out: refused by the ledger
     rig.run(50 * kMillisecond);
     CHECK(rig.worker.count(MessageType::place_task, broken) == 2);
@@ -101,7 +101,7 @@
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
     rig.request_placement(rig.client, 1);
-    rig.server.place(quiet.taken[0], 0, 60 * kSecond);
+    rig.server.place(quiet.submitted[0], 0, 60 * kSecond);
     rig.run(20 * kMillisecond);
     REQUIRE(rig.worker.connections.size() == 1);
     // Further attempts go on connections of their own, up to ten.
@@ -119,12 +119,12 @@
         message.task_name = name;
         rig.client.send(message);
         rig.run(kMillisecond);
-        rig.server.place(quiet.taken.back(), 0, 60 * kSecond);
+        rig.server.place(quiet.submitted.back(), 0, 60 * kSecond);
         rig.run(kMillisecond);
         for (const auto& connection : rig.worker.connections)
             if (connection->stream) connection->stream->set_reading(false);
     }
-    REQUIRE(quiet.taken.size() == 1 + kAttempts);
+    REQUIRE(quiet.submitted.size() == 1 + kAttempts);
     REQUIRE(rig.worker.connections.size() == 10);
     message.task_name = "0000000000000000";
     message.requirements.reset();  // workers are not told them
--- a/tests/server_clients_test.cpp
+++ b/tests/server_clients_test.cpp
@@ -14,12 +14,12 @@
         client.send(message);
     }
     rig.run(100 * kMillisecond);
-    CHECK(rig.placer->edge.tasks_held() == 200);
-    CHECK(rig.placer->intake.waiting() == 200);
+    CHECK(rig.placer->server.tasks_held() == 200);
+    CHECK(rig.placer->admission.waiting() == 200);
     client.stream.reset();
     rig.run(kSecond);
-    CHECK(rig.placer->edge.tasks_held() == 0);
-    CHECK(rig.placer->intake.waiting() == 0);
+    CHECK(rig.placer->server.tasks_held() == 0);
+    CHECK(rig.placer->admission.waiting() == 0);
     CHECK(rig.placer->planner.open_tasks() == 0);
 }
 
--- a/tests/server_connections_test.cpp
+++ b/tests/server_connections_test.cpp
@@ -74,7 +74,7 @@
         if (attempt.queue_group() == 2) at_worker.push_back(attempt.task());
     for (const v1::StartAttempt& attempt : other.attempts())
         CHECK(std::find(at_worker.begin(), at_worker.end(), attempt.task()) == at_worker.end());
-    CHECK(rig.placer->edge.statistics().planner_faults == 0);
+    CHECK(rig.placer->server.statistics().planner_faults == 0);
 }
 
 TEST_CASE(
@@ -141,5 +141,5 @@
     CHECK(client.count(&v1::ToClient::has_received) == 1);
     rig.placer_process->files(100);
     rig.run(8 * kSecond);
-    CHECK(rig.placer->edge.connection("n")->state() == worker_connection::ConnectionState::up);
+    CHECK(rig.placer->server.connection("n")->state() == worker_connection::ConnectionState::up);
 }
--- a/tests/server_discovery_test.cpp
+++ b/tests/server_discovery_test.cpp
@@ -17,7 +17,7 @@
     worker.accept(worker.attempts().at(0).attempt());
     rig.publish({rig.endpoint("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     rig.publish({rig.endpoint("n")}, true, 1);  // from before the drain
-    CHECK(rig.placer->edge.statistics().stale_endpoint_updates == 1);
+    CHECK(rig.placer->server.statistics().stale_endpoint_updates == 1);
     rig.submit(client, rig.request(2));
     CHECK(worker.attempts().size() == 1);
     rig.publish({rig.endpoint("n", 0, 0, v1::Endpoint::DRAINING), rig.endpoint("n")}, false);
@@ -52,7 +52,7 @@
     CHECK(worker.attempts().empty());
     rig.publish({rig.endpoint("n", 0, 0, v1::Endpoint::DRAINING)}, false);
     rig.run(3 * kSecond);
-    CHECK(rig.placer->edge.connection("n")->statistics().drain_timeouts == 1);
+    CHECK(rig.placer->server.connection("n")->statistics().drain_timeouts == 1);
     rig.network.cut("10.0.0.1", "n", false);
     rig.run(3 * kSecond);
     CHECK(worker.attempts().empty());
@@ -153,5 +153,5 @@
         if (worker.attempts().size() == id) worker.accept(id);
     }
     CHECK(worker.attempts().size() == 20);
-    CHECK(rig.placer->edge.membership().count(membership::WorkerState::unreachable) == 3);
+    CHECK(rig.placer->server.membership().count(membership::WorkerState::unreachable) == 3);
 }
--- a/tests/server_drain_test.cpp
+++ b/tests/server_drain_test.cpp
@@ -12,7 +12,7 @@
     TestClient& client = rig.connect_client();
     rig.submit(client, rig.request(1, "once", 3 * kSecond));
     bool done = false;
-    rig.placer->edge.drain([&done] { done = true; });
+    rig.placer->server.drain([&done] { done = true; });
     rig.submit(client, rig.request(2));
     CHECK(client.count(&v1::ToClient::has_rejected) == 1);
     CHECK(client.messages(&v1::ToClient::has_rejected)[0].rejected().reason() == "the placer is closing");
--- a/tests/server_planner_test.cpp
+++ b/tests/server_planner_test.cpp
@@ -10,13 +10,13 @@
 TEST_CASE("with a planner that decides nothing every task is answered by the ledger in time, and honestly") {
     ServerRig rig;
     QuietPlanner silent;
-    rig.placer->edge.set_planner(silent);
+    rig.placer->server.set_planner(silent);
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
     TestClient& client = rig.connect_client();
     rig.submit(client, rig.request(1, "once"));
     rig.submit(client, rig.request(2, "once"));
-    rig.placer->edge.place(silent.taken.at(1), 0, 60 * kSecond);
+    rig.placer->server.place(silent.submitted.at(1), 0, 60 * kSecond);
     rig.run(100 * kMillisecond);
     REQUIRE(worker.attempts().size() == 1);
     const Nanos begun = rig.network.now();
@@ -29,15 +29,15 @@
 
     SECTION("and a decision that breaks a rule is refused, and counted") {
         rig.submit(client, rig.request(3, "once"));
-        const auto task = silent.taken.at(2);
-        rig.placer->edge.place(task, 0, 60 * kSecond);
-        rig.placer->edge.place(task, 0, 60 * kSecond);
-        rig.placer->edge.place(task, 99, 60 * kSecond);
-        rig.placer->edge.place(12345, 0, 60 * kSecond);
-        rig.placer->edge.reject(task, 0);
+        const auto task = silent.submitted.at(2);
+        rig.placer->server.place(task, 0, 60 * kSecond);
+        rig.placer->server.place(task, 0, 60 * kSecond);
+        rig.placer->server.place(task, 99, 60 * kSecond);
+        rig.placer->server.place(12345, 0, 60 * kSecond);
+        rig.placer->server.reject(task, 0);
         rig.run(100 * kMillisecond);
         CHECK(worker.attempts().size() == 2);
-        CHECK(rig.placer->edge.statistics().planner_faults == 4);
+        CHECK(rig.placer->server.statistics().planner_faults == 4);
         CHECK(client.count(&v1::ToClient::has_rejected) == 1);
     }
 }
--- a/tests/server_protocol_test.cpp
+++ b/tests/server_protocol_test.cpp
@@ -53,7 +53,7 @@
         rig.run(kSecond);
         REQUIRE(worker.connections.size() == 2);
         CHECK(worker.connections[0]->count(&v1::ToWorker::has_error) == 1);
-        CHECK(rig.placer->edge.connection("n")->state() == worker_connection::ConnectionState::up);
+        CHECK(rig.placer->server.connection("n")->state() == worker_connection::ConnectionState::up);
     }
     SECTION("an update with a field out of range is rejected as a whole, and the present view is kept") {
         v1::Endpoint wrong = rig.endpoint("m");
--- a/tests/server_recovery_test.cpp
+++ b/tests/server_recovery_test.cpp
@@ -62,7 +62,7 @@
     client.send(cancel);
     rig.run(30 * kSecond);  // the discovery service is down all the while
     CHECK(client.count(&v1::ToClient::has_ended) == 0);
-    CHECK(rig.placer->edge.recovery_queue().size() == 3);
+    CHECK(rig.placer->server.recovery_queue().size() == 3);
     v1::FromClient same;
     *same.mutable_submit() = rig.request(1);
     rig.publish({rig.endpoint("n")});
@@ -82,5 +82,5 @@
     // It is dropped with its client.
     client.stream.reset();
     rig.run(100 * kMillisecond);
-    CHECK(rig.placer->edge.recovery_queue().size() == 0);
+    CHECK(rig.placer->server.recovery_queue().size() == 0);
 }
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -243,15 +243,15 @@
     // A task of the client with an attempt at worker 0, which has received it whole.
     planner::TaskNumber start_attempt(SocketPeer& other, ListeningSocket& worker, std::uint64_t id,
                                       const std::string& group = "free") {
-        const std::size_t before = planner.taken.size();
+        const std::size_t before = planner.submitted.size();
         other.send_bytes(place_task(id, group));
-        run_until([&] { return planner.taken.size() == before + 1; });
-        server->place(planner.taken.back(), 0, 10 * kSecond);
+        run_until([&] { return planner.submitted.size() == before + 1; });
+        server->place(planner.submitted.back(), 0, 10 * kSecond);
         run_until([&] {
             worker.accept_and_read();
             return worker.count(MessageType::place_task, id) == 1;
         });
-        return planner.taken.back();
+        return planner.submitted.back();
     }
     void run_task(SocketPeer& other, ListeningSocket& worker, std::uint64_t id) {
         start_attempt(other, worker, id);
--- a/tests/support/quiet_planner.h
+++ b/tests/support/quiet_planner.h
@@ -12,7 +12,7 @@
     void on_watch_failed(Nanos) override {}
     void start(Nanos) override {}
     void submit(Nanos, planner::TaskNumber task, std::uint64_t, const ResourceRequest&) override {
-        taken.push_back(task);
+        submitted.push_back(task);
     }
     void adopt(Nanos, planner::TaskNumber, std::uint64_t, const ResourceRequest&,
                planner::WorkerNumber) override {}
@@ -29,7 +29,7 @@
     void set_admission_tokens(Nanos, planner::WorkerNumber, int) override {}
     void run_round(Nanos) override {}
 
-    std::vector<planner::TaskNumber> taken;
+    std::vector<planner::TaskNumber> submitted;
 };
 
 }  // namespace whinpost
