--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -16,7 +16,9 @@
       delays_(delays) {}
 
 SimulatedNetwork::~SimulatedNetwork() {
-    // What the queue still holds refers to processes.
+    // What stalled processes and the queue still hold refers to processes, and may own streams whose peer's
+    // process would else be destroyed first.
+    for (const auto& process : processes_) process->stalled_events_.clear();
     while (!queue_.empty()) queue_.pop();
 }
 
