--- a/src/scheduler/active_set.cpp
+++ b/src/scheduler/active_set.cpp
@@ -6,7 +6,7 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr double kTargetFill = 0.80;  // of what a worker may be filled to
+constexpr double kTargetFill = 0.80;  // share of the load that a worker may hold; the rest is spare room
 constexpr Nanos kWidenedFor = 2 * kSecond;
 
 }  // namespace
@@ -32,7 +32,7 @@
     next_refresh_at_ = now + kListInterval;
     const double core_ratio = capacity_.core_use_ratio(), memory_ratio = capacity_.memory_use_ratio();
     std::vector<std::pair<double, Worker*>> by_fill;
-    double needed = 0, all = 0, held = 0;  // cores
+    double needed = 0, all = 0, held = 0;  // in cores
     for (Worker* worker : listed_workers) {
         if (worker->endpoint.phase != EndpointPhase::serving) continue;
         const double fill = fill_of(*worker, core_ratio, memory_ratio);
--- a/src/scheduler/candidate_selection.cpp
+++ b/src/scheduler/candidate_selection.cpp
@@ -11,18 +11,22 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr std::size_t kSampleSize = 8;  // six is the design's start; two more, to outlive lost workers
-// To find so many with room; past it the fleet is full.
+// Six in the design; two more, so that enough are left when workers are lost.
+constexpr std::size_t kSampleSize = 8;
+// Limit on the draws that fill the sample. If it is reached, the fleet is full or nearly so.
 constexpr std::uint64_t kMaxDraws = 8 * kSampleSize;
-// The chance that a service runs on the worker that was drawn as its first, second, ...
+// Probability that the service already runs on the worker that is drawn first, second, and so on.
 constexpr double kWarmChance[kSampleSize] = {0.7, 0.5, 0.3, 0.2, 0.1, 0, 0, 0};
-constexpr double kTasksTogether = 5;  // tasks of a service on one worker, so that one is likely known
-// The mean use hides the worker that has the hungry tasks: where no report tells of it, the use is taken a
-// quarter up against the limit. Not in the whole fleet's scope, which must place.
+constexpr double kTasksTogether = 5;  // typical number of tasks of one service on a worker where it runs
+// Used cores are estimated with the mean use of all tasks, which is too low for workers whose tasks use more.
+// If workers do not report pressure, the estimate is raised by a quarter before the slowdown limit is
+// applied. Not done in SelectionScope::whole_fleet, where the task must be placed if at all possible.
 constexpr double kLoadMargin = 1.25;
-// A worker outside the active set that is taken stays in use for a task's whole life.
-constexpr double kActivationPriceFactor = 4;  // times the price of workers in use; twelve did no more
-// Crowded memory slows by up to 70% within a tenth of its size.
+// Multiple of prices.workers_in_use; a factor of 12 had no further effect. A worker outside the active set
+// that gets a task stays in use for the whole life of the task.
+constexpr double kActivationPriceFactor = 4;
+// Slowdown per share of memory in use above kFullMemory: overfull memory slows tasks by up to 70% within a
+// tenth of its size.
 constexpr double kMemorySlope = 8;
 constexpr double kLeastService = 0.05, kLeastDegradationRange = 0.01;
 
@@ -30,8 +34,9 @@
     return group.full_service_utilization + group.degradation_range;
 }
 
-// Of the groups that may run on a kind of worker the one that suffers first, so that a mild one does not
-// crowd it there. The first group where none may run.
+// Of the queue groups that may run on a kind of worker, the one whose service falls to zero at the lowest
+// utilization. Its curve applies to all tasks there, so that tolerant groups do not crowd it. The first queue
+// group if none may run on this kind.
 const QueueGroup* most_sensitive_group(const std::vector<QueueGroup>& groups, int kind) {
     const QueueGroup* most_sensitive = nullptr;
     for (const QueueGroup& group : groups) {
@@ -56,7 +61,8 @@
     return now < full.until && task.request.cores >= full.cores && task.request.memory >= full.memory;
 }
 
-// Only a task that any worker might have taken says so for all.
+// Only for a task that no condition of its own kept off any worker: no earlier rejection, no attempt that may
+// have run, no spread domain. For other tasks the search does not prove that the fleet is full.
 void CandidateSelection::remember_full_fleet(const Search& search) {
     const Task& task = search.task;
     if (!modules_.endpoints.is_large() || !task.rejected_by.empty() || task.first_possible_run ||
@@ -111,8 +117,9 @@
     return true;
 }
 
-// Departure from the design (crowding): where running tasks suddenly use more, the learned weights lag; what
-// the worker is known to use then counts at once, by the queue group's own curve.
+// Departure from the design (crowding): when running tasks suddenly use more cores, the learned weights adapt
+// slowly. So the slowdown by the worker's known utilization is added at once, by the curve of the most
+// sensitive queue group.
 double CandidateSelection::expected_slowdown(const Search& search, Worker& worker) const {
     double sum = modules_.interference.predict(worker, *search.task.service);
     const WorkerLoad load = modules_.capacity.load(search.now, worker, search.task.request);
@@ -125,15 +132,16 @@
                             1 - excess / std::max(curve.degradation_range, kLeastDegradationRange)) -
                1;
     sum += kMemorySlope * std::max(0.0, load.used_memory / worker.kind->memory - kFullMemory);
-    // Attempts needed for one start, less one: where all workers look bad, the least bad is still used.
+    // The failure rate counts as the expected failed attempts per start, so that the least bad worker is
+    // still used when all are bad.
     const auto group = static_cast<std::size_t>(search.task.request.queue_group);
     sum += modules_.outliers.residual_slowdown(search.now, worker) +
            1 / (1 - modules_.outliers.failure_rate(search.now, worker, group)) - 1;
     return sum;
 }
 
-// Departure from the design (cold starts): a start without the program loaded is slow, which costs the value
-// of a start in time.
+// Departure from the design (cold starts): a start is slow where the program is not loaded, and may then miss
+// the start objective. The cost is the value of a start in time as a share of the value of the whole task.
 double CandidateSelection::cold_start_cost(const Search& search, Worker& worker) const {
     const Task& task = search.task;
     if (is_warm(search.now, worker, task.service) && !modules_.slow_start.is_warming_up(search.now, worker))
--- a/src/scheduler/candidate_selection.h
+++ b/src/scheduler/candidate_selection.h
@@ -1,9 +1,10 @@
-// Selects a worker for a task: samples candidates, scores them, picks the best.
+// Selects a worker for a task: samples candidates, scores them and picks the one with the lowest cost.
 //
-// Departure from the design (cold starts): schedulers cannot tell each other where a service runs. So the
-// randomness that draws a service's candidates is made from its own hash, alike at every scheduler, on a hash
-// ring of the workers. All draw the same workers in the same order, and where the earlier have room the
-// service gathers there. The workers known to run it join the sample.
+// Departure from the design (cold starts): a start is faster where the service already runs, but schedulers
+// do not tell each other where that is. So candidates are drawn from a hash ring of the workers, at hashes
+// derived from the service's name. Every scheduler draws the same workers in the same order, and a service
+// gathers on the first of them that have room. Workers where this scheduler knows the service to run are
+// considered, too.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -22,11 +23,11 @@
 
 namespace whinpost::scheduler {
 
-// Where a selection may look: in the active set, at workers whose predicted slowdown is below the limit; or,
-// where that finds none, at any worker.
+// Which workers a selection may pick: those of the active set with an expected slowdown of at most
+// kSlowdownLimit, or, if there is none with room, any listed worker.
 enum class SelectionScope { active_set, whole_fleet };
 
-// The modules that a selection asks. All must outlive it.
+// The modules that a selection reads. They must outlive CandidateSelection.
 struct SelectionModules {
     const EndpointList& endpoints;
     const InterferenceModel& interference;
@@ -39,14 +40,14 @@
 
 class CandidateSelection {
 public:
-    // The settings must outlive this.
+    // The configuration must outlive this object.
     CandidateSelection(const SchedulerConfig&, const SelectionModules&);
 
-    // Null if no worker is fit.
+    // Null if no worker may take the task.
     [[nodiscard]] Worker* select(Nanos now, const Task&, SelectionScope);
 
 private:
-    // One selection while it is made.
+    // State of one selection in progress.
     struct Search {
         Nanos now;
         const Task& task;
@@ -55,7 +56,7 @@
         double best_cost = 0;
         std::size_t considered = 0;
     };
-    // Requests of at least these amounts fit nowhere, until then.
+    // No worker has room for requests of at least these amounts until this time.
     struct FullFleet {
         double cores = 0, memory = 0;
         Nanos until = 0;
@@ -63,8 +64,8 @@
 
     bool fits_nowhere(Nanos now, const Task&) const;
     void remember_full_fleet(const Search&);
-    // True if the worker could take the task, whether or not it is the best. cold_chance: that a start there,
-    // which looks cold to this scheduler, is one.
+    // True if the worker can take the task, whether or not it is the best so far. cold_chance: the
+    // probability that a start is cold on a worker where this scheduler has no task of the service.
     bool consider(Search&, Worker&, double cold_chance);
     void draw_from_ring(Search&);
     double expected_slowdown(const Search&, Worker&) const;
@@ -72,8 +73,8 @@
 
     const SchedulerConfig& config_;
     const SelectionModules modules_;
-    std::vector<const QueueGroup*> most_sensitive_group_;  // by worker kind, of those that may run there
-    double alone_chance_;  // that no other scheduler's task of a service runs where this one has none
+    std::vector<const QueueGroup*> most_sensitive_group_;  // by worker kind
+    double alone_chance_;  // that none of kTasksTogether tasks of a service was placed by this scheduler
     std::uint64_t selections_ = 0;
     std::vector<FullFleet> full_fleet_;  // by queue group
 };
--- a/src/scheduler/capacity.cpp
+++ b/src/scheduler/capacity.cpp
@@ -7,8 +7,9 @@
 namespace whinpost {
 namespace {
 
-constexpr Nanos kChangeBucket = 250 * kMillisecond;  // 16 buckets: four seconds of own changes
-constexpr double kInitialQueueLimit = 8;  // unanswered attempts at one worker: a short queue, shared
+constexpr Nanos kChangeBucket = 250 * kMillisecond;  // 16 buckets: changes of the last four seconds
+// Unanswered attempts per worker; its queue is short, and other schedulers use it, too.
+constexpr double kInitialQueueLimit = 8;
 
 }  // namespace
 
@@ -18,31 +19,32 @@
 namespace scheduler {
 namespace {
 
-// Load that workers report or list.
-constexpr Nanos kReportValid = 3 * kSecond;  // use changes over some seconds; older reports mislead
+// Age limits of load information, and limits on the load itself.
+constexpr Nanos kReportValid = 3 * kSecond;  // use changes within seconds, so older reports are misleading
 constexpr Nanos kPressureValid = 2 * kSecond;
-constexpr int kListLag = 6;    // buckets of own changes (1.5 s) that a late list is taken not to show yet
-constexpr int kReportLag = 3;  // the same for a report
-constexpr double kMaxMemory = 0.98;        // for the least slowed worker with room: rejecting costs more
-constexpr double kUnknownUse = 0.7;        // use over requests before any report: between none and all of it
-constexpr double kUseDecay = 0.995;        // use over requests is that of the last few hundred reports
-constexpr double kPreemptibleShare = 0.9;  // a fifth left free cost more starts than it spared preemptions
-
-// Guards against queues of attempts that overflow in a rush, and against workers that go silent (they stand
-// still, are cut off, or accept and never answer): the queue that a worker may have halves when it says that
-// it is full and grows with each acceptance, and a worker that has owed answers for long gets nothing more.
-// Could send a rush to workers without the program.
-constexpr double kQueueLimitStep = 0.2;  // five answers make room for one more
+// Buckets (1.5 s) of this scheduler's changes that a late endpoint list may not show yet.
+constexpr int kListLag = 6;
+constexpr int kReportLag = 3;        // the same for a load report (0.75 s)
+constexpr double kMaxMemory = 0.98;  // above kFullMemory, because a rejection costs more than the slowdown
+constexpr double kUnknownUse = 0.7;  // assumed ratio of use to requests before the first report
+constexpr double kUseDecay = 0.995;  // per report, so that the ratio reflects the last few hundred reports
+constexpr double kPreemptibleShare = 0.9;  // with 0.8, more starts were lost than preemptions avoided
+
+// The limit on unanswered attempts per worker. Guards against bursts that overflow a worker's queue, and
+// against workers that stop answering (stalled, unreachable, or accepting connections without any answer). A
+// rejection as queue_full halves the limit, each acceptance raises it; a worker whose answers are overdue
+// gets no more attempts. Could send a burst to other workers that have not loaded the program.
+constexpr double kQueueLimitStep = 0.2;  // five acceptances allow one more attempt
 constexpr double kMaxQueueLimit = 4 * kInitialQueueLimit;
-constexpr double kSilentAnswers = 4;                  // times the usual answer
-constexpr Nanos kSilentAtLeast = 200 * kMillisecond;  // a few attempts' time on a slow worker
+constexpr double kSilentAnswers = 4;                  // times the mean answer time
+constexpr Nanos kSilentAtLeast = 200 * kMillisecond;  // a slow worker answers a few attempts in that time
 constexpr double kAnswerWeight = 0.05;
 
 constexpr Nanos kRejectionValid = 700 * kMillisecond;  // a few tasks end on a worker in that time
-constexpr Nanos kFullQueueValid = 300 * kMillisecond;  // a queue of attempts is worked off in that time
-constexpr Nanos kUnavailableValid = 2 * kSecond;       // it drains, and the endpoint list will soon say so
-constexpr Nanos kDrainedValid = 5 * kSecond;           // it drains for sure; late lists come within that
-constexpr double kAnyAmount = 1e18;                    // larger than any request
+constexpr Nanos kFullQueueValid = 300 * kMillisecond;  // a worker empties its queue of attempts in that time
+constexpr Nanos kUnavailableValid = 2 * kSecond;  // it probably drains; the endpoint list shows it by then
+constexpr Nanos kDrainedValid = 5 * kSecond;  // the worker drains; even a late endpoint list shows it by then
+constexpr double kAnyAmount = 1e18;           // larger than any request
 
 }  // namespace
 
@@ -50,8 +52,8 @@
     return requested > 0 ? used / requested : kUnknownUse;
 }
 
-// The list's requests and this scheduler's own changes that the list cannot show yet, their use by the usual
-// ratio, and where a report is fresher and says more, that.
+// Starts from the requests in the endpoint list plus this scheduler's changes that the list may not show yet,
+// and estimates their use with the mean use ratios. A current report raises each value that it exceeds.
 WorkerLoad Capacity::load(Nanos now, Worker& worker, const ResourceRequest& request) const {
     WorkerCapacity& state = worker.capacity;
     const double all_cores = worker.kind->cores, all_memory = worker.kind->memory;
@@ -97,7 +99,8 @@
                std::max(kSilentAtLeast, from_seconds(kSilentAnswers * usual_answer_s_));
 }
 
-// Departure from the design (preemption): room is left for those that would preempt this task.
+// Departure from the design (preemption): a task leaves room for queue groups of higher priority, which would
+// otherwise preempt it.
 double Capacity::usable_share(const Task& task, const Worker& worker) const {
     if (!acceptance_.preempts) return 1;
     for (const QueueGroup& group : groups_)
@@ -182,12 +185,13 @@
             if (!task.first_possible_run) state.blocked_until = now + kUnavailableValid;
             return;
         case OutcomeReason::unspecified:
-            return;  // the load says nothing of it; counted as a failure, see OutlierDetection
+            return;  // not caused by load; OutlierDetection counts it as a failure
     }
 }
 
-// Guards against the rush back: what a draining worker sends away is submitted again at once, seconds before
-// the endpoint list names the drain, and would be sent to the very worker that last held its program.
+// Guards against tasks that return to a draining worker: clients submit the tasks that it ended again at
+// once, seconds before the endpoint list shows the drain, and the worker would be preferred because it last
+// ran their program.
 void Capacity::on_drained(Nanos now, Worker& worker) const {
     worker.capacity.blocked_until = now + kDrainedValid;
 }
--- a/src/scheduler/capacity.h
+++ b/src/scheduler/capacity.h
@@ -1,4 +1,4 @@
-// What a worker can still take: the load that it is taken to hold, its rejections, and the answers it owes.
+// What a worker can still take, by its estimated load, its recent rejections and its unanswered attempts.
 #pragma once
 #include <vector>
 
@@ -13,18 +13,18 @@
 
 namespace whinpost::scheduler {
 
-// A worker's memory is taken to be full at this share: from 92% on it slows all tasks that it holds; leaves
-// room for growth.
+// Share of a worker's memory from which on it counts as full. From 92% on, memory pressure slows all tasks on
+// the worker; the difference leaves room for growth.
 constexpr double kFullMemory = 0.88;
 
-// Cores and memory of a worker: requested of it, and taken to be in use.
+// Cores and memory of a worker: the sum of requests, and the estimated use.
 struct WorkerLoad {
     double requested_cores, requested_memory, used_cores, used_memory;
 };
 
 class Capacity {
 public:
-    // All three must outlive this.
+    // The three arguments must outlive this object.
     Capacity(const WorkerAcceptance& acceptance, const std::vector<QueueGroup>& groups,
              const SlowStart& slow_start)
         : acceptance_(acceptance), groups_(groups), slow_start_(slow_start) {}
@@ -33,20 +33,21 @@
     WorkerLoad load(Nanos now, Worker&, const ResourceRequest& request) const;
     bool has_room(Nanos now, const Task&, Worker&) const;
 
-    // The usual ratio of use to requests.
+    // Mean ratio of use to requests in recent reports.
     double core_use_ratio() const { return use_ratio(used_cores_, requested_cores_); }
     double memory_use_ratio() const { return use_ratio(used_memory_, requested_memory_); }
-    double usual_answer_s() const { return usual_answer_s_; }  // from an attempt to its acceptance
+    double usual_answer_s() const { return usual_answer_s_; }  // mean time from an attempt to its acceptance
 
     void on_attempt_sent(Nanos now, const Task&, Worker&) const;
     void on_accepted(Nanos now, Worker&) const;
     void on_answer_time(double seconds);
-    // The task leaves the worker; accepted: it had answered the attempt.
+    // The attempt on the worker has ended. accepted: whether the worker had accepted it.
     void on_task_left(Nanos now, const Task&, Worker&, bool accepted) const;
-    // A task that ran there before this scheduler knew of it: the endpoint list shows it already.
+    // Called after on_attempt_sent() for an adopted task, which already runs on the worker: the endpoint list
+    // includes its request, and no answer is outstanding.
     void on_adopted(Worker&) const;
     void on_rejected(Nanos now, const Task&, Worker&, OutcomeReason) const;
-    // The worker drains; watch events will tell later.
+    // The worker has ended a task because it drains, which the endpoint list may not show yet.
     void on_drained(Nanos now, Worker&) const;
     void on_load_report(Nanos now, Worker&, const LoadReport&) const;
     void on_memory_pressure(Nanos now, Worker&, double share) const;
@@ -62,7 +63,7 @@
     const WorkerAcceptance& acceptance_;
     const std::vector<QueueGroup>& groups_;
     const SlowStart& slow_start_;
-    // Decaying sums behind the use ratios.
+    // Exponentially decaying sums from which the use ratios are computed.
     double used_cores_ = 0, used_memory_ = 0, requested_cores_ = 0, requested_memory_ = 0;
     double usual_answer_s_ = 0.1;
 };
--- a/src/scheduler/colocation.cpp
+++ b/src/scheduler/colocation.cpp
@@ -3,8 +3,9 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr Nanos kProgramKept = 5 * kSecond;   // a few programs stay loaded after their last task
-constexpr Nanos kServiceKept = 15 * kSecond;  // known on a worker after its last task
+constexpr Nanos kProgramKept = 5 * kSecond;  // workers keep a few programs loaded after their last task
+// Age at which the record of a service without tasks on a worker is dropped.
+constexpr Nanos kServiceKept = 15 * kSecond;
 
 bool ran_lately(Nanos now, const ColocatedService& colocated) {
     return colocated.last_ran_at && now - colocated.last_ran_at < kProgramKept;
--- a/src/scheduler/colocation.h
+++ b/src/scheduler/colocation.h
@@ -7,16 +7,16 @@
 
 namespace whinpost::scheduler {
 
-// Whether a start of the service there finds its program loaded.
+// Whether the worker is expected to have the program of the service loaded.
 bool is_warm(Nanos now, Worker&, const Service*);
 
 // Records that an attempt of the task is in flight to the worker.
 void attach_task(Nanos now, Task&, Worker&);
-// Records that the task is not on its worker any more. Services that ran there long ago are forgotten.
+// Records that the task has left its worker. Also drops records of services that ran there long ago.
 void detach_task(Nanos now, Task&);
 // Records that the task runs on its worker.
 void mark_running(Nanos now, const Task&);
-// After a restart no program is loaded.
+// Records that no program is loaded, as after a restart of the worker.
 void forget_programs(Worker&);
 
 }  // namespace whinpost::scheduler
--- a/src/scheduler/endpoint_list.cpp
+++ b/src/scheduler/endpoint_list.cpp
@@ -7,13 +7,15 @@
 namespace whinpost::scheduler {
 namespace {
 
-// Virtual nodes of a worker on the ring: when it leaves, its services go to as many others.
+// Virtual nodes of a worker on the ring. When a worker leaves, its services spread over up to that many
+// others.
 constexpr std::uint64_t kVirtualNodes = 32;
 
-// Departure from the design (large fleets): above this size what costs a step for each worker is done four
-// times a second at most, not after each watch event or for each task: the active set, and the search that
-// finds that a task fits nowhere. Guards against control work that grows with fleet times load. A worker that
-// becomes free may be seen a quarter of a second late.
+// Departure from the design (large fleets): above this number of workers, work that is linear in the fleet
+// size is done at most four times a second, and not after each watch event or for each task. That is the
+// refresh of the active set, and the search that finds no room on any worker. Guards against control work
+// that grows with fleet size times load. A worker that becomes free may be noticed a quarter of a second
+// late.
 constexpr std::size_t kLargeFleet = 2000;
 
 }  // namespace
@@ -39,8 +41,8 @@
     return restarted;
 }
 
-// Costs by what has changed, except for a complete list: a zone that is lost worker by worker would otherwise
-// stop the scheduler as often as it has workers.
+// Except for a complete list, the cost is proportional to the workers that changed. If it were linear in the
+// fleet size, a zone that is lost worker by worker would stall the scheduler once per worker.
 void EndpointList::finish_watch_event(bool complete) {
     if (complete) {
         for (Worker* worker : listed_workers_) {
--- a/src/scheduler/hash_ring.h
+++ b/src/scheduler/hash_ring.h
@@ -1,5 +1,5 @@
-// A consistent-hash ring: each member stands at several virtual nodes on a circle of 64-bit hashes, and a
-// hash belongs to the first virtual node at or after it.
+// A consistent-hash ring: each member has several virtual nodes on a circle of 64-bit hashes, and a hash maps
+// to the member of the first virtual node at or after it.
 #pragma once
 #include <algorithm>
 #include <cstddef>
@@ -9,11 +9,12 @@
 
 namespace whinpost::scheduler {
 
-// An index only: it does not own its members. A change costs by the members that it names, and now and then a
-// merge of the whole ring; the answers are those of a ring that is sorted anew after each change.
+// Does not own its members. The cost of a change is proportional to the members that it names, except for an
+// occasional merge of the whole ring. Lookups return the same members as on a ring that is sorted after each
+// change.
 //
-// `Member` has `bool on_ring`, which this class alone writes, and must stay at its address while it is on the
-// ring. No two virtual nodes of different members may be equal where their order matters.
+// `Member` has a field `bool on_ring` that only this class writes. A member must stay at its address while it
+// is on the ring. If virtual nodes of different members have equal hashes, their order is unspecified.
 template <class Member>
 class HashRing {
 public:
@@ -48,23 +49,23 @@
 
     bool empty() const { return member_count_ == 0; }
     std::size_t members() const { return member_count_; }
-    // Kept, also of members that were removed and not swept up yet.
+    // Includes the nodes of erased members until the next sweep.
     std::size_t virtual_nodes() const { return nodes_.size() + recent_nodes_.size(); }
 
-    // The member that the hash belongs to. Not to be called while the ring is empty.
+    // The member that the hash maps to. The ring must not be empty.
     Member* at(std::uint64_t hash) const {
         const VirtualNode* old_node = next(nodes_, hash);
         const VirtualNode* recent_node = next(recent_nodes_, hash);
         if (!old_node || !recent_node) return (old_node ? old_node : recent_node)->second;
-        // Distances along the circle, which wrap as unsigned numbers do.
+        // Unsigned subtraction gives the distance along the circle, also past its end.
         return (recent_node->first - hash < old_node->first - hash ? recent_node : old_node)->second;
     }
 
 private:
-    // New virtual nodes are merged into the old ones once they are more than this number plus a share of
-    // them.
+    // New virtual nodes are kept apart, and merged when there are more than kMinMerge + nodes_.size() /
+    // kMergeShare.
     static constexpr std::size_t kMinMerge = 1024, kMergeShare = 64;
-    // The virtual nodes of removed members are swept up likewise.
+    // Erased members are swept when there are more than kMinSweep + member_count_ / kSweepShare.
     static constexpr std::size_t kMinSweep = 32, kSweepShare = 8;
 
     static bool is_before(const VirtualNode& left, const VirtualNode& right) {
@@ -78,7 +79,7 @@
         }
         return nullptr;
     }
-    // A member that comes back must not stand at its old virtual nodes, too.
+    // Prevents duplicate virtual nodes of a member that is inserted again before the sweep after its erase().
     void remove_old_nodes_of(const std::vector<Member*>& members) {
         const auto was_removed = [this](Member* member) {
             return std::find(removed_.begin(), removed_.end(), member) != removed_.end();
@@ -98,8 +99,8 @@
         recent_nodes_.clear();
     }
 
-    std::vector<VirtualNode> nodes_, recent_nodes_;  // both in order
-    std::vector<Member*> removed_;                   // removed, with virtual nodes still here
+    std::vector<VirtualNode> nodes_, recent_nodes_;  // both sorted by hash
+    std::vector<Member*> removed_;                   // erased since the last sweep
     std::size_t member_count_ = 0;
 };
 
--- a/src/scheduler/health_check.cpp
+++ b/src/scheduler/health_check.cpp
@@ -3,11 +3,12 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr Nanos kReportCurrent = 1000 * kMillisecond;  // use changes over seconds
-constexpr Nanos kAnswerWait = 100 * kMillisecond;      // a few attempts' time
+// A newer report makes a check unnecessary; use changes within seconds.
+constexpr Nanos kReportCurrent = 1000 * kMillisecond;
+constexpr Nanos kAnswerWait = 100 * kMillisecond;  // a worker answers a few attempts in that time
 constexpr Nanos kLeftAlone = 2 * kSecond;
-constexpr double kMaxPrice = 0.02;     // of a task: what a check saves is some hundredths of its worth
-constexpr std::size_t kMaxChecks = 3;  // for one task
+constexpr double kMaxPrice = 0.02;     // as a share of a task's value: a check saves a few hundredths of it
+constexpr std::size_t kMaxChecks = 3;  // per task
 
 }  // namespace
 
--- a/src/scheduler/health_check.h
+++ b/src/scheduler/health_check.h
@@ -1,10 +1,10 @@
 // Health checks before a placement.
 //
-// Departure from the design (look before placing): among many schedulers a worker's state is seldom known
-// when it is selected. So a worker not heard from lately is checked first, and the task waits that long; the
-// selection is then made anew by what the worker says. One that does not answer is left alone for a while.
-// Guards against workers that are slow, shared, crowded, standing still, cut off or dead before the endpoint
-// list says so.
+// Departure from the design (health check before a placement): with many schedulers, one of them seldom knows
+// the current state of the worker that it selects. So a worker without a recent report is sent a health check
+// first; the task waits for the answer, and a worker is then selected anew with what the report says. A
+// worker that does not answer is skipped for a while. Guards against workers that are slow, shared, crowded,
+// stalled, unreachable or dead before the endpoint list shows it.
 #pragma once
 #include "whinpost/decision_handler.h"
 #include "whinpost/scheduler_settings.h"
@@ -17,10 +17,10 @@
 public:
     HealthChecks(const WorkerAcceptance&, const Prices&);
 
-    // It was sent a check lately and has not answered within the usual time.
+    // Whether the worker was recently sent a health check whose answer is overdue.
     bool is_overdue(Nanos now, const Worker&) const;
-    // True if the worker is to be checked before the task is placed there; the task then waits, and the check
-    // is sent through the handler unless one is on its way.
+    // True if the worker must be checked before the task is placed there. The task is then delayed, and a
+    // check is sent through the handler unless one is already in flight.
     [[nodiscard]] bool check_first(Nanos now, Task&, Worker&, DecisionHandler&) const;
     void on_report(Nanos now, Worker& worker) const { worker.health.last_report_at = now; }
 
--- a/src/scheduler/interference_model.cpp
+++ b/src/scheduler/interference_model.cpp
@@ -9,11 +9,12 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr double kStartingSlowdown = 0.003;  // a tenth of the design's: tens of services share a worker
-constexpr double kLearningRate = 0.05;       // the design's coefficient
-constexpr double kPairWeight = 0.2;          // a pair value is mostly its last ten observations
-constexpr double kLeastSlowdown = 0.01;      // the design's floor in the order
-constexpr std::size_t kMaxPairs = 512;       // neighbours known of one service; bounds the tables
+// Initial value of a pair: a tenth of the design's value, as tens of services share a worker.
+constexpr double kStartingSlowdown = 0.003;
+constexpr double kLearningRate = 0.05;       // the design's learning rate
+constexpr double kPairWeight = 0.2;          // a pair value mostly reflects its last ten observations
+constexpr double kLeastSlowdown = 0.01;      // the design's lower bound in placement_order()
+constexpr std::size_t kMaxPairs = 512;       // known neighbours per service; bounds the memory
 constexpr std::size_t kWarmStartsKept = 15;  // enough for a median that one odd start cannot move
 constexpr std::size_t kWarmStartsNeeded = 3;
 constexpr double kLeastCoresWeight = 0.05;
@@ -38,9 +39,10 @@
     return sum + mean_slowdown_ * unknown;
 }
 
-// The part of the load that is not known here is taken out first: among many schedulers one bad report would
-// otherwise put the only known neighbour past the limit everywhere. With one known neighbour the observation
-// teaches the pair's value; with several, the error moves weights; the rest is the worker's.
+// First scales the slowdown to the share of the load that this scheduler placed. With many schedulers, one
+// bad report would otherwise put the only known neighbour above kSlowdownLimit on every worker. One known
+// neighbour: the observation updates the value of the pair. Several: the prediction error updates their
+// weights. The remaining slowdown is attributed to the worker, see OutlierDetection.
 void InterferenceModel::observe(const Task& task, double slowdown) {
     Worker& worker = *task.worker;
     Service& service = *task.service;
--- a/src/scheduler/interference_model.h
+++ b/src/scheduler/interference_model.h
@@ -1,5 +1,5 @@
-// SMORE's interference model: how much a service slows down among the other services of a worker, learned
-// from the slowdown that tasks observe. The design: docs/design.md.
+// The interference model of SMORE, see docs/design.md: predicts how much the other services on a worker slow
+// a service, learned from the slowdown that tasks observe.
 #pragma once
 #include "whinpost/service.h"
 #include "whinpost/task.h"
@@ -7,30 +7,31 @@
 
 namespace whinpost::scheduler {
 
-// The limit on a task's slowdown that the design takes over from the paper.
+// Limit on the expected slowdown of a task, which the design takes from the SMORE paper.
 constexpr double kSlowdownLimit = 0.10;
 
 class InterferenceModel {
 public:
     InterferenceModel();
 
-    void init(Service&) const;  // a new service's starting values
+    void init(Service&) const;  // sets the initial values of a new service
 
-    // Predicted slowdown of a service on a worker: over its known neighbours, the sum of weight times pair
-    // value, and for the load that this scheduler does not know, the average pair value times the share of
-    // the worker that is requested beyond this scheduler's own tasks.
+    // Predicted slowdown of a service on a worker: the sum of weight times pair value over the services that
+    // this scheduler knows there, plus the mean pair value times the share of the worker's cores that is
+    // requested by tasks of other schedulers.
     double predict(const Worker&, const Service&) const;
-    // One observation of the slowdown of a task on its worker.
+    // Learns from one observed slowdown of a task on its worker; 0 is full service.
     void observe(const Task&, double slowdown);
-    // The time from an attempt to the task's run. Warm starts are slowed like anything else by neighbours.
+    // Learns from the time between an attempt and the start of its task. Neighbours slow warm starts as they
+    // slow running tasks, so a late warm start counts as an observed slowdown.
     void observe_start(const Task&, double latency_s);
     void observe_cores(Service&, double cores) const;
 
-    // Tasks of a higher order are placed first: the larger and the less sensitive ones.
+    // Tasks with a higher value are placed first: large tasks, and those less sensitive to neighbours.
     double placement_order(const Task&) const;
 
 private:
-    double mean_slowdown_;  // of all pairs
+    double mean_slowdown_;  // moving average over all pairs
 };
 
 }  // namespace whinpost::scheduler
--- a/src/scheduler/migration.cpp
+++ b/src/scheduler/migration.cpp
@@ -8,9 +8,11 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr double kMinSlowdown = 0.25;    // served four fifths; less is within what a start costs
-constexpr double kMinGain = 1.5;         // times the cost: the gain is an estimate, so it must be clear
-constexpr double kMaxUtilization = 0.8;  // in a fuller fleet a move only carries the crowding elsewhere
+// Corresponds to four fifths of full service; the gain from a smaller slowdown does not pay for a start.
+constexpr double kMinSlowdown = 0.25;
+constexpr double kMinGain = 1.5;  // times the cost; a margin, because the gain is an estimate
+// In a fuller fleet, a migration only moves the overload to another worker.
+constexpr double kMaxUtilization = 0.8;
 constexpr Nanos kCheckInterval = kSecond;
 constexpr double kLeastColdStartS = 1.0;
 
--- a/src/scheduler/migration.h
+++ b/src/scheduler/migration.h
@@ -1,9 +1,10 @@
-// Whether a running task is moved to another worker.
+// Decides whether a running task is moved to another worker.
 //
-// Departure from the design (migration): a placement is for life, but the worker may turn bad after it: its
-// tasks use more, another program shares it, it slows. Where a report says so, the task is moved if what is
-// won, in seconds of service, is worth more than the stated price. Only idempotent ones: a moved task has
-// run. Could waste starts where the trouble is about to end.
+// Departure from the design (migration): in the design a task stays where it was placed, but its worker may
+// get worse later: its tasks use more, another program shares the machine, or it slows down. When a report
+// shows this, the task is moved if the gain, in seconds of service, is worth more than the configured price.
+// Only idempotent tasks are moved, because a moved task is run again. Could waste starts when the cause is
+// about to end.
 #pragma once
 #include <random>
 
@@ -16,8 +17,9 @@
 public:
     explicit Migration(const Prices& prices) : price_(prices.migrations) {}
 
-    // Called after each report of how a task is served. It answers for about one task a second of each
-    // worker: a scheduler acts with the chance of its part of the worker's load, drawn from `random`.
+    // Called after each service share report. Of a worker's tasks, about one a second is considered by all
+    // schedulers together: each considers its own with a probability equal to its share of the worker's
+    // requested cores, drawn from `random`.
     [[nodiscard]] bool should_migrate(Nanos now, const Task&, double fleet_utilization,
                                       std::ranlux24_base& random) const;
 
--- a/src/scheduler/outlier_detection.cpp
+++ b/src/scheduler/outlier_detection.cpp
@@ -21,18 +21,22 @@
 namespace scheduler {
 namespace {
 
-constexpr double kLateStart = 2.5;  // times the slow fifth of starts; less avoids workers on quiet days
-constexpr Nanos kResidualHalfLife = 3 * kSecond;  // reports come once a second: three missed halve it
+// A start is late from this multiple of the 80th percentile of start latency. A lower value avoids healthy
+// workers at low load.
+constexpr double kLateStart = 2.5;
+// Reports come once a second, so three missed reports halve the value.
+constexpr Nanos kResidualHalfLife = 3 * kSecond;
 constexpr double kOutlierFailureRate = 0.2;
-// Four steps down for each step up: these settle where a fifth of the starts take longer.
+// Factors that make a value follow the 80th percentile: four steps down about cancel one step up, so it
+// settles where one start in five takes longer.
 constexpr double kUsualStartUp = 1.16, kUsualStartDown = 1 / 1.04;
 
 std::size_t group_index(const Task& task) { return static_cast<std::size_t>(task.request.queue_group); }
 
 }  // namespace
 
-// Guards against workers that fail starts, of one queue group or all, stand still, are cut off or lose what
-// they hold; heals as the counters turn over.
+// Guards against workers that fail to start tasks of one or all queue groups, are stalled or unreachable, or
+// lose their tasks. Heals as old failures leave the sliding window.
 double OutlierDetection::failure_rate(Nanos now, Worker& worker, std::size_t queue_group) const {
     const double failed = worker.outlier.failed_attempts[queue_group].sum(now);
     if (failed <= 0) return 0;
@@ -51,8 +55,8 @@
     return residual;
 }
 
-// Late starts are seen by each scheduler for itself, but all must come to the same active set: they do not
-// count here.
+// Late starts are ignored here: each scheduler observes only its own, but all must compute the same active
+// set.
 bool OutlierDetection::is_healthy(Nanos now, Worker& worker, std::size_t queue_groups) const {
     bool healthy = !reports_pressure_ || residual_slowdown(now, worker) < kSlowdownLimit;
     for (std::size_t group = 0; group < queue_groups; ++group)
@@ -64,19 +68,19 @@
     return 2 * group_index(task) + (task.warm_start ? 1 : 0);
 }
 
-// Departure from the design (late starts): where no report says how a task is served, what a start takes far
-// beyond the usual one of its queue group stands in for the worker's own slowdown. Guards against slow and
-// shared workers; those that warm up are slow by nature. One odd start could keep tasks off a worker for some
-// seconds.
+// Departure from the design (late starts): if workers do not report service shares, a start that takes far
+// longer than usual in its queue group counts as a slowdown of the worker. Guards against slow and shared
+// workers. Workers that are warming up are excluded, as their starts are expected to be slow. One unusual
+// start could keep tasks off a worker for some seconds.
 double OutlierDetection::late_start_slowdown(const Task& task, Nanos now) const {
     const double usual = usual_start_s_[start_slot(task)];
     if (usual <= 0 || slow_start_.is_warming_up(task.sent_at, *task.worker)) return 0;
     return std::clamp(to_seconds(now - task.sent_at) / (kLateStart * usual) - 1, 0.0, 1.0);
 }
 
-// Guards against whatever slows a worker and no neighbour explains: a slow or shared worker, tasks that
-// suddenly use more, crowding by other schedulers' tasks. Decays by itself; could keep tasks off a worker
-// that has healed.
+// Guards against slowdown that no known neighbour explains: a slow or shared worker, tasks that suddenly use
+// more, or crowding by tasks of other schedulers. Heals as the value decays; could keep tasks off a worker
+// that has already recovered.
 void OutlierDetection::on_residual_slowdown(Nanos now, Worker& worker, double slowdown) const {
     worker.outlier.residual_slowdown = slowdown;
     worker.outlier.residual_slowdown_at = now;
@@ -90,14 +94,15 @@
     Worker& worker = *task.worker;
     const double late = late_start_slowdown(task, now), old = residual_slowdown(now, worker);
     on_residual_slowdown(now, worker, late > old ? late : moving_average(old, late, 0.5));
-    // Follows the slow fifth: a start that looks cold here may be warm by another scheduler's task.
+    // A high percentile and not the mean, because a start that counts as cold here may be warm: a task of the
+    // service from another scheduler may run there.
     double& usual = usual_start_s_[start_slot(task)];
     usual = usual > 0 ? usual * (latency_s > usual ? kUsualStartUp : kUsualStartDown) : latency_s;
 }
 
-// Guards against tasks that no worker can run: what fails on a second worker speaks against itself, and its
-// first failure is taken back. Otherwise a few bad clients make all workers look as if they failed. Could
-// hide two failing workers that the same task met.
+// Guards against tasks that fail on every worker: the second failure of a task is attributed to the task, and
+// its first failure is no longer counted against the worker. Otherwise a few clients with faulty tasks would
+// make all workers look unhealthy. Could hide two failing workers that the same task was placed on.
 void OutlierDetection::on_task_failed(Nanos now, Task& task, Worker& worker) const {
     const std::size_t group = group_index(task);
     if (!task.first_failed_on) {
--- a/src/scheduler/outlier_detection.h
+++ b/src/scheduler/outlier_detection.h
@@ -1,4 +1,5 @@
-// Outlier detection: how much worse a worker serves than its load and its neighbours explain.
+// Outlier detection: finds workers that fail more attempts, or slow their tasks more, than load and
+// neighbours explain.
 #pragma once
 #include <cstddef>
 #include <vector>
@@ -11,26 +12,26 @@
 
 class OutlierDetection {
 public:
-    // reports_pressure: workers report how tasks are served; where they do not, late starts stand in for it.
-    // The slow start must outlive this.
+    // reports_pressure: whether workers report service shares; if not, late starts are used in their place.
+    // The SlowStart must outlive this object.
     OutlierDetection(std::size_t queue_groups, bool reports_pressure, const SlowStart& slow_start)
         : reports_pressure_(reports_pressure), slow_start_(slow_start), usual_start_s_(2 * queue_groups) {}
 
-    // The share of this scheduler's recent attempts of a queue group on a worker that went wrong, as if one
-    // more had started.
+    // Failed share of this scheduler's recent attempts of a queue group on a worker, computed as if one more
+    // had started.
     double failure_rate(Nanos now, Worker&, std::size_t queue_group) const;
-    // The slowdown, beyond the predicted, that was observed on a worker. It decays.
+    // Slowdown observed on a worker in excess of the prediction. It decays over time.
     double residual_slowdown(Nanos now, const Worker&) const;
-    // Whether neither the residual slowdown nor any queue group's failure rate makes it an outlier.
+    // False if the residual slowdown or the failure rate of any queue group makes the worker an outlier.
     bool is_healthy(Nanos now, Worker&, std::size_t queue_groups) const;
 
     void on_residual_slowdown(Nanos now, Worker&, double slowdown) const;
     void on_started(Nanos now, const Task&) const;
-    // The time from an attempt to the task's run; told where workers do not report how tasks are served.
+    // Time from an attempt to the start of its task. Only called if workers do not report service shares.
     void on_start_latency(Nanos now, const Task&, double latency_s);
-    // The task ran into an error, which may be its own fault.
+    // The attempt ended as AttemptOutcome::failed, for which the worker or the task may be the cause.
     void on_task_failed(Nanos now, Task&, Worker&) const;
-    // An attempt ended in a way that speaks against its worker only.
+    // The attempt ended in a way that only the worker can have caused.
     void on_worker_fault(Nanos now, const Task&, Worker&) const;
     void on_restarted(Worker&) const;
 
@@ -40,7 +41,7 @@
 
     const bool reports_pressure_;
     const SlowStart& slow_start_;
-    // The slow fifth of start latencies, by queue group, without and with the program loaded.
+    // 80th percentile of start latency in seconds, by queue group, without and with the program loaded.
     std::vector<double> usual_start_s_;
 };
 
--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -8,9 +8,11 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr double kGiveUpShare = 0.5;  // of the queue timeout
-constexpr double kAnswerFactor = 8;   // times the usual answer: a hasty timeout leaves a second copy
-constexpr double kStartShare = 0.6;   // of the time left, where the answer comes with the task's run
+constexpr double kGiveUpShare = 0.5;  // share of the queue timeout
+// Multiple of the mean answer time. An early timeout may leave a second copy of the task running.
+constexpr double kAnswerFactor = 8;
+// Share of the time left that an attempt gets at least, if workers accept it only when its task runs.
+constexpr double kStartShare = 0.6;
 constexpr double kLeastTimeoutS = 0.4;
 
 bool proves_not_run(AttemptOutcome outcome) {
@@ -22,7 +24,7 @@
     return now - task.first_possible_run_at >= task.queue_group->deduplication_window;
 }
 
-// Whether two workers drop repeats that the other has run.
+// Whether both workers are in the same failure domain of this size.
 bool shares_keys(FailureDomain domain, const Worker& first, const Worker& second) {
     switch (domain) {
         case FailureDomain::worker:
@@ -38,8 +40,8 @@
     return true;
 }
 
-// Tasks of the task's service in the worker's failure domain. Workers that left the endpoint list may still
-// have some.
+// Number of tasks of the task's service in the worker's failure domain. Workers that left the endpoint list
+// count, as they may still run tasks.
 int tasks_in_domain(const Task& task, const Worker& worker, FailureDomain domain) {
     int count = 0;
     for (Worker* other : task.service->workers)
@@ -77,7 +79,7 @@
     return false;
 }
 
-// Only while no attempt may have run, or where any worker would drop the repeat.
+// A rejection is safe if no attempt can have run, or if a repeated run has no effect on any worker.
 bool RetryPolicy::may_reject(const Task& task) const {
     const QueueGroup& group = *task.queue_group;
     if (group.effect == Effect::idempotent) return true;
@@ -86,8 +88,9 @@
            (group.effect == Effect::keyed && group.deduplicated_by == FailureDomain::all);
 }
 
-// An attempt that says nothing is given up so that another still fits, but never before many times the usual
-// answer. A task whose repeat could do harm waits for its queue timeout.
+// An attempt without an answer times out early enough for another one, but not before kAnswerFactor times the
+// mean answer time. If less than 30% of the time would be left for the other, or a repeated run could do
+// harm, the timeout is all the time left.
 Nanos RetryPolicy::attempt_timeout(Nanos now, const Task& task, double usual_answer_s) const {
     const Nanos left = task.deadline - now;
     if (task.queue_group->effect == Effect::side_effecting || task.attempts + 1 >= max_attempts_) return left;
--- a/src/scheduler/scheduler_config.h
+++ b/src/scheduler/scheduler_config.h
@@ -1,4 +1,4 @@
-// The settings that the scheduler was constructed with. They never change.
+// The settings that the scheduler was constructed with. They do not change afterwards.
 #pragma once
 #include <vector>
 
--- a/src/scheduler/scheduler_core.cpp
+++ b/src/scheduler/scheduler_core.cpp
@@ -9,10 +9,11 @@
 namespace whinpost {
 namespace {
 
-constexpr Nanos kRoundInterval = 40 * kMillisecond;  // to the next round: a small part of a start objective
+// Delay until a task without a worker is tried again; a small part of a start objective.
+constexpr Nanos kRoundInterval = 40 * kMillisecond;
 constexpr Nanos kLeastWait = kMillisecond;
 
-// The engine's seed has fewer bits.
+// Folds the seed into the fewer bits that the random engine takes.
 std::ranlux24_base::result_type folded(std::uint64_t seed) {
     return static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48));
 }
@@ -142,7 +143,7 @@
     return ordered;
 }
 
-// True if an attempt was sent, or a health check that comes first.
+// True if an attempt was sent, or a health check that must be answered first.
 bool SchedulerCore::try_to_place(Nanos now, Task& task) {
     using scheduler::SelectionScope;
     Worker* worker = candidates_.select(now, task, SelectionScope::active_set);
--- a/src/scheduler/scheduler_core.h
+++ b/src/scheduler/scheduler_core.h
@@ -1,5 +1,5 @@
-// Ties the scheduler's modules together: owns them, the tasks and the queue, and runs the rounds. It keeps no
-// tuned value of a module's matters.
+// Owns the scheduler's modules, the tasks and the queue, and runs the scheduling rounds. Constants that tune
+// a module belong to that module.
 #pragma once
 #include <cstdint>
 #include <list>
@@ -26,7 +26,8 @@
 
 namespace whinpost {
 
-// The contract of each public function is that of Scheduler's, or Task's, of the same name.
+// Each public function implements the function of the same name of Scheduler or Task, and is documented
+// there.
 class SchedulerCore {
 public:
     SchedulerCore(DecisionHandler&, std::uint64_t seed, scheduler::SchedulerConfig);
@@ -88,7 +89,7 @@
     scheduler::CandidateSelection candidates_;
     std::list<Service> services_;
     std::list<std::unique_ptr<Task>> tasks_;
-    std::list<Task*> queue_;  // tasks without an attempt in flight, in the order of their entry
+    std::list<Task*> queue_;  // tasks without an attempt in flight, in the order in which they were queued
     Nanos last_round_at_ = 0, next_wake_at_ = 0;
 };
 
--- a/src/scheduler/slow_start.cpp
+++ b/src/scheduler/slow_start.cpp
@@ -5,14 +5,15 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr Nanos kTurnGap = 50 * kMillisecond;  // the slack that the time limits of the five rules have
+// As long as the tolerance that the placement rules have in their time limits.
+constexpr Nanos kTurnGap = 50 * kMillisecond;
 constexpr std::uint64_t kHashRange = 1'000'003;
 
 }  // namespace
 
-// Nothing is dealt out at the start of a turn, for as long as an attempt may be on its way and clocks may
-// differ: what leaves at the end of one turn, in the next, and at the start of the third could otherwise
-// arrive within one window.
+// Nothing is distributed at the start of a turn, for the time that attempts may travel and clocks may differ.
+// Otherwise attempts sent at the end of one turn, during the next and at the start of the third could arrive
+// within one window.
 std::int64_t SlowStart::tokens(const SlowStartSettings& settings, std::uint64_t name_hash, Nanos now) {
     if (now % settings.window < std::min(kTurnGap, settings.window / 8)) return 0;
     const std::int64_t schedulers = settings.placers;
@@ -24,8 +25,10 @@
 
 bool SlowStart::allows(Nanos now, Worker& worker) const {
     WorkerSlowStart& state = worker.slow_start;
-    if (state.admission_tokens >= 0) return state.admission_tokens > 0;  // the worker knows best
-    // A scheduler that restarted in this turn has forgotten what it sent before, and may have sent its share.
+    // The worker's own grant takes precedence.
+    if (state.admission_tokens >= 0) return state.admission_tokens > 0;
+    // A scheduler that restarted in this turn does not know what it sent before, which may be its whole
+    // share.
     if (started_at_ && now / settings_.window == started_at_ / settings_.window) return false;
     return state.recent_attempts.sum(now, 1) < static_cast<double>(tokens(settings_, worker.name_hash, now));
 }
--- a/src/scheduler/slow_start.h
+++ b/src/scheduler/slow_start.h
@@ -1,10 +1,11 @@
-// Slow start: how many attempts a worker may get while it warms up.
+// Slow start: limits the attempts that a worker may get while it is warming up.
 //
-// All schedulers together may send a stated number of attempts to such a worker in any window. Time is cut
-// into turns as long as a window, which overlaps two of them at most, so half of that number is dealt out in
-// each turn: the schedulers stand in a circle that moves on by one each turn; the one at position p gets what
-// the running total of the half gains from p to p + 1. Guards against any rush to a worker that warms up, by
-// however many schedulers at once. It needs clocks that agree to a part of the window.
+// All schedulers together may send a configured number of attempts to such a worker in any window. Time is
+// divided into turns of one window each. A window overlaps at most two turns, so half of that number is
+// distributed in each turn. The schedulers form a circle that rotates by one position each turn; with n
+// schedulers, the one at position p gets floor((p + 1) * half / n) - floor(p * half / n) attempts. Guards
+// against bursts of attempts to a worker that is warming up, from any number of schedulers at once. Requires
+// clocks that agree to within a fraction of the window.
 #pragma once
 #include <cstdint>
 
@@ -18,7 +19,7 @@
 public:
     explicit SlowStart(const SlowStartSettings& settings) : settings_(settings) {}
 
-    // What this scheduler may send, in the turn of `now`, to the worker of that hash.
+    // Number of attempts that this scheduler may send to the worker with this name hash in the turn of `now`.
     static std::int64_t tokens(const SlowStartSettings&, std::uint64_t name_hash, Nanos now);
 
     void start(Nanos now) { started_at_ = now; }  // when this scheduler started
@@ -26,7 +27,7 @@
         return worker.endpoint.started_at > 0 &&
                now - worker.endpoint.started_at < settings_.warm_up_time + settings_.window;
     }
-    // Whether one more attempt may be sent to a worker that warms up.
+    // Whether one more attempt may be sent to a worker that is warming up.
     bool allows(Nanos now, Worker&) const;
     void on_attempt_sent(Nanos now, Worker&) const;
 
--- a/src/scheduler/task_events.cpp
+++ b/src/scheduler/task_events.cpp
@@ -1,4 +1,4 @@
-// What workers and clients report of a task, passed to the modules that learn from it.
+// Events of a task that workers and clients report, passed on to the modules that learn from them.
 #include <algorithm>
 
 #include "scheduler/colocation.h"
@@ -12,7 +12,7 @@
 constexpr double kLeastShare = 0.05;
 constexpr double kRuntimeWeight = 0.1;
 
-// Whether the outcome of an attempt speaks against its worker or its task.
+// Whether the outcome of an attempt counts as a failure of its worker or its task.
 bool is_failure(AttemptOutcome outcome, OutcomeReason reason, bool was_accepted) {
     switch (outcome) {
         case AttemptOutcome::failed:
@@ -33,9 +33,9 @@
 
 }  // namespace
 
-// Guards against what a scheduler that stood still would learn from it: all that came meanwhile is told at
-// once, and says nothing of how long workers took. Seldom true without a stall: some report comes in each
-// second.
+// Whether the scheduler itself was stalled. Events of that time are then all delivered at once, and do not
+// show how long workers took. Guards against learning from such delays. Seldom true without a stall, as some
+// report arrives every second.
 bool SchedulerCore::was_stalled(Nanos now) const { return now - last_round_at_ > kStall; }
 
 void SchedulerCore::on_accepted(Nanos now, Task& task) {
@@ -98,7 +98,7 @@
     double& mean = task.service->mean_runtime_s;
     mean = scheduler::moving_average(mean > 0 ? mean : runtime_s, runtime_s, kRuntimeWeight);
     if (config_.acceptance.reports_pressure && !task.has_service_report && task.running)
-        interference_.observe(task, 0);  // no report in its life: it was served in full
+        interference_.observe(task, 0);  // a task without a service share report had full service
 }
 
 void SchedulerCore::on_attempt_rejected(Nanos now, Task& task, Worker& worker, OutcomeReason reason) {
--- a/src/scheduler/watch_retry.cpp
+++ b/src/scheduler/watch_retry.cpp
@@ -7,7 +7,7 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr Nanos kFirstBackoff = 500 * kMillisecond;  // about the usual timeout of a call
+constexpr Nanos kFirstBackoff = 500 * kMillisecond;  // about the usual timeout of a request
 
 }  // namespace
 
