--- a/include/whinpost/nanos.h
+++ b/include/whinpost/nanos.h
@@ -1,4 +1,5 @@
-// The time type of every package: nanoseconds of a clock that the caller chooses and passes in.
+// The time type of all packages: nanoseconds of a clock that the caller chooses. Functions get the time as an
+// argument.
 #pragma once
 #include <cstdint>
 
--- a/include/whinpost/scheduler.h
+++ b/include/whinpost/scheduler.h
@@ -1,7 +1,7 @@
-// The scheduler of one process: it decides which worker runs which task. It knows no wire, no clock and no
-// thread: the embedder passes the time and reports what endpoint lists, workers and clients say, by calls on
-// Scheduler and on its Task handles; then it calls run_round() once for each moment. Decisions leave through
-// DecisionHandler. The design: docs/design.md.
+// The scheduler of one process, which decides which worker runs which task. It uses no network, clock or
+// threads. The embedder passes the time, and reports events of the endpoint list, workers and clients by
+// calls on Scheduler and its Task handles; after all events of one point in time it calls run_round().
+// Decisions are passed to DecisionHandler. The design: docs/design.md.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -23,7 +23,8 @@
 
 class SchedulerCore;
 
-// Not thread-safe. Handles keep their addresses and live as long as the scheduler, tasks until remove().
+// Not thread-safe. Handles keep their addresses. They live as long as the scheduler, but tasks only until
+// remove().
 class Scheduler {
 public:
     // The handler must outlive the scheduler. There must be at least one queue group.
@@ -34,31 +35,33 @@
     Scheduler(const Scheduler&) = delete;
     Scheduler& operator=(const Scheduler&) = delete;
 
-    // The hash identifies the worker, or service, alike at every scheduler; see stable_hash().
+    // name_hash must be the same at every scheduler for the same worker or service; see stable_hash().
     Worker& add_worker(std::uint64_t name_hash);
     Service& add_service(std::uint64_t name_hash);
 
     void update_endpoint(Nanos now, Worker&, const EndpointState&);
     void on_watch_event_done(Nanos now, bool complete);  // complete: workers that it did not name are gone
     void on_watch_failed(Nanos now);
-    // Called when a worker tells how many attempts it grants while it warms up; -1: it grants none.
+    // tokens: number of attempts that a worker grants this scheduler while it is warming up; -1: it grants
+    // none.
     void set_admission_tokens(Worker&, int tokens);
     void on_load_report(Nanos now, Worker&, const LoadReport&);  // the answer to a health check
 
-    void start(Nanos now);  // once the first endpoint list is in
+    void start(Nanos now);  // after the first endpoint list
     Task& submit(Nanos now, Service&, const ResourceRequest&, std::uint64_t tag);
-    // A task that runs on this worker already, from before a restart.
+    // Adds a task that already runs on this worker, from before a restart of the scheduler.
     Task& adopt(Nanos now, Service&, const ResourceRequest&, Worker&, std::uint64_t tag);
-    void remove(Task&);         // only once it is finished()
-    void run_round(Nanos now);  // after the events of one moment
+    void remove(Task&);         // only if it is finished()
+    void run_round(Nanos now);  // after all events of one point in time
 
-    // For readers and tests.
+    // For diagnostics and tests.
     double predicted_slowdown(const Worker&, const Service&) const;
     bool may_place(Nanos now, const Task&, const Worker&) const;
     bool may_reject(const Task&) const;
 
-    // How many attempts this scheduler may send, in the window that `now` falls into, to the worker of that
-    // hash while it warms up. Over all schedulers and any two windows they are no more than a worker bears.
+    // Number of attempts that this scheduler may send, in the window of `now`, to the worker with this name
+    // hash while it is warming up. Summed over all schedulers and any two consecutive windows, it is at most
+    // SlowStartSettings::guaranteed_attempts.
     static std::int64_t slow_start_tokens(const SlowStartSettings&, std::uint64_t name_hash, Nanos now);
 
 private:
--- a/include/whinpost/scheduler_settings.h
+++ b/include/whinpost/scheduler_settings.h
@@ -4,14 +4,14 @@
 
 namespace whinpost {
 
-// How workers accept tasks, and what the amounts they report as free are free of.
+// How workers accept tasks, and what the free amounts in their reports mean.
 struct WorkerAcceptance {
     double cores_overcommit = 1, memory_overcommit = 1;
-    bool reports_use = false;  // free means not in use; otherwise not requested
+    bool reports_use = false;  // free amounts are those not in use; otherwise those not requested
     bool health_checks = false;
-    bool accepts_when_running = false;  // otherwise the answer comes before the task runs
+    bool accepts_when_running = false;  // otherwise they accept an attempt before the task runs
     bool preempts = false;
-    bool reports_pressure = true;  // workers report service shares and their memory pressure
+    bool reports_pressure = true;  // workers report service shares and memory pressure
 };
 
 struct SlowStartSettings {
@@ -19,8 +19,9 @@
     Nanos warm_up_time = 0;
     double overload_factor = 1;
     Nanos window = 0;
-    double guaranteed_attempts = 0;     // attempts in a window, of all schedulers, that a worker always bears
-    int placers = 1, placer_index = 0;  // the number of schedulers, and the index of this one
+    // Attempts per window from all schedulers together that a worker can always handle.
+    double guaranteed_attempts = 0;
+    int placers = 1, placer_index = 0;  // number of schedulers, and index of this one
 };
 
 struct DiscoverySettings {
--- a/include/whinpost/sliding_counter.h
+++ b/include/whinpost/sliding_counter.h
@@ -1,4 +1,4 @@
-// A sum over the latest time buckets.
+// A sum over the most recent time buckets.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -6,8 +6,8 @@
 
 namespace whinpost {
 
-// Time is cut into buckets of one width; amounts older than `Buckets` of them are forgotten. `now` must not
-// be negative.
+// Time is divided into buckets of equal width. Only amounts in the latest `Buckets` of them count. `now` must
+// not be negative.
 template <int Buckets>
 class SlidingCounter {
 public:
@@ -19,7 +19,7 @@
         buckets_[slot(epoch_)] += amount;
     }
 
-    // The amounts in the newest `buckets` at `now`, by default in all.
+    // The sum of the latest `buckets` buckets at `now`, by default of all.
     double sum(std::int64_t now, int buckets = Buckets) {
         if (!not_empty_) return 0;
         advance(now);
@@ -49,7 +49,7 @@
 
     std::int64_t width_;
     std::int64_t epoch_ = 0;
-    bool not_empty_ = false;  // something was counted since all buckets were empty
+    bool not_empty_ = false;  // add() was called since all buckets were empty
     std::array<double, Buckets> buckets_{};
 };
 
--- a/include/whinpost/task.h
+++ b/include/whinpost/task.h
@@ -1,4 +1,4 @@
-// The handle of one task: whatever happens to it after it was submitted is a call on this.
+// The handle of one task. Events after its submission are reported by calls on it.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,35 +17,35 @@
 struct Service;
 struct Worker;
 
-// `attempt` counts from 0. A call about a task that has no attempt in flight changes nothing.
+// `attempt` counts from 0. An event of an attempt is ignored if the task has no worker.
 class Task {
 public:
     void on_accepted(Nanos now, int attempt);
-    void on_running(Nanos now, int attempt);  // it runs, where it was accepted earlier
+    void on_running(Nanos now, int attempt);  // the task runs, after an earlier acceptance
     void on_cores_used(Nanos now, int attempt, double cores);
     void on_memory_used(Nanos now, int attempt, double memory);
-    // The share of the asked service that it gets, 1 for all of it.
+    // The share of the requested service that the task gets; 1 is full service.
     void on_service_share(Nanos now, int attempt, double share);
     // The share of its worker's memory that is in use.
     void on_worker_memory(Nanos now, int attempt, double share);
-    // closed: no further answer is owed, so that it is not tried again.
+    // closed: the task needs no further answer, so it is not retried.
     void on_attempt_ended(Nanos now, int attempt, AttemptOutcome, OutcomeReason, bool closed,
                           const LoadReport&);
-    void cancel(Nanos now);  // its client does not want it any more
-    // Nothing more can come of it: it may be passed to Scheduler::remove().
+    void cancel(Nanos now);  // its client no longer wants it
+    // True if no more events can follow, and the task may be passed to Scheduler::remove().
     bool finished() const { return settled && !worker; }
 
     // Plain state for embedders and tests to read.
-    std::uint64_t tag = 0;  // the embedder's own
+    std::uint64_t tag = 0;  // for use by the embedder
     ResourceRequest request;
     Service* service = nullptr;
     const QueueGroup* queue_group = nullptr;
     Nanos submitted_at = 0, deadline = 0;
-    bool settled = false;   // it has its final answer, or ended
+    bool settled = false;   // it got its final answer, or has ended
     bool accepted = false;  // by the worker of the attempt in flight
     bool running = false, has_service_report = false, warm_start = false;
     int attempts = 0;
-    Worker* worker = nullptr;  // where its attempt is in flight or it runs
+    Worker* worker = nullptr;  // the worker that its attempt was sent to or that runs it, else null
     Nanos sent_at = 0;
     Worker* first_possible_run = nullptr;  // the worker of the first attempt that may have run
     Nanos first_possible_run_at = 0;
@@ -54,8 +54,9 @@
     Nanos not_before = 0;  // no selection before this time
     double order = 0;      // see InterferenceModel::placement_order()
     std::vector<Worker*> rejected_by;
-    Worker* first_failed_on = nullptr;  // the worker of its first attempt that ended in an error
-    bool faulty = false;                // it failed on another worker, too
+    // The worker of its first attempt that ended as AttemptOutcome::failed.
+    Worker* first_failed_on = nullptr;
+    bool faulty = false;  // it failed a second time
 
 private:
     friend class SchedulerCore;
