--- a/simulator_adapter/main.cpp
+++ b/simulator_adapter/main.cpp
@@ -1,4 +1,5 @@
-// whinpost_drill: hosts any number of schedulers on the simulator's wire, on standard input and output.
+// whinpost_drill: runs any number of schedulers for a simulator, which it talks to over standard input and
+// output.
 #include <iostream>
 #include <string>
 
--- a/simulator_adapter/outcome_codes.h
+++ b/simulator_adapter/outcome_codes.h
@@ -1,4 +1,4 @@
-// The simulator's numbers for outcomes and their reasons.
+// The simulator's numeric codes for outcomes and their reasons.
 #pragma once
 #include <cstdint>
 
@@ -6,7 +6,7 @@
 
 namespace whinpost::simulator_adapter {
 
-AttemptOutcome outcome_of(std::int64_t code);        // AttemptOutcome::unknown for any other code
-OutcomeReason outcome_reason_of(std::int64_t code);  // OutcomeReason::unspecified likewise
+AttemptOutcome outcome_of(std::int64_t code);        // AttemptOutcome::unknown for any other
+OutcomeReason outcome_reason_of(std::int64_t code);  // OutcomeReason::unspecified for any other
 
 }  // namespace whinpost::simulator_adapter
--- a/simulator_adapter/scheduler_instance.cpp
+++ b/simulator_adapter/scheduler_instance.cpp
@@ -13,7 +13,7 @@
 
 SchedulerInstance::SchedulerInstance(int number, std::uint64_t seed, const settings::Settings& settings)
     : number_(number) {
-    // One by one, so that the first wrong setting is named in this order.
+    // Read one by one, so that the error names the first invalid setting in this order.
     auto groups = settings::queue_groups(settings);
     auto kinds = settings::worker_kinds(settings);
     const WorkerAcceptance acceptance = settings::worker_acceptance(settings);
@@ -123,7 +123,7 @@
 
 void SchedulerInstance::check_health(Worker& worker) { write("HEALTH_CHECK " + hosts_.at(&worker)); }
 
-// Rounded up: a wake-up before its time would be of no use.
+// Rounded up, because a wake-up before `at` would find nothing due.
 void SchedulerInstance::wake_at(Nanos at) {
     write("WAKE_AT " + std::to_string((at + kMicrosecond - 1) / kMicrosecond) + " 1");
 }
--- a/simulator_adapter/scheduler_instance.h
+++ b/simulator_adapter/scheduler_instance.h
@@ -1,4 +1,4 @@
-// One scheduler of the simulation: names on the wire become its handles, its decisions become lines.
+// One scheduler of the simulation: maps the names in messages to handles, and writes decisions as lines.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -25,7 +25,7 @@
     EndpointState state;
 };
 
-// Without a scheduler until its settings came.
+// Has no scheduler until it is constructed with settings, see is_initialized().
 class SchedulerInstance final : private DecisionHandler {
 public:
     explicit SchedulerInstance(int number) : number_(number) {}
@@ -41,16 +41,17 @@
     // True at the first call since the last round.
     [[nodiscard]] bool mark_active() { return !std::exchange(is_active_, true); }
 
-    // The rest is for initialized instances only; `fields` is the message that is read, for errors.
+    // The functions below require is_initialized(). `fields` is the message being read, which errors name.
     Scheduler& scheduler() { return *scheduler_; }
     void on_endpoints(Nanos now, const std::vector<ListedEndpoint>&, bool complete);
-    Worker& worker(MessageFields& fields);  // the next value, which must have been in a list
+    Worker& worker(MessageFields& fields);  // reads a host, which must have been in an endpoint list
     Service& service(std::string_view name);
     void add_task(const MessageFields&, TransactionId, Task&);
-    // The next value. Null: it finished a short while ago; the message is to be ignored.
+    // Reads a transaction id. Null if its task finished a short while ago, in which case the message is
+    // ignored.
     Task* find_task(MessageFields& fields);
     void drop_if_finished(Nanos now, Task&);
-    // Decides after the events of one batch; gives back its lines since the last call.
+    // Runs a scheduling round after the events of a batch. Returns the lines written since the last call.
     std::string run_round(Nanos now);
 
 private:
@@ -72,16 +73,17 @@
     const int number_;
     std::size_t queue_groups_ = 0, zones_ = 0, kinds_ = 0;
     std::optional<Scheduler> scheduler_;
-    bool is_started_ = false;  // its first endpoint list is in
-    bool is_active_ = false;   // it had messages since the last round
-    // Looked up, never walked.
+    bool is_started_ = false;  // the first endpoint list has arrived
+    bool is_active_ = false;   // it got messages since the last round
+    // Only looked up and never iterated, as their order is unspecified.
     std::unordered_map<std::string, Worker*> workers_;
     std::unordered_map<const Worker*, std::string> hosts_;
     std::unordered_map<std::string, Service*> services_;
     std::unordered_map<TransactionId, Task*> tasks_;
-    std::deque<std::pair<Nanos, TransactionId>> finished_;  // lately: the wire may still name them
+    // Tasks finished recently; messages may still name them.
+    std::deque<std::pair<Nanos, TransactionId>> finished_;
     std::set<TransactionId> finished_ids_;
-    std::vector<TransactionId> answered_;  // in this batch; finished ones are dropped when it ends
+    std::vector<TransactionId> answered_;  // answered in this batch; dropped at its end if finished
     std::string output_;
 };
 
--- a/simulator_adapter/simulator_adapter.cpp
+++ b/simulator_adapter/simulator_adapter.cpp
@@ -14,7 +14,7 @@
 constexpr std::int64_t kMaxInstance = 1'000'000, kMaxPoolEntries = 10'000'000;
 // Bits of a task's `state_bits`.
 constexpr std::int64_t kRuntimeIsKnown = 1, kIsRetry = 16;
-// Values of a signal's `what`.
+// Values of the field `what` of SIGNAL.
 enum class SignalKind : std::int64_t { running = 1, cores_used, memory_used, service_share, worker_memory };
 
 EndpointPhase phase_of(const MessageFields& fields, std::string_view stage) {
@@ -24,7 +24,7 @@
     fields.fail("stage_state", "names no known stage");
 }
 
-// What the bits say of the request that was read before them.
+// Applies `state_bits` to a request whose other fields have been read.
 void apply_state_bits(ResourceRequest& request, std::int64_t bits) {
     if (!(bits & kRuntimeIsKnown)) request.expected_runtime = 0;
     request.is_retry = bits & kIsRetry;
@@ -138,7 +138,7 @@
     active_instance(fields);
 }
 
-// The scheduler's process was killed: what it still had to say is lost.
+// The scheduler's process was killed, so its pending output is discarded.
 void SimulatorAdapter::on_down(MessageFields& fields) {
     replace_instance(std::make_unique<SchedulerInstance>(current_instance(fields).number()));
 }
@@ -225,7 +225,7 @@
     const auto kind = static_cast<SignalKind>(fields.integer("what"));
     const double value = fields.real_or("x", 0);
     if (!task) return;
-    switch (kind) {  // others are to be ignored
+    switch (kind) {  // other values are ignored
         case SignalKind::running:
             return task->on_running(now_, attempt);
         case SignalKind::cores_used:
@@ -263,7 +263,7 @@
 }
 
 void SimulatorAdapter::on_timer(MessageFields& fields) {
-    active_instance(fields);  // which then decides
+    active_instance(fields);  // so that it runs a round at the end of the batch
     fields.integer("key_back");
 }
 
@@ -276,7 +276,7 @@
     if (answered) instance.scheduler().on_load_report(now_, worker, report);
 }
 
-// Schedulers share nothing: there is nothing to read.
+// Schedulers do not exchange messages, so the content is ignored.
 void SimulatorAdapter::on_datagram(MessageFields& fields) { active_instance(fields); }
 
 }  // namespace whinpost::simulator_adapter
--- a/simulator_adapter/simulator_adapter.h
+++ b/simulator_adapter/simulator_adapter.h
@@ -1,4 +1,5 @@
-// The simulator's wire: batches of lines become calls on scheduler instances, their lines the reply.
+// The simulator's protocol: the lines of a batch become calls on scheduler instances, and the lines that the
+// instances write become the reply.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -16,9 +17,9 @@
 
 class SimulatorAdapter {
 public:
-    // The stream must outlive this.
+    // The stream must outlive this object.
     explicit SimulatorAdapter(std::ostream& output) : output_(output) {}
-    // False once the session is over: the reply then ended with an EXCEPTION.
+    // False if the line ended the session; its reply then contains an EXCEPTION line.
     [[nodiscard]] bool on_line(std::string_view line);
 
 private:
@@ -34,7 +35,7 @@
     void write_exception(std::string_view problem);
 
     SchedulerInstance& current_instance(const MessageFields&);
-    // The current instance, which then decides at the end of the batch.
+    // The current instance, marked to run a scheduling round at the end of the batch.
     SchedulerInstance& active_instance(const MessageFields&);
     void replace_instance(std::unique_ptr<SchedulerInstance>);
     LoadReport read_load_report(MessageFields&) const;
@@ -59,11 +60,11 @@
     std::ostream& output_;
     Nanos now_ = 0;
     std::map<int, std::unique_ptr<SchedulerInstance>> instances_;
-    SchedulerInstance* current_ = nullptr;    // that the next messages are for
-    std::vector<SchedulerInstance*> active_;  // had messages in this batch, in this order
+    SchedulerInstance* current_ = nullptr;    // the instance that the next messages are for
+    std::vector<SchedulerInstance*> active_;  // instances that got messages in this batch, in order
     std::array<std::vector<ListedEndpoint>, 16> sheets_;
-    std::size_t sheet_ = 0;         // that the next entries are for
-    std::int64_t entries_due_ = 0;  // of the pool that is being read
+    std::size_t sheet_ = 0;         // the sheet that the next pool entries belong to
+    std::int64_t entries_due_ = 0;  // entries of the current POOL that have not come yet
 };
 
 }  // namespace whinpost::simulator_adapter
