--- a/tests/active_set_test.cpp
+++ b/tests/active_set_test.cpp
@@ -1,4 +1,4 @@
-// The active set: the fewest workers that hold the present load.
+// The active set: the smallest set of workers that holds the present load.
 #include "scheduler/active_set.h"
 
 #include <algorithm>
@@ -9,7 +9,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("all schedulers choose the same active set, whatever each has just placed") {
+TEST_CASE("all schedulers choose the same active set, whatever tasks each has placed") {
     Prices prices;
     prices.workers_in_use = 0.25;
     SchedulerRig first({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, {2.5, 1.5}, prices),
@@ -31,7 +31,7 @@
     CHECK((working > 0 && working < 10));
 }
 
-TEST_CASE("the fullest workers that hold the load are active, and one more for each task without a worker") {
+TEST_CASE("the fullest workers that hold the load are active, and one more for two seconds after widen()") {
     scheduler::SchedulerConfig config;
     config.groups = {QueueGroup{}};
     config.kinds = {{16, 32}};
--- a/tests/candidate_selection_test.cpp
+++ b/tests/candidate_selection_test.cpp
@@ -6,7 +6,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("every scheduler draws a service's candidates alike, whatever order it met the workers in") {
+TEST_CASE("all schedulers draw the same candidates for a service, whatever order workers were added in") {
     SchedulerRig first, second;
     for (std::uint64_t i = 0; i < 40; ++i) {
         first.list(first.scheduler.add_worker(i), {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
@@ -22,7 +22,7 @@
     CHECK(chosen.size() > 20);  // services spread over the fleet
 }
 
-TEST_CASE("a mild queue group leaves the workers of a sensitive one to it") {
+TEST_CASE("a tolerant queue group avoids loaded workers of the kind that a sensitive queue group needs") {
     QueueGroup mild, sensitive;
     mild.degradation_range = 1;
     sensitive.full_service_utilization = 0.8;
@@ -39,7 +39,7 @@
     }
 }
 
-TEST_CASE("a service gathers where it runs while there is room, and crosses no zone without need") {
+TEST_CASE("a service's tasks gather on one worker while it has room, in the scheduler's own zone") {
     QueueGroup group;
     group.start_value_s = 10;
     Prices prices;
--- a/tests/capacity_test.cpp
+++ b/tests/capacity_test.cpp
@@ -1,4 +1,4 @@
-// Capacity: the load that a worker is taken to hold, its rejections, and the answers that it owes.
+// Capacity: a worker's estimated load, its recent rejections and its unanswered attempts.
 #include "scheduler/capacity.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("a silent worker gets few attempts, and a full queue halves what it may have waiting") {
+TEST_CASE("unanswered attempts per worker are limited, and a rejection as queue_full halves the limit") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -17,10 +17,10 @@
     rig.end_attempt(*rig.decisions.front().task, AttemptOutcome::rejected, OutcomeReason::queue_full);
     CHECK(worker.capacity.queue_limit == 4);
     rig.advance(kSecond);
-    CHECK(worker.capacity.unanswered == 7);  // nothing more while it owes answers
+    CHECK(worker.capacity.unanswered == 7);  // no further attempt while answers are overdue
 }
 
-TEST_CASE("a lower priority leaves room for those that would preempt it") {
+TEST_CASE("a task leaves room for queue groups of higher priority only if workers preempt") {
     WorkerAcceptance acceptance{2.5, 1.2};
     acceptance.preempts = GENERATE(true, false);
     QueueGroup low, high;
@@ -35,12 +35,12 @@
     CHECK((low_task.worker == &worker) == !acceptance.preempts);
 }
 
-TEST_CASE("what a draining worker sends away is not offered to it again, until it restarts") {
+TEST_CASE("tasks that a draining worker ended are not placed there again until it restarts") {
     SchedulerRig rig;
     Worker &draining = rig.add_worker(), &other = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
-    rig.list(other,
-             {0, 0, 0, 0, 0, EndpointPhase::serving, 0});  // full: the first goes to the one that will drain
+    // `other` is full, so that the first task is placed on `draining`.
+    rig.list(other, {0, 0, 0, 0, 0, EndpointPhase::serving, 0});
     Task& task = rig.submit_and_run_round(service);
     REQUIRE(task.worker == &draining);
     task.on_accepted(rig.now, 0);
@@ -82,7 +82,8 @@
 }  // namespace
 
 TEST_CASE(
-    "a worker's load is what the list and this scheduler's own late changes say, until a report says more") {
+    "a worker's load is the endpoint list plus this scheduler's recent changes, or a current report if "
+    "higher") {
     CapacityRig rig;
     CHECK(rig.capacity.load(rig.now, rig.worker, rig.task.request).requested_cores == Approx(6));
     rig.capacity.on_attempt_sent(rig.now, rig.task, rig.worker);
@@ -99,7 +100,8 @@
     CHECK(rig.capacity.load(later + 3 * kSecond, rig.worker, rig.task.request).requested_cores == Approx(6));
 }
 
-TEST_CASE("the use of cores follows the reports of tasks: before any, between none and all of it") {
+TEST_CASE(
+    "the ratio of used to requested cores is 0.7 before the first report, and then that of the reports") {
     CapacityRig rig;
     CHECK(rig.capacity.core_use_ratio() == Approx(0.7));
     rig.capacity.on_cores_used(rig.task, 0.5);
@@ -107,7 +109,7 @@
     CHECK(rig.capacity.load(rig.now, rig.worker, rig.task.request).used_cores == Approx(6 * 0.25));
 }
 
-TEST_CASE("a rejection for want of cores holds for requests of that size for a while") {
+TEST_CASE("after a rejection as no_cores, requests of that size are not placed there for 700 ms") {
     CapacityRig rig;
     CHECK(rig.capacity.has_room(rig.now, rig.task, rig.worker));
     rig.capacity.on_rejected(rig.now, rig.task, rig.worker, OutcomeReason::no_cores);
--- a/tests/colocation_test.cpp
+++ b/tests/colocation_test.cpp
@@ -8,7 +8,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("a worker is warm for a service while it has its tasks, and five seconds longer") {
+TEST_CASE(
+    "a worker is warm for a service while it has tasks of it, and for five seconds after the last one") {
     Worker worker(1, kSecond, 1);
     Service service(0, 1);
     Task task;
@@ -31,7 +32,7 @@
     CHECK_FALSE(scheduler::is_warm(end, worker, &service));
 }
 
-TEST_CASE("a service that ran on a worker long ago is forgotten there") {
+TEST_CASE("the record of a service on a worker is dropped some time after its last task there") {
     Worker worker(1, kSecond, 1);
     Service first(0, 1), second(1, 2);
     Task first_task, second_task;
--- a/tests/hash_ring_test.cpp
+++ b/tests/hash_ring_test.cpp
@@ -1,4 +1,4 @@
-// The hash ring beside one that is sorted anew after each change.
+// Compares the hash ring with one that is sorted after each change.
 #include "scheduler/hash_ring.h"
 
 #include <algorithm>
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("the hash ring answers like one that is sorted anew after each change") {
+TEST_CASE("lookups return the same members as on a ring that is sorted after each change") {
     const auto seed = GENERATE(take(20, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     std::vector<Member> all(400);
@@ -60,7 +60,8 @@
     }
 }
 
-TEST_CASE("members that leave for good are let go by the ring: 14,000 in and out, ten times over") {
+TEST_CASE(
+    "the ring drops the virtual nodes of erased members, when 14,000 are inserted and erased ten times") {
     std::vector<Member> all(14'000);
     for (std::size_t i = 0; i < all.size(); ++i) all[i].hash = i;
     std::vector<Member*> members;
--- a/tests/health_check_test.cpp
+++ b/tests/health_check_test.cpp
@@ -7,7 +7,9 @@
 
 using namespace whinpost;
 
-TEST_CASE("a worker not heard from lately is checked before a placement, and the selection made anew") {
+TEST_CASE(
+    "a worker without a recent report is checked before a placement, and its report may change the "
+    "selection") {
     WorkerAcceptance acceptance{2.5, 1.5, false, true, false, false};
     SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, acceptance);
     Worker &one = rig.add_worker(), &two = rig.add_worker();
@@ -22,12 +24,12 @@
     rig.scheduler.on_load_report(rig.now, checked, busy_report);
     rig.scheduler.run_round(rig.now);
     CHECK(rig.decisions.back().worker == &other);
-    rig.advance(kSecond);  // it never answers
+    rig.advance(kSecond);  // `other` never answers its check
     CHECK(task.worker == &checked);
     CHECK(rig.count(DecisionKind::check_health) == 2);
 }
 
-TEST_CASE("a worker heard from just now gets a task at once, and the number of checks is bounded") {
+TEST_CASE("a worker with a recent report gets a task without a check, and checks per task are limited") {
     QueueGroup group;
     group.start_value_s = 10;
     SchedulerRig rig({group}, SchedulerRig::default_slow_start(), {}, 4,
@@ -44,7 +46,7 @@
     CHECK(rig.count(DecisionKind::check_health) == 3);
 }
 
-TEST_CASE("an answer to a health check that reports nothing ends the task's wait") {
+TEST_CASE("an empty report in answer to a health check ends the wait of the task") {
     WorkerAcceptance acceptance{2.5, 1.5};
     acceptance.health_checks = true;
     SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, acceptance);
@@ -58,7 +60,7 @@
     CHECK(task.worker == &worker);
 }
 
-TEST_CASE("a worker that does not answer its check is overdue for a while, then may be checked again") {
+TEST_CASE("a health check is overdue from 100 ms to two seconds after it was sent, unless a report arrives") {
     const scheduler::HealthChecks checks({2.5, 1.5, false, true, false, false}, {});
     SchedulerRig rig;
     Worker worker(1, kSecond, 1);
--- a/tests/interference_model_test.cpp
+++ b/tests/interference_model_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("a pair value is learned beside one known neighbour, weights beside several") {
+TEST_CASE("with one known neighbour the pair value is learned, with several their weights") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     Service &first = rig.scheduler.add_service(1), &second = rig.scheduler.add_service(1),
@@ -26,7 +26,7 @@
     CHECK(first.neighbours.at(third.number).weight > 1.0);
 }
 
-TEST_CASE("unknown load counts by the average pair value, without this scheduler's own tasks") {
+TEST_CASE("load requested by the tasks of other schedulers counts with the mean pair value") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -36,20 +36,24 @@
     CHECK(rig.scheduler.predicted_slowdown(worker, service) == Approx(0.003 + 0.003 * 7 / 16));
 }
 
-TEST_CASE("beside much unknown load, one bad report does not put the only known neighbour past the limit") {
+TEST_CASE(
+    "if most load is from other schedulers, one bad report does not put the only known neighbour over the "
+    "limit") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     Service &first = rig.scheduler.add_service(1), &second = rig.scheduler.add_service(2);
     Task& task = rig.submit_and_run_round(first);
     rig.submit_and_run_round(second);
-    rig.list(worker,
-             {0, 0, 0, -24, 32, EndpointPhase::serving, 0});  // forty cores asked, two of them known here
+    // 40 cores are requested, two of them by this scheduler's tasks.
+    rig.list(worker, {0, 0, 0, -24, 32, EndpointPhase::serving, 0});
     task.on_accepted(rig.now, 0);
     task.on_service_share(rig.now, 0, 0.3);
     CHECK(first.neighbours.at(second.number).slowdown < 0.05);
 }
 
-TEST_CASE("an end without a report teaches that it was served in full only where such reports come") {
+TEST_CASE(
+    "a task that ends without a service share report counts as full service only if workers send such "
+    "reports") {
     const bool reports = GENERATE(true, false);
     WorkerAcceptance acceptance = without_pressure_reports();
     acceptance.reports_pressure = reports;
@@ -67,21 +71,23 @@
     if (reports) CHECK(pair->second.slowdown < 0.003);
 }
 
-TEST_CASE("a service's order falls with its mean slowdown, and follows the cores that its tasks use") {
+TEST_CASE(
+    "the placement order falls with a service's mean slowdown and grows with the cores that its tasks use") {
     scheduler::InterferenceModel model;
     Service service(0, 1);
     model.init(service);
     Task task;
     task.service = &service;
     task.request.cores = 2;
-    CHECK(model.placement_order(task) == Approx(2 / 0.01));  // below the floor of the slowdown
+    // The mean slowdown is below its lower bound of 0.01.
+    CHECK(model.placement_order(task) == Approx(2 / 0.01));
     service.mean_slowdown = 0.5;
     CHECK(model.placement_order(task) == Approx(2 / 0.5));
     model.observe_cores(service, 1);
     CHECK(model.placement_order(task) == Approx(1 / 0.5));
 }
 
-TEST_CASE("warm starts are kept as a median of the latest fifteen, cold ones as an average") {
+TEST_CASE("warm start latency is the median of the latest fifteen, cold start latency a moving average") {
     scheduler::InterferenceModel model;
     const WorkerKind kind{16, 32};
     Worker worker(1, kSecond, 1);
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Work that must not grow with the fleet, counted and never timed.
+// Work that must not grow with the fleet size. It is counted in workers and selections, not timed.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <memory>
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("a selection considers no more workers at 14,000 than at 400") {
+TEST_CASE("a selection considers about as many workers in a fleet of 14,000 as in one of 400") {
     const auto considered_of = [](int fleet_size) {
         const auto rig = fleet_of(fleet_size, true);
         rig->submit_and_run_round(rig->scheduler.add_service(1));
@@ -44,7 +44,7 @@
     CHECK(considered_of(14'000) <= 64);
 }
 
-TEST_CASE("where no worker has room, a selection considers each once and all tasks are answered in time") {
+TEST_CASE("in a full fleet, a selection considers each worker once, and all tasks are rejected in time") {
     const auto rig = fleet_of(14'000, false);
     for (int i = 0; i < 5; ++i) rig->submit(rig->scheduler.add_service(static_cast<std::uint64_t>(i)));
     rig->advance(200 * kMillisecond, 50 * kMillisecond);
@@ -54,9 +54,7 @@
     CHECK(rig->count(DecisionKind::place) == 0);
 }
 
-TEST_CASE(
-    "where no worker has room, waiting tasks are not searched for anew in a large fleet; in a small one they "
-    "are") {
+TEST_CASE("in a full fleet, selections for waiting tasks repeat the full search only if the fleet is small") {
     const auto selections_of = [](int fleet_size) {
         const auto rig = fleet_of(fleet_size, false);
         for (std::uint64_t i = 0; i < 20; ++i) rig->submit(rig->scheduler.add_service(i));
@@ -67,9 +65,7 @@
     CHECK(selections_of(400) > 500);
 }
 
-TEST_CASE(
-    "the first room that comes free in a full large fleet is found by waiting tasks within a quarter "
-    "second") {
+TEST_CASE("a waiting task is placed on the first worker with room in a full large fleet within 300 ms") {
     const auto rig = fleet_of(3000, false);
     Task& task = rig->submit(rig->scheduler.add_service(1));
     rig->advance(kSecond);
@@ -79,20 +75,21 @@
     CHECK(task.worker == rig->workers[1234]);
 }
 
-TEST_CASE("a task that may go nowhere for reasons of its own closes no large fleet to others") {
+TEST_CASE(
+    "a task that finds no worker because of its own earlier rejection does not mark a large fleet as full") {
     const auto rig = fleet_of(3000, false);
     rig->list(*rig->workers[7], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     Task& refused = rig->submit(rig->scheduler.add_service(1));
     rig->advance(100 * kMillisecond);
     REQUIRE(refused.worker == rig->workers[7]);
-    rig->end_attempt(refused, AttemptOutcome::rejected);  // by the only one that has room
+    rig->end_attempt(refused, AttemptOutcome::rejected);  // by the only worker with room
     rig->advance(60 * kMillisecond, 60 * kMillisecond);
     Task& other = rig->submit(rig->scheduler.add_service(2));
     rig->advance(120 * kMillisecond);
     CHECK(other.worker == rig->workers[7]);
 }
 
-TEST_CASE("workers that come back, in one event or several, are chosen again; all gone leaves none") {
+TEST_CASE("workers that are gone or draining get no tasks, and get tasks again once they are serving") {
     const auto rig = fleet_of(40, true);
     const auto list_as = [&rig](EndpointPhase phase, std::size_t from, std::size_t to) {
         for (std::size_t i = from; i < to; ++i)
@@ -113,7 +110,8 @@
     CHECK(rig->decisions.back().worker == rig->workers[8]);
 }
 
-TEST_CASE("a fleet that is listed worker by worker decides as one listed at once, whatever came between") {
+TEST_CASE(
+    "a fleet updated worker by worker gets the same placements as one updated in a single watch event") {
     const auto seed = GENERATE(take(10, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto at_once = fleet_of(60, true), one_by_one = fleet_of(60, true);
--- a/tests/message_fields_test.cpp
+++ b/tests/message_fields_test.cpp
@@ -1,4 +1,4 @@
-// One line of the simulator's wire, read value by value.
+// Parsing of one line of the simulator's protocol.
 #include "message_fields.h"
 
 #include <catch2/catch.hpp>
@@ -8,7 +8,7 @@
 using namespace whinpost;
 using namespace whinpost::simulator_adapter;
 
-TEST_CASE("values are taken in their order; an absent one has its default") {
+TEST_CASE("values are read in order, and an absent value gives the default") {
     MessageFields fields("ECHO h:1 - 2.5 12 3 and the rest");
     CHECK(fields.message() == "ECHO");
     CHECK(fields.required("host") == "h:1");
@@ -20,7 +20,7 @@
     CHECK_NOTHROW(fields.expect_end());
 }
 
-TEST_CASE("a value that can't be read names its message and field") {
+TEST_CASE("the error for an invalid value names its message and field") {
     const auto problem_of = [](const char* line, auto read) {
         MessageFields fields(line);
         try {
@@ -45,7 +45,7 @@
           "M: key is out of range");
 }
 
-TEST_CASE("codes that the adapter does not know are an unknown outcome and no reason") {
+TEST_CASE("unknown codes give AttemptOutcome::unknown and OutcomeReason::unspecified") {
     CHECK(outcome_of(0) == AttemptOutcome::completed);
     CHECK(outcome_of(114) == AttemptOutcome::not_sent);
     CHECK(outcome_of(77) == AttemptOutcome::unknown);
--- a/tests/migration_test.cpp
+++ b/tests/migration_test.cpp
@@ -9,7 +9,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("only idempotent tasks move, off a worker reported bad, while a clean one has room") {
+TEST_CASE("a report of a low service share migrates idempotent tasks, and no others") {
     const Effect effect = GENERATE(Effect::idempotent, Effect::keyed, Effect::side_effecting);
     QueueGroup group = queue_group(effect);
     group.start_value_s = 10;
@@ -31,7 +31,8 @@
     CHECK(rig.count(DecisionKind::migrate) == (effect == Effect::idempotent ? 1 : 0));
 }
 
-TEST_CASE("a task that runs but whose acceptance was lost is not moved: its attempt is still in flight") {
+TEST_CASE(
+    "a running task whose acceptance was lost is not migrated, because its attempt is still in flight") {
     const bool accepted = GENERATE(true, false);
     QueueGroup group;
     group.start_value_s = 10;
@@ -52,7 +53,8 @@
 }
 
 TEST_CASE(
-    "a task is moved once a second from a worker, only if the gain is worth the price and others have room") {
+    "at most one task a second leaves a worker, only if the gain exceeds the price and the fleet is not "
+    "full") {
     const WorkerKind kind{16, 32};
     Worker worker(1, kSecond, 1);
     worker.kind = &kind;
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -7,7 +7,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("workers that fail starts are left for others, and come back") {
+TEST_CASE(
+    "workers that fail starts are avoided while others are left, until the failures are a few seconds old") {
     SchedulerRig rig;
     Worker &failing = rig.add_worker(), &healthy = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -16,12 +17,12 @@
     rig.list(healthy, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
     Task& task = rig.submit(service);
     rig.advance(kSecond);
-    CHECK(task.worker == &failing);  // least bad where nothing else is left
+    CHECK(task.worker == &failing);  // the only worker left
     rig.advance(5 * kSecond);
     CHECK(failing.outlier.failed_attempts[0].sum(rig.now) == 0);
 }
 
-TEST_CASE("a rejection without a reason counts against the worker, and heals") {
+TEST_CASE("a rejection without a reason counts as a failure of the worker for a few seconds") {
     SchedulerRig rig;
     Worker &rejecting = rig.add_worker(), &other = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -35,7 +36,7 @@
     CHECK(rejecting.outlier.failed_attempts[0].sum(rig.now) == 0);
 }
 
-TEST_CASE("a worker that fails one queue group's starts is not shielded by the other group's") {
+TEST_CASE("failed starts of one queue group count in full even if another group's starts succeed") {
     SchedulerRig rig({QueueGroup{}, QueueGroup{}});
     Worker &half_failing = rig.add_worker(), &healthy = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -44,7 +45,8 @@
     for (int i = 0; i < 6; ++i) CHECK(rig.submit_and_run_round(service, 0).worker == &healthy);
 }
 
-TEST_CASE("a start far beyond the usual counts as the worker's slowdown where no reports come") {
+TEST_CASE(
+    "a start that takes far longer than usual counts as slowdown only if workers do not report pressure") {
     const bool reports = GENERATE(true, false);
     WorkerAcceptance acceptance = without_pressure_reports();
     acceptance.reports_pressure = reports;
@@ -63,7 +65,7 @@
     CHECK((worker.outlier.residual_slowdown > 0.5) == !reports);
 }
 
-TEST_CASE("what is told after this scheduler stood still says nothing of how long a start took") {
+TEST_CASE("start latencies are ignored if the scheduler itself was stalled") {
     const bool stalled = GENERATE(true, false);
     SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, without_pressure_reports());
     Worker& worker = rig.add_worker();
@@ -81,7 +83,8 @@
     CHECK((worker.outlier.residual_slowdown > 0.5) == !stalled);
 }
 
-TEST_CASE("a task that fails on one worker after another speaks against itself, not against them") {
+TEST_CASE(
+    "failures of a task that failed twice do not count against its workers, but its attempt timeout does") {
     SchedulerRig rig;
     Worker &first = rig.add_worker(), &second = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
@@ -101,11 +104,11 @@
     CHECK(failed() == 0);
     rig.advance(100 * kMillisecond);
     REQUIRE(task.worker);
-    rig.end_attempt(task, AttemptOutcome::timed_out);  // silence is the machine's
+    rig.end_attempt(task, AttemptOutcome::timed_out);  // a timeout is attributed to the worker
     CHECK(failed() == 1);
 }
 
-TEST_CASE("the residual slowdown halves in three seconds, and a restart clears what spoke against a worker") {
+TEST_CASE("the residual slowdown halves in three seconds, and a restart clears it and the failed attempts") {
     const scheduler::SlowStart slow_start(SchedulerRig::default_slow_start());
     const scheduler::OutlierDetection outliers(1, true, slow_start);
     Worker worker(1, kSecond, 1);
--- a/tests/placement_rules_test.cpp
+++ b/tests/placement_rules_test.cpp
@@ -1,5 +1,5 @@
-// A slow, plain model of the rules beside the scheduler on generated days: each placement and answer must be
-// one that it allows.
+// Compares the scheduler with a simple model of the placement rules on random sequences of events: the model
+// must allow every placement and every answer.
 #include <catch2/catch.hpp>
 #include <cmath>
 #include <map>
@@ -77,7 +77,8 @@
     void check_answer(const Decision& decision) {
         const QueueGroup& group = groups[static_cast<std::size_t>(decision.task->request.queue_group)];
         REQUIRE(answers.emplace(decision.task, decision.kind).second);
-        REQUIRE(previous_round <= decision.task->deadline);  // at the first round after the queue timeout
+        // At the latest in the first round after the queue timeout.
+        REQUIRE(previous_round <= decision.task->deadline);
         if (decision.kind != DecisionKind::reject || group.effect == Effect::idempotent) return;
         for (const SentAttempt& attempt : attempts[decision.task])
             REQUIRE((attempt.proves_not_run ||
@@ -96,7 +97,7 @@
 
 }  // namespace
 
-TEST_CASE("on generated days every placement and answer is one that the plain model of the rules allows") {
+TEST_CASE("under random events, the model of the rules allows every placement and every answer") {
     const auto seed = GENERATE(take(60, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -122,7 +123,8 @@
     std::vector<Task*> alive;
     for (int step = 0; step < 1500; ++step) {
         model.previous_round = rig.now;
-        rig.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;  // the clock may jump far
+        // Sometimes jumps by seconds.
+        rig.now += roll(200) == 0 ? roll(20) * kSecond : roll(40) * kMillisecond;
         for (Task* task : alive)  // every attempt ends by its timeout
             if (task->worker && !task->accepted && rig.now >= task->deadline) {
                 model.attempts[task].back().in_flight = false;
@@ -168,5 +170,5 @@
         rig.advance(20 * kMillisecond);
         model.catch_up();
     }
-    for (Task* task : alive) CHECK((task->settled || task->worker));  // none waits for ever
+    for (Task* task : alive) CHECK((task->settled || task->worker));  // no task is left waiting
 }
--- a/tests/retry_policy_test.cpp
+++ b/tests/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// The retry policy: the rules at a placement, attempt timeouts and the final answer.
+// The retry policy: placement rules, attempt timeouts and the final answer.
 #include "scheduler/retry_policy.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("a task whose attempt was seen to fail is answered by what may have run") {
+TEST_CASE(
+    "after its last attempt, a task is rejected only if a repeated run would be harmless, else it fails") {
     const auto [effect, scope, outcome, answer] =
         GENERATE(table<Effect, FailureDomain, AttemptOutcome, DecisionKind>(
             {{Effect::side_effecting, FailureDomain::all, AttemptOutcome::timed_out, DecisionKind::fail},
@@ -27,7 +28,7 @@
 
 namespace {
 
-// A task that may have run on one worker, and another worker.
+// A task that may have run on `first`, and a second worker.
 struct RepeatedTask {
     explicit RepeatedTask(const QueueGroup& queue_group) : group(queue_group) {
         first.listing.is_listed = second.listing.is_listed = true;
@@ -48,7 +49,7 @@
 
 }  // namespace
 
-TEST_CASE("a task that may have run is placed again only where a repeat does no harm") {
+TEST_CASE("a task that may have run is placed again only where a repeated run is harmless") {
     const scheduler::RetryPolicy policy({4, true}, false);
     const Nanos now = RepeatedTask::kSubmitted + kSecond;
     RepeatedTask idempotent(queue_group(Effect::idempotent));
@@ -67,7 +68,8 @@
     CHECK_FALSE(policy.may_retry(now + 2 * kSecond, keyed.task));
 }
 
-TEST_CASE("nothing is placed on workers that drain or left the list, after the last attempt, or too late") {
+TEST_CASE(
+    "no attempt is placed on draining or unlisted workers, after the last attempt, or after the deadline") {
     const scheduler::RetryPolicy policy({2, true}, false);
     const Nanos now = RepeatedTask::kSubmitted + kSecond;
     RepeatedTask repeated(queue_group(Effect::idempotent));
@@ -83,7 +85,8 @@
     CHECK_FALSE(policy.may_retry(now, repeated.task));
 }
 
-TEST_CASE("an attempt's timeout leaves time for another; the last one, and one that could do harm, get all") {
+TEST_CASE(
+    "an attempt times out early enough for another one, except the last one or if a repeat could do harm") {
     const scheduler::RetryPolicy policy({4, true}, false);
     const Nanos now = RepeatedTask::kSubmitted;
     RepeatedTask repeated(queue_group(Effect::idempotent));
@@ -97,7 +100,8 @@
     CHECK(policy.give_up_at(harmful.task) == now + 5 * kSecond);
 }
 
-TEST_CASE("only an outcome that does not prove otherwise counts as a possible run, and only the first") {
+TEST_CASE(
+    "the first attempt whose outcome does not prove that it never ran is kept as the first possible run") {
     const scheduler::RetryPolicy policy({4, true}, false);
     RepeatedTask repeated(queue_group(Effect::idempotent));
     repeated.task.worker = &repeated.second;
--- a/tests/scheduler_endpoint_list_test.cpp
+++ b/tests/scheduler_endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// The endpoint list: which workers are listed, and which stand on the ring.
+// The endpoint list: which workers are listed, and which are on the ring.
 #include <catch2/catch.hpp>
 #include <vector>
 
@@ -7,7 +7,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("a worker is listed from its first event until it is gone, and on the ring while it serves") {
+TEST_CASE(
+    "a worker is listed from its first watch event until it is gone, and on the ring while it is serving") {
     const std::vector<WorkerKind> kinds{{16, 32}};
     scheduler::EndpointList endpoints(kinds);
     Worker& first = endpoints.add_worker(1, kSecond, 1);
@@ -33,7 +34,7 @@
     CHECK(endpoints.ring().members() == 1);
 }
 
-TEST_CASE("a listed worker that tells a later start has restarted") {
+TEST_CASE("an update with a later start time tells that a listed worker has restarted") {
     const std::vector<WorkerKind> kinds{{16, 32}};
     scheduler::EndpointList endpoints(kinds);
     Worker& worker = endpoints.add_worker(1, kSecond, 1);
--- a/tests/scheduler_test.cpp
+++ b/tests/scheduler_test.cpp
@@ -5,7 +5,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("a full fleet rejects after waiting, well inside the queue timeout") {
+TEST_CASE("a task without a worker waits, and is rejected well before its queue timeout") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     rig.list(worker, {0, 0, 0, -24, 32, EndpointPhase::serving, 0});
@@ -17,7 +17,7 @@
     CHECK(rig.count(DecisionKind::reject) == 1);
 }
 
-TEST_CASE("an outcome after the end, an acceptance after the end and a second end change nothing") {
+TEST_CASE("after a task was cancelled and ended, late acceptances, outcomes and reports are ignored") {
     SchedulerRig rig;
     Worker& worker = rig.add_worker();
     Task& task = rig.submit_and_run_round(rig.scheduler.add_service(1));
@@ -32,7 +32,7 @@
     CHECK(worker.capacity.unanswered == 0);
 }
 
-TEST_CASE("with no worker at all a task still gets its answer in time") {
+TEST_CASE("a task is rejected before its queue timeout when the endpoint list is empty") {
     SchedulerRig rig;
     Task& task = rig.submit(rig.scheduler.add_service(1));
     rig.advance(4 * kSecond);
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -17,7 +17,7 @@
     "family_info.memory_multiple=1.5 family_info.yes_at=accepted family_info.cpu_of_kind=8 "
     "family_info.size_memory=16 limits.send_cap=3 zones=north zone=0 brand_new_key=1";
 
-// The reply to these lines; `is_open`: whether the session went on after them.
+// The reply to these lines. `is_open` is set to whether the session is still open after them.
 std::string reply_to(const std::string& lines, bool* is_open = nullptr) {
     std::ostringstream output;
     SimulatorAdapter adapter(output);
@@ -40,19 +40,19 @@
 
 TEST_CASE("an empty batch gets an empty reply") { CHECK(reply_to("CLOCK 8\nYOUR_TURN\n") == "READY\n"); }
 
-TEST_CASE("a submitted task is placed, in microseconds, by the instance that got it") {
+TEST_CASE("a task is placed by the instance that got its ARRIVAL, with the attempt timeout in microseconds") {
     const std::string reply = reply_after_start(kArrival);
     CHECK(reply.find("SOURCE 4\nFOLLOW 1\nBIND 77 h:1 ") == 0);
     CHECK(reply.rfind("READY\n") == reply.size() - 6);
 }
 
-TEST_CASE("what a killed instance still had to say is not said") {
+TEST_CASE("DOWN discards the pending output of an instance") {
     const std::string reply =
         reply_after_start("DOWN\nINSTANCE 4\n" + kInit + "\nROSTER_CHANGE Persisted 1 0\n");
     CHECK(reply == "SOURCE 4\nFOLLOW 1\nREADY\n");
 }
 
-TEST_CASE("a finished task may still be named in the batch; one never given may not") {
+TEST_CASE("a message for a finished task is ignored, but one for a task that never arrived is an error") {
     const std::string verdict = "VERDICT 77 125 1 0 - 10 h:1 -\n";
     bool is_open = false;
     const std::string open = "OPEN 77 0 - t:k - - svc 1 2 0 h:1\n";
@@ -63,7 +63,7 @@
     CHECK(is_open);
 }
 
-TEST_CASE("malformed input ends the session with one line that names message and field") {
+TEST_CASE("a malformed line ends the session with an EXCEPTION that names the message and the field") {
     const auto [line, says] = GENERATE(table<std::string, std::string>({
         {"ARRIVAL 77 - x 1 svc - 0 2 t:k 0\n", "EXCEPTION ARRIVAL: patience_left_us is not a whole number"},
         {"ARRIVAL 77 - 5 1 svc - 3 2 t:k 0\n", "EXCEPTION ARRIVAL: lane is out of range"},
@@ -80,7 +80,7 @@
     CHECK(reply_after_start(line).find(says) != std::string::npos);
 }
 
-TEST_CASE("settings outside sense are refused at the start") {
+TEST_CASE("INIT with an invalid setting is an error that names the setting") {
     const auto [from, to, says] = GENERATE(table<std::string, std::string, std::string>({
         {"cpu_of_kind=8", "cpu_of_kind=0", "family_info.cpu_of_kind must be above zero"},
         {" family_info.cpu_of_kind=8", "", "names no machine kind"},
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -1,4 +1,4 @@
-// Slow start: the budget of attempts to a worker that warms up.
+// Slow start: the budget of attempts to a worker that is warming up.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <memory>
@@ -9,7 +9,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("some hundred schedulers together send a warming worker no more than it bears, and do use it") {
+TEST_CASE(
+    "all schedulers together stay within the attempt budget of a worker that is warming up, and use it") {
     const auto [schedulers, bearable] =
         GENERATE(table<int, int>({{258, 13}, {300, 2}, {60, 41}, {5, 40}, {1, 9}}));
     std::vector<std::unique_ptr<SchedulerRig>> all;
@@ -38,9 +39,9 @@
 }
 
 TEST_CASE(
-    "schedulers that restart within a turn and have forgotten what they sent overload no warming worker") {
+    "schedulers that restart within a turn, and forget what they sent, stay within the attempt budget") {
     const auto [schedulers, bearable] = GENERATE(table<int, int>({{3, 13}, {16, 44}, {30, 44}, {30, 9}}));
-    const int each = GENERATE(2, 3, 7);  // turns of one in so many to start anew
+    const int each = GENERATE(2, 3, 7);  // each scheduler restarts once in this many turns
     std::vector<std::unique_ptr<SchedulerRig>> all;
     std::vector<Nanos> sent;
     Nanos now = 1000 * kSecond;
@@ -57,7 +58,7 @@
     for (int step = 1; step < 100; ++step) {
         now += 50 * kMillisecond;
         for (int i = 0; i < schedulers; ++i) {
-            // Each in its turn, in the middle of a second, when most have sent their part.
+            // Restarts some schedulers in the middle of a turn, when most have used their share.
             if (step % 20 == 10 && (i + step / 20) % each == 0) all[static_cast<std::size_t>(i)] = start(i);
             SchedulerRig& rig = *all[static_cast<std::size_t>(i)];
             rig.now = now;
@@ -76,7 +77,8 @@
     }
 }
 
-TEST_CASE("half of what a worker bears is dealt out to all schedulers in each turn, nothing at its start") {
+TEST_CASE(
+    "half of the attempt budget is distributed to the schedulers in each turn, and none in its first 50 ms") {
     const int schedulers = GENERATE(1, 3, 16, 57);
     const Nanos turn_start = 1000 * kSecond;
     std::int64_t dealt = 0;
@@ -90,7 +92,7 @@
     CHECK(dealt == 22);
 }
 
-TEST_CASE("tokens that a worker grants go before the schedulers' own shares, and are used up") {
+TEST_CASE("tokens granted by a worker take precedence over the scheduler's own share, and are consumed") {
     const scheduler::SlowStart slow_start({0.2, 60 * kSecond, 2, kSecond, 4, 1, 0});
     const Nanos now = 1000 * kSecond + kSecond / 2;
     Worker worker(1, kSecond, 1);
--- a/tests/support/scheduler_rig.h
+++ b/tests/support/scheduler_rig.h
@@ -1,4 +1,4 @@
-// A scheduler whose decisions are kept, and a small fleet to place tasks on.
+// A scheduler whose decisions are recorded, with helpers to add workers and tasks.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -43,7 +43,7 @@
     void wake_at(Nanos) override {}
     void log(std::string_view) override {}
 
-    // A new worker of 16 cores and 32 of memory, all free.
+    // A new worker with 16 cores and a memory of 32, all free.
     Worker& add_worker(int cell = 0, int zone = 0, Nanos started_at = 0) {
         Worker& worker = scheduler.add_worker(workers.size());
         workers.push_back(&worker);
@@ -97,7 +97,7 @@
     return group;
 }
 
-// Workers that do not report how they serve.
+// Workers that report neither service shares nor memory pressure.
 inline WorkerAcceptance without_pressure_reports() {
     WorkerAcceptance acceptance{2.5, 1.5};
     acceptance.reports_pressure = false;
--- a/tests/watch_retry_test.cpp
+++ b/tests/watch_retry_test.cpp
@@ -7,7 +7,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("a failed watch is made again after a growing pause, never in a storm") {
+TEST_CASE("failed watches are retried with growing delays, 10 to 20 times in 20 seconds") {
     SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {true, 10 * kSecond});
     rig.scheduler.start(rig.now);
     CHECK(rig.count(DecisionKind::watch) == 1);
@@ -21,7 +21,7 @@
     CHECK(rig.count(DecisionKind::watch) <= 20);
 }
 
-TEST_CASE("the pause doubles up to a fifth of the poll interval, and a watch that succeeds ends it") {
+TEST_CASE("the delay doubles up to a fifth of the poll interval, and a successful watch resets it") {
     scheduler::WatchRetry retry(10 * kSecond);
     const Nanos now = 1000 * kSecond;
     CHECK_FALSE(retry.take_due(now));
