--- a/tests/active_set_test.cpp
+++ b/tests/active_set_test.cpp
@@ -23,12 +23,12 @@
     first.submit_and_run_round(first.scheduler.add_service(50));
     second.advance(kSecond);
     second.submit_and_run_round(second.scheduler.add_service(50));
-    int working = 0;
+    int active = 0;
     for (std::size_t i = 0; i < 10; ++i) {
         CHECK(first.workers[i]->in_active_set == second.workers[i]->in_active_set);
-        working += first.workers[i]->in_active_set;
+        active += first.workers[i]->in_active_set;
     }
-    CHECK((working > 0 && working < 10));
+    CHECK((active > 0 && active < 10));
 }
 
 TEST_CASE("the fullest workers that hold the load are active, and one more for two seconds after widen()") {
--- a/tests/candidate_selection_test.cpp
+++ b/tests/candidate_selection_test.cpp
@@ -23,12 +23,12 @@
 }
 
 TEST_CASE("a tolerant queue group avoids loaded workers of the kind that a sensitive queue group needs") {
-    QueueGroup mild, sensitive;
-    mild.degradation_range = 1;
+    QueueGroup tolerant, sensitive;
+    tolerant.degradation_range = 1;
     sensitive.full_service_utilization = 0.8;
     sensitive.degradation_range = 0.15;
     sensitive.worker_kind = 1;
-    SchedulerRig rig({mild, sensitive}, SchedulerRig::default_slow_start(), {}, 4,
+    SchedulerRig rig({tolerant, sensitive}, SchedulerRig::default_slow_start(), {}, 4,
                      without_pressure_reports());
     for (int i = 0; i < 6; ++i)
         rig.list(rig.add_worker(), {0, 0, i % 2, i % 2 ? -4.8 : 0, 32, EndpointPhase::serving, 0});
--- a/tests/large_fleet_test.cpp
+++ b/tests/large_fleet_test.cpp
@@ -79,10 +79,10 @@
     "a task that finds no worker because of its own earlier rejection does not mark a large fleet as full") {
     const auto rig = fleet_of(3000, false);
     rig->list(*rig->workers[7], {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
-    Task& refused = rig->submit(rig->scheduler.add_service(1));
+    Task& rejected = rig->submit(rig->scheduler.add_service(1));
     rig->advance(100 * kMillisecond);
-    REQUIRE(refused.worker == rig->workers[7]);
-    rig->end_attempt(refused, AttemptOutcome::rejected);  // by the only worker with room
+    REQUIRE(rejected.worker == rig->workers[7]);
+    rig->end_attempt(rejected, AttemptOutcome::rejected);  // by the only worker with room
     rig->advance(60 * kMillisecond, 60 * kMillisecond);
     Task& other = rig->submit(rig->scheduler.add_service(2));
     rig->advance(120 * kMillisecond);
--- a/tests/migration_test.cpp
+++ b/tests/migration_test.cpp
@@ -14,17 +14,17 @@
     QueueGroup group = queue_group(effect);
     group.start_value_s = 10;
     SchedulerRig rig({group});
-    Worker &bad = rig.add_worker(), &clean = rig.add_worker();
+    Worker &slow = rig.add_worker(), &healthy = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
-    rig.list(clean, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    rig.list(healthy, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
     std::vector<Task*> tasks;
     for (int i = 0; i < 6; ++i) {
         tasks.push_back(&rig.submit_and_run_round(service));
         tasks.back()->on_accepted(rig.now, 0);
         tasks.back()->on_running(rig.now, 0);
     }
-    REQUIRE(tasks[0]->worker == &bad);
-    rig.list(clean, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+    REQUIRE(tasks[0]->worker == &slow);
+    rig.list(healthy, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     rig.advance(2 * kSecond);
     tasks[0]->on_service_share(rig.now, 0, 0.3);
     rig.advance(500 * kMillisecond);
@@ -37,17 +37,17 @@
     QueueGroup group;
     group.start_value_s = 10;
     SchedulerRig rig({group});
-    Worker &bad = rig.add_worker(), &clean = rig.add_worker();
+    Worker &slow = rig.add_worker(), &healthy = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
-    rig.list(clean, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
+    rig.list(healthy, {0, 0, 0, 16, 32, EndpointPhase::draining, 0});
     std::vector<Task*> tasks;
     for (int i = 0; i < 6; ++i) {
         tasks.push_back(&rig.submit_and_run_round(service));
         if (accepted) tasks.back()->on_accepted(rig.now, 0);
         tasks.back()->on_running(rig.now, 0);
     }
-    REQUIRE(tasks[0]->worker == &bad);
-    rig.list(clean, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
+    REQUIRE(tasks[0]->worker == &slow);
+    rig.list(healthy, {0, 0, 0, 16, 32, EndpointPhase::serving, 0});
     tasks[0]->on_service_share(rig.now, 0, 0.3);
     CHECK(rig.count(DecisionKind::migrate) == (accepted ? 1 : 0));
 }
--- a/tests/outlier_detection_test.cpp
+++ b/tests/outlier_detection_test.cpp
@@ -70,10 +70,10 @@
     SchedulerRig rig({QueueGroup{}}, SchedulerRig::default_slow_start(), {}, 4, without_pressure_reports());
     Worker& worker = rig.add_worker();
     Service& service = rig.scheduler.add_service(1);
-    const auto start = [&](Nanos took, bool stands) {
+    const auto start = [&](Nanos took, bool stall) {
         Task& task = rig.submit_and_run_round(service);
         task.on_accepted(rig.now, 0);
-        if (stands) rig.now += took;
+        if (stall) rig.now += took;
         else rig.advance(took);
         task.on_running(rig.now, 0);
         rig.scheduler.run_round(rig.now);
--- a/tests/placement_rules_test.cpp
+++ b/tests/placement_rules_test.cpp
@@ -28,7 +28,7 @@
     std::size_t read = 0;
     Nanos previous_round = 0;
 
-    bool same(const Worker& first, const Worker& second, FailureDomain domain) const {
+    bool in_same_domain(const Worker& first, const Worker& second, FailureDomain domain) const {
         return domain == FailureDomain::all ||
                (domain == FailureDomain::zone && first.endpoint.zone == second.endpoint.zone) ||
                (domain == FailureDomain::cell && first.endpoint.cell == second.endpoint.cell) ||
@@ -51,7 +51,7 @@
         if (first) {
             REQUIRE(group.effect != Effect::side_effecting);
             if (group.effect == Effect::keyed) {
-                REQUIRE(same(*first->worker, *decision.worker, group.deduplicated_by));
+                REQUIRE(in_same_domain(*first->worker, *decision.worker, group.deduplicated_by));
                 REQUIRE(rig.now - first->sent < group.deduplication_window);
             }
         }
@@ -61,16 +61,16 @@
             for (const auto& [task, all] : attempts)
                 for (const SentAttempt& attempt : all)
                     running += attempt.in_flight && task->service == decision.task->service &&
-                               same(*attempt.worker, *decision.worker, group.spread_domain);
+                               in_same_domain(*attempt.worker, *decision.worker, group.spread_domain);
             REQUIRE(running <= group.max_per_domain);
         }
         if (decision.worker->endpoint.started_at &&
             rig.now - decision.worker->endpoint.started_at < slow_start.warm_up_time) {
             auto& placements = warming_up[decision.worker];
             placements.push_back(rig.now);
-            int lately = 0;
-            for (const Nanos at : placements) lately += rig.now - at < slow_start.window;
-            REQUIRE(lately <=
+            int in_window = 0;
+            for (const Nanos at : placements) in_window += rig.now - at < slow_start.window;
+            REQUIRE(in_window <=
                     2 * std::ceil(std::floor(slow_start.guaranteed_attempts / 2) / slow_start.placers));
         }
     }
@@ -103,11 +103,11 @@
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
     std::vector<QueueGroup> groups;
     for (const Effect effect : {Effect::idempotent, Effect::keyed, Effect::side_effecting}) {
-        const FailureDomain places[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
-                                        FailureDomain::worker};
+        const FailureDomain domains[] = {FailureDomain::all, FailureDomain::zone, FailureDomain::cell,
+                                         FailureDomain::worker};
         const FailureDomain spreads[] = {FailureDomain::none, FailureDomain::worker, FailureDomain::cell,
                                          FailureDomain::zone};
-        QueueGroup group = queue_group(effect, places[roll(4)], (1 + roll(4)) * kSecond);
+        QueueGroup group = queue_group(effect, domains[roll(4)], (1 + roll(4)) * kSecond);
         group.spread_domain = spreads[roll(4)];
         group.max_per_domain = 1 + roll(4);
         group.worker_kind = roll(5) - 4;
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -64,7 +64,7 @@
 }
 
 TEST_CASE("a malformed line ends the session with an EXCEPTION that names the message and the field") {
-    const auto [line, says] = GENERATE(table<std::string, std::string>({
+    const auto [line, expected] = GENERATE(table<std::string, std::string>({
         {"ARRIVAL 77 - x 1 svc - 0 2 t:k 0\n", "EXCEPTION ARRIVAL: patience_left_us is not a whole number"},
         {"ARRIVAL 77 - 5 1 svc - 3 2 t:k 0\n", "EXCEPTION ARRIVAL: lane is out of range"},
         {"ARRIVAL 77\n", "EXCEPTION ARRIVAL: life_us is missing"},
@@ -77,11 +77,11 @@
         {"ECHO h:1 5 0 x0:1,x1:much\n", "EXCEPTION ECHO: gauge holds a pair without"},
         {"ECHO h:1 5 0 x0:1,strange:much\n", "READY"},
     }));
-    CHECK(reply_after_start(line).find(says) != std::string::npos);
+    CHECK(reply_after_start(line).find(expected) != std::string::npos);
 }
 
 TEST_CASE("INIT with an invalid setting is an error that names the setting") {
-    const auto [from, to, says] = GENERATE(table<std::string, std::string, std::string>({
+    const auto [from, to, expected] = GENERATE(table<std::string, std::string, std::string>({
         {"cpu_of_kind=8", "cpu_of_kind=0", "family_info.cpu_of_kind must be above zero"},
         {" family_info.cpu_of_kind=8", "", "names no machine kind"},
         {"zones=north", "zones=", "names no zone"},
@@ -94,5 +94,5 @@
     init.replace(init.find(from), from.size(), to);
     const std::string reply = reply_to("CLOCK 1\nINSTANCE 0\n" + init + "\nYOUR_TURN\n");
     CHECK(reply.find("EXCEPTION INIT: ") != std::string::npos);
-    CHECK(reply.find(says) != std::string::npos);
+    CHECK(reply.find(expected) != std::string::npos);
 }
--- a/tests/slow_start_budget_test.cpp
+++ b/tests/slow_start_budget_test.cpp
@@ -11,12 +11,12 @@
 
 TEST_CASE(
     "all schedulers together stay within the attempt budget of a worker that is warming up, and use it") {
-    const auto [schedulers, bearable] =
+    const auto [schedulers, budget] =
         GENERATE(table<int, int>({{258, 13}, {300, 2}, {60, 41}, {5, 40}, {1, 9}}));
     std::vector<std::unique_ptr<SchedulerRig>> all;
     std::vector<Nanos> sent;
     for (int i = 0; i < schedulers; ++i) {
-        SlowStartSettings slow_start{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(bearable), schedulers,
+        SlowStartSettings slow_start{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(budget), schedulers,
                                      i};
         all.push_back(std::make_unique<SchedulerRig>(std::vector{QueueGroup{}}, slow_start));
         all.back()->add_worker(0, 0, all.back()->now);
@@ -30,23 +30,23 @@
             for (auto i = before; i < rig->decisions.size(); ++i)
                 if (rig->decisions[i].kind == DecisionKind::place) sent.push_back(rig->now);
         }
-    REQUIRE(sent.size() >= static_cast<std::size_t>(std::min(bearable / 2, schedulers / 2)));
+    REQUIRE(sent.size() >= static_cast<std::size_t>(std::min(budget / 2, schedulers / 2)));
     for (const Nanos from : sent) {
-        int lately = 0;
-        for (const Nanos at : sent) lately += at >= from && at - from < kSecond;
-        REQUIRE(lately <= bearable);
+        int in_window = 0;
+        for (const Nanos at : sent) in_window += at >= from && at - from < kSecond;
+        REQUIRE(in_window <= budget);
     }
 }
 
 TEST_CASE(
     "schedulers that restart within a turn, and forget what they sent, stay within the attempt budget") {
-    const auto [schedulers, bearable] = GENERATE(table<int, int>({{3, 13}, {16, 44}, {30, 44}, {30, 9}}));
+    const auto [schedulers, budget] = GENERATE(table<int, int>({{3, 13}, {16, 44}, {30, 44}, {30, 9}}));
     const int each = GENERATE(2, 3, 7);  // each scheduler restarts once in this many turns
     std::vector<std::unique_ptr<SchedulerRig>> all;
     std::vector<Nanos> sent;
     Nanos now = 1000 * kSecond;
-    const auto start = [&, schedulers = schedulers, bearable = bearable](int i) {
-        SlowStartSettings slow_start{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(bearable), schedulers,
+    const auto start = [&, schedulers = schedulers, budget = budget](int i) {
+        SlowStartSettings slow_start{0.2, 16 * kSecond, 2, kSecond, static_cast<double>(budget), schedulers,
                                      i};
         auto rig = std::make_unique<SchedulerRig>(std::vector{QueueGroup{}}, slow_start);
         rig->now = now;
@@ -69,11 +69,11 @@
                 if (rig.decisions[sent_index].kind == DecisionKind::place) sent.push_back(now);
         }
     }
-    REQUIRE(sent.size() >= static_cast<std::size_t>(bearable / 2));
+    REQUIRE(sent.size() >= static_cast<std::size_t>(budget / 2));
     for (const Nanos from : sent) {
-        int lately = 0;
-        for (const Nanos at : sent) lately += at >= from && at - from < kSecond;
-        REQUIRE(lately <= bearable);
+        int in_window = 0;
+        for (const Nanos at : sent) in_window += at >= from && at - from < kSecond;
+        REQUIRE(in_window <= budget);
     }
 }
 
@@ -81,15 +81,15 @@
     "half of the attempt budget is distributed to the schedulers in each turn, and none in its first 50 ms") {
     const int schedulers = GENERATE(1, 3, 16, 57);
     const Nanos turn_start = 1000 * kSecond;
-    std::int64_t dealt = 0;
+    std::int64_t distributed = 0;
     for (int i = 0; i < schedulers; ++i) {
         const SlowStartSettings settings{0.2, 60 * kSecond, 2, kSecond, 44, schedulers, i};
         CHECK(scheduler::SlowStart::tokens(settings, 5, turn_start + 49 * kMillisecond) == 0);
-        dealt += scheduler::SlowStart::tokens(settings, 5, turn_start + 50 * kMillisecond);
+        distributed += scheduler::SlowStart::tokens(settings, 5, turn_start + 50 * kMillisecond);
         CHECK(scheduler::SlowStart::tokens(settings, 5, turn_start + 50 * kMillisecond) ==
               Scheduler::slow_start_tokens(settings, 5, turn_start + 50 * kMillisecond));
     }
-    CHECK(dealt == 22);
+    CHECK(distributed == 22);
 }
 
 TEST_CASE("tokens granted by a worker take precedence over the scheduler's own share, and are consumed") {
