--- a/src/scheduler/capacity.cpp
+++ b/src/scheduler/capacity.cpp
@@ -36,15 +36,15 @@
 // gets no more attempts. Could send a burst to other workers that have not loaded the program.
 constexpr double kQueueLimitStep = 0.2;  // five acceptances allow one more attempt
 constexpr double kMaxQueueLimit = 4 * kInitialQueueLimit;
-constexpr double kSilentAnswers = 4;                  // times the mean answer time
-constexpr Nanos kSilentAtLeast = 200 * kMillisecond;  // a slow worker answers a few attempts in that time
+constexpr double kSilenceFactor = 4;               // times the mean answer time
+constexpr Nanos kMinSilence = 200 * kMillisecond;  // a slow worker answers a few attempts in that time
 constexpr double kAnswerWeight = 0.05;
 
 constexpr Nanos kRejectionValid = 700 * kMillisecond;  // a few tasks end on a worker in that time
 constexpr Nanos kFullQueueValid = 300 * kMillisecond;  // a worker empties its queue of attempts in that time
 constexpr Nanos kUnavailableValid = 2 * kSecond;  // it probably drains; the endpoint list shows it by then
 constexpr Nanos kDrainedValid = 5 * kSecond;  // the worker drains; even a late endpoint list shows it by then
-constexpr double kAnyAmount = 1e18;           // larger than any request
+constexpr double kUnlimitedAmount = 1e18;     // larger than any request
 
 }  // namespace
 
@@ -96,7 +96,7 @@
 bool Capacity::is_silent(Nanos now, const Worker& worker) const {
     return worker.capacity.unanswered &&
            now - worker.capacity.unanswered_since >
-               std::max(kSilentAtLeast, from_seconds(kSilentAnswers * usual_answer_s_));
+               std::max(kMinSilence, from_seconds(kSilenceFactor * mean_answer_time_s_));
 }
 
 // Departure from the design (preemption): a task leaves room for queue groups of higher priority, which would
@@ -144,7 +144,7 @@
 }
 
 void Capacity::on_answer_time(double seconds) {
-    usual_answer_s_ = moving_average(usual_answer_s_, seconds, kAnswerWeight);
+    mean_answer_time_s_ = moving_average(mean_answer_time_s_, seconds, kAnswerWeight);
 }
 
 void Capacity::on_task_left(Nanos now, const Task& task, Worker& worker, bool accepted) const {
@@ -171,8 +171,9 @@
         case OutcomeReason::no_cores:
         case OutcomeReason::no_memory:
             state.rejected_until = now + kRejectionValid;
-            state.rejected_cores = reason == OutcomeReason::no_cores ? task.request.cores : kAnyAmount;
-            state.rejected_memory = reason == OutcomeReason::no_memory ? task.request.memory : kAnyAmount;
+            state.rejected_cores = reason == OutcomeReason::no_cores ? task.request.cores : kUnlimitedAmount;
+            state.rejected_memory =
+                reason == OutcomeReason::no_memory ? task.request.memory : kUnlimitedAmount;
             return;
         case OutcomeReason::queue_full:
             state.blocked_until = now + kFullQueueValid;
--- a/src/scheduler/capacity.h
+++ b/src/scheduler/capacity.h
@@ -36,7 +36,9 @@
     // Mean ratio of use to requests in recent reports.
     double core_use_ratio() const { return use_ratio(used_cores_, requested_cores_); }
     double memory_use_ratio() const { return use_ratio(used_memory_, requested_memory_); }
-    double usual_answer_s() const { return usual_answer_s_; }  // mean time from an attempt to its acceptance
+    double mean_answer_time_s() const {
+        return mean_answer_time_s_;
+    }  // mean time from an attempt to its acceptance
 
     void on_attempt_sent(Nanos now, const Task&, Worker&) const;
     void on_accepted(Nanos now, Worker&) const;
@@ -65,7 +67,7 @@
     const SlowStart& slow_start_;
     // Exponentially decaying sums from which the use ratios are computed.
     double used_cores_ = 0, used_memory_ = 0, requested_cores_ = 0, requested_memory_ = 0;
-    double usual_answer_s_ = 0.1;
+    double mean_answer_time_s_ = 0.1;
 };
 
 }  // namespace whinpost::scheduler
--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -91,11 +91,11 @@
 // An attempt without an answer times out early enough for another one, but not before kAnswerFactor times the
 // mean answer time. If less than 30% of the time would be left for the other, or a repeated run could do
 // harm, the timeout is all the time left.
-Nanos RetryPolicy::attempt_timeout(Nanos now, const Task& task, double usual_answer_s) const {
+Nanos RetryPolicy::attempt_timeout(Nanos now, const Task& task, double mean_answer_time_s) const {
     const Nanos left = task.deadline - now;
     if (task.queue_group->effect == Effect::side_effecting || task.attempts + 1 >= max_attempts_) return left;
     const double least_s = accepts_when_running_ ? to_seconds(left) * kStartShare : kLeastTimeoutS;
-    const Nanos timeout = from_seconds(std::max(kAnswerFactor * usual_answer_s, least_s));
+    const Nanos timeout = from_seconds(std::max(kAnswerFactor * mean_answer_time_s, least_s));
     return timeout > left * 7 / 10 ? left : timeout;
 }
 
--- a/src/scheduler/retry_policy.h
+++ b/src/scheduler/retry_policy.h
@@ -23,8 +23,8 @@
     // Whether the final answer may be a rejection, which tells the client that submitting the task again is
     // safe. Otherwise the answer is a failure, after which the task may have run.
     bool may_reject(const Task&) const;
-    // usual_answer_s: the mean time from an attempt to its acceptance, in seconds.
-    Nanos attempt_timeout(Nanos now, const Task&, double usual_answer_s) const;
+    // mean_answer_time_s: the mean time from an attempt to its acceptance, in seconds.
+    Nanos attempt_timeout(Nanos now, const Task&, double mean_answer_time_s) const;
     // Time at which a task that is still without a worker gets its final answer.
     Nanos give_up_at(const Task&) const;
     // Must be called while Task::worker is still set.
--- a/src/scheduler/scheduler_core.cpp
+++ b/src/scheduler/scheduler_core.cpp
@@ -156,7 +156,7 @@
 
 void SchedulerCore::send_attempt(Nanos now, Task& task, Worker& worker) {
     dequeue(task);
-    const Nanos timeout = retry_.attempt_timeout(now, task, capacity_.usual_answer_s());
+    const Nanos timeout = retry_.attempt_timeout(now, task, capacity_.mean_answer_time_s());
     scheduler::attach_task(now, task, worker);
     capacity_.on_attempt_sent(now, task, worker);
     ++task.attempts;
