--- a/src/scheduler/candidate_selection.cpp
+++ b/src/scheduler/candidate_selection.cpp
@@ -16,8 +16,8 @@
 // Limit on the draws that fill the sample. If it is reached, the fleet is full or nearly so.
 constexpr std::uint64_t kMaxDraws = 8 * kSampleSize;
 // Probability that the service already runs on the worker that is drawn first, second, and so on.
-constexpr double kWarmChance[kSampleSize] = {0.7, 0.5, 0.3, 0.2, 0.1, 0, 0, 0};
-constexpr double kTasksTogether = 5;  // typical number of tasks of one service on a worker where it runs
+constexpr double kWarmProbability[kSampleSize] = {0.7, 0.5, 0.3, 0.2, 0.1, 0, 0, 0};
+constexpr double kTasksPerWarmWorker = 5;  // typical number of tasks of one service on a worker where it runs
 // Used cores are estimated with the mean use of all tasks, which is too low for workers whose tasks use more.
 // If workers do not report pressure, the estimate is raised by a quarter before the slowdown limit is
 // applied. Not done in SelectionScope::whole_fleet, where the task must be placed if at all possible.
@@ -30,7 +30,7 @@
 constexpr double kMemorySlope = 8;
 constexpr double kLeastService = 0.05, kLeastDegradationRange = 0.01;
 
-double suffers_from(const QueueGroup& group) {
+double zero_service_utilization(const QueueGroup& group) {
     return group.full_service_utilization + group.degradation_range;
 }
 
@@ -41,7 +41,8 @@
     const QueueGroup* most_sensitive = nullptr;
     for (const QueueGroup& group : groups) {
         if (group.worker_kind >= 0 && group.worker_kind != kind) continue;
-        if (!most_sensitive || suffers_from(group) < suffers_from(*most_sensitive)) most_sensitive = &group;
+        if (!most_sensitive || zero_service_utilization(group) < zero_service_utilization(*most_sensitive))
+            most_sensitive = &group;
     }
     return most_sensitive ? most_sensitive : &groups[0];
 }
@@ -50,7 +51,7 @@
 
 CandidateSelection::CandidateSelection(const SchedulerConfig& config, const SelectionModules& modules)
     : config_(config), modules_(modules),
-      alone_chance_(std::pow(1 - 1.0 / config.slow_start.placers, kTasksTogether)),
+      others_only_probability_(std::pow(1 - 1.0 / config.slow_start.placers, kTasksPerWarmWorker)),
       full_fleet_(config.groups.size()) {
     for (std::size_t kind = 0; kind < config.kinds.size(); ++kind)
         most_sensitive_group_.push_back(most_sensitive_group(config.groups, static_cast<int>(kind)));
@@ -93,11 +94,11 @@
     std::size_t drawn = 0;
     for (std::uint64_t i = 0; i < kMaxDraws && drawn < kSampleSize && search.considered < listed; ++i) {
         Worker* worker = ring.at(series_hash(search.task.service->name_hash, i));
-        if (consider(search, *worker, 1 - kWarmChance[drawn] * alone_chance_)) ++drawn;
+        if (consider(search, *worker, 1 - kWarmProbability[drawn] * others_only_probability_)) ++drawn;
     }
 }
 
-bool CandidateSelection::consider(Search& search, Worker& worker, double cold_chance) {
+bool CandidateSelection::consider(Search& search, Worker& worker, double cold_probability) {
     if (std::exchange(worker.considered_in, selections_) == selections_) return false;
     ++search.considered;
     const bool within_limit = search.scope == SelectionScope::active_set;
@@ -108,7 +109,7 @@
     double cost = expected_slowdown(search, worker);
     if (within_limit && cost > kSlowdownLimit) return true;
     if (!worker.in_active_set) cost += kActivationPriceFactor * config_.prices.workers_in_use;
-    cost += cold_start_cost(search, worker) * cold_chance +
+    cost += cold_start_cost(search, worker) * cold_probability +
             (worker.endpoint.zone != config_.zone ? config_.prices.cross_zone : 0);
     if (!search.best || cost < search.best_cost) {
         search.best = &worker;
--- a/src/scheduler/candidate_selection.h
+++ b/src/scheduler/candidate_selection.h
@@ -64,9 +64,9 @@
 
     bool fits_nowhere(Nanos now, const Task&) const;
     void remember_full_fleet(const Search&);
-    // True if the worker can take the task, whether or not it is the best so far. cold_chance: the
+    // True if the worker can take the task, whether or not it is the best so far. cold_probability: the
     // probability that a start is cold on a worker where this scheduler has no task of the service.
-    bool consider(Search&, Worker&, double cold_chance);
+    bool consider(Search&, Worker&, double cold_probability);
     void draw_from_ring(Search&);
     double expected_slowdown(const Search&, Worker&) const;
     double cold_start_cost(const Search&, Worker&) const;
@@ -74,7 +74,8 @@
     const SchedulerConfig& config_;
     const SelectionModules modules_;
     std::vector<const QueueGroup*> most_sensitive_group_;  // by worker kind
-    double alone_chance_;  // that none of kTasksTogether tasks of a service was placed by this scheduler
+    double others_only_probability_;  // that none of kTasksPerWarmWorker tasks of a service was placed by
+                                      // this scheduler
     std::uint64_t selections_ = 0;
     std::vector<FullFleet> full_fleet_;  // by queue group
 };
