--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -25,7 +25,7 @@
 }
 
 // Whether both workers are in the same failure domain of this size.
-bool shares_keys(FailureDomain domain, const Worker& first, const Worker& second) {
+bool in_same_domain(FailureDomain domain, const Worker& first, const Worker& second) {
     switch (domain) {
         case FailureDomain::worker:
             return &first == &second;
@@ -45,7 +45,7 @@
 int tasks_in_domain(const Task& task, const Worker& worker, FailureDomain domain) {
     int count = 0;
     for (Worker* other : task.service->workers)
-        if (shares_keys(domain, *other, worker)) count += other->find_service(task.service)->tasks;
+        if (in_same_domain(domain, *other, worker)) count += other->find_service(task.service)->tasks;
     return count;
 }
 
@@ -59,7 +59,7 @@
     if (task.first_possible_run && group.effect == Effect::side_effecting) return false;
     if (task.first_possible_run && group.effect == Effect::keyed) {
         if (key_expired(now, task)) return false;
-        if (!shares_keys(group.deduplicated_by, *task.first_possible_run, worker)) return false;
+        if (!in_same_domain(group.deduplicated_by, *task.first_possible_run, worker)) return false;
     }
     return group.spread_domain == FailureDomain::none ||
            tasks_in_domain(task, worker, group.spread_domain) < group.max_per_domain;
