--- a/src/scheduler/outlier_detection.cpp
+++ b/src/scheduler/outlier_detection.cpp
@@ -23,13 +23,13 @@
 
 // A start is late from this multiple of the 80th percentile of start latency. A lower value avoids healthy
 // workers at low load.
-constexpr double kLateStart = 2.5;
+constexpr double kLateStartFactor = 2.5;
 // Reports come once a second, so three missed reports halve the value.
 constexpr Nanos kResidualHalfLife = 3 * kSecond;
 constexpr double kOutlierFailureRate = 0.2;
 // Factors that make a value follow the 80th percentile: four steps down about cancel one step up, so it
 // settles where one start in five takes longer.
-constexpr double kUsualStartUp = 1.16, kUsualStartDown = 1 / 1.04;
+constexpr double kPercentileStepUp = 1.16, kPercentileStepDown = 1 / 1.04;
 
 std::size_t group_index(const Task& task) { return static_cast<std::size_t>(task.request.queue_group); }
 
@@ -73,9 +73,9 @@
 // workers. Workers that are warming up are excluded, as their starts are expected to be slow. One unusual
 // start could keep tasks off a worker for some seconds.
 double OutlierDetection::late_start_slowdown(const Task& task, Nanos now) const {
-    const double usual = usual_start_s_[start_slot(task)];
+    const double usual = start_latency_p80_s_[start_slot(task)];
     if (usual <= 0 || slow_start_.is_warming_up(task.sent_at, *task.worker)) return 0;
-    return std::clamp(to_seconds(now - task.sent_at) / (kLateStart * usual) - 1, 0.0, 1.0);
+    return std::clamp(to_seconds(now - task.sent_at) / (kLateStartFactor * usual) - 1, 0.0, 1.0);
 }
 
 // Guards against slowdown that no known neighbour explains: a slow or shared worker, tasks that suddenly use
@@ -96,8 +96,8 @@
     on_residual_slowdown(now, worker, late > old ? late : moving_average(old, late, 0.5));
     // A high percentile and not the mean, because a start that counts as cold here may be warm: a task of the
     // service from another scheduler may run there.
-    double& usual = usual_start_s_[start_slot(task)];
-    usual = usual > 0 ? usual * (latency_s > usual ? kUsualStartUp : kUsualStartDown) : latency_s;
+    double& usual = start_latency_p80_s_[start_slot(task)];
+    usual = usual > 0 ? usual * (latency_s > usual ? kPercentileStepUp : kPercentileStepDown) : latency_s;
 }
 
 // Guards against tasks that fail on every worker: the second failure of a task is attributed to the task, and
--- a/src/scheduler/outlier_detection.h
+++ b/src/scheduler/outlier_detection.h
@@ -15,7 +15,8 @@
     // reports_pressure: whether workers report service shares; if not, late starts are used in their place.
     // The SlowStart must outlive this object.
     OutlierDetection(std::size_t queue_groups, bool reports_pressure, const SlowStart& slow_start)
-        : reports_pressure_(reports_pressure), slow_start_(slow_start), usual_start_s_(2 * queue_groups) {}
+        : reports_pressure_(reports_pressure), slow_start_(slow_start),
+          start_latency_p80_s_(2 * queue_groups) {}
 
     // Failed share of this scheduler's recent attempts of a queue group on a worker, computed as if one more
     // had started.
@@ -42,7 +43,7 @@
     const bool reports_pressure_;
     const SlowStart& slow_start_;
     // 80th percentile of start latency in seconds, by queue group, without and with the program loaded.
-    std::vector<double> usual_start_s_;
+    std::vector<double> start_latency_p80_s_;
 };
 
 }  // namespace whinpost::scheduler
