--- a/src/scheduler/colocation.cpp
+++ b/src/scheduler/colocation.cpp
@@ -3,12 +3,12 @@
 namespace whinpost::scheduler {
 namespace {
 
-constexpr Nanos kProgramKept = 5 * kSecond;  // workers keep a few programs loaded after their last task
+constexpr Nanos kProgramCacheTime = 5 * kSecond;  // workers keep a few programs loaded after their last task
 // Age at which the record of a service without tasks on a worker is dropped.
-constexpr Nanos kServiceKept = 15 * kSecond;
+constexpr Nanos kServiceRecordTime = 15 * kSecond;
 
 bool ran_lately(Nanos now, const ColocatedService& colocated) {
-    return colocated.last_ran_at && now - colocated.last_ran_at < kProgramKept;
+    return colocated.last_ran_at && now - colocated.last_ran_at < kProgramCacheTime;
 }
 
 }  // namespace
@@ -41,7 +41,7 @@
     }
     std::erase(worker.tasks, &task);
     std::erase_if(worker.services, [now, &worker](const ColocatedService& known) {
-        if (known.tasks || now - known.last_ran_at <= kServiceKept) return false;
+        if (known.tasks || now - known.last_ran_at <= kServiceRecordTime) return false;
         std::erase(known.service->workers, &worker);
         return true;
     });
