--- a/include/whinpost/service.h
+++ b/include/whinpost/service.h
@@ -26,7 +26,7 @@
     double mean_runtime_s = 0;
     std::vector<double> warm_starts_s;  // latencies of the latest warm starts, a ring buffer
     std::size_t next_warm_start = 0;
-    double median_warm_start_s = 0, median_cold_start_s = 0;
+    double median_warm_start_s = 0, mean_cold_start_s = 0;
 };
 
 }  // namespace whinpost
--- a/src/scheduler/interference_model.cpp
+++ b/src/scheduler/interference_model.cpp
@@ -73,9 +73,9 @@
 void InterferenceModel::observe_start(const Task& task, double latency_s) {
     Service& service = *task.service;
     if (!task.warm_start) {
-        service.median_cold_start_s =
-            service.median_cold_start_s > 0
-                ? moving_average(service.median_cold_start_s, latency_s, kColdStartWeight)
+        service.mean_cold_start_s =
+            service.mean_cold_start_s > 0
+                ? moving_average(service.mean_cold_start_s, latency_s, kColdStartWeight)
                 : latency_s;
         return;
     }
--- a/src/scheduler/migration.cpp
+++ b/src/scheduler/migration.cpp
@@ -37,7 +37,7 @@
     const double left_s = task.service->mean_runtime_s > 0 ? task.service->mean_runtime_s / 2 : start_value_s;
     const double gain = left_s * (1 - 1 / (1 + task.worker->outlier.residual_slowdown));
     const double cost =
-        price_ * (2 * left_s + start_value_s) + std::max(task.service->median_cold_start_s, kLeastColdStartS);
+        price_ * (2 * left_s + start_value_s) + std::max(task.service->mean_cold_start_s, kLeastColdStartS);
     return !(gain < kMinGain * cost);
 }
 
--- a/tests/interference_model_test.cpp
+++ b/tests/interference_model_test.cpp
@@ -98,7 +98,7 @@
     task.service = &service;
     task.worker = &worker;
     for (const double latency_s : {1.0, 2.0}) model.observe_start(task, latency_s);
-    CHECK(service.median_cold_start_s == Approx(1.2));
+    CHECK(service.mean_cold_start_s == Approx(1.2));
     CHECK(service.warm_starts_s.empty());
     task.warm_start = true;
     for (int i = 0; i < 30; ++i) model.observe_start(task, i == 20 ? 100 : 0.1);
