--- a/src/scheduler/active_set.cpp
+++ b/src/scheduler/active_set.cpp
@@ -15,8 +15,8 @@
                      const OutlierDetection& outliers)
     : config_(config), capacity_(capacity), outliers_(outliers) {
     for (const QueueGroup& group : config.groups)
-        least_full_service_utilization_ =
-            std::min(least_full_service_utilization_, group.full_service_utilization);
+        min_full_service_utilization_ =
+            std::min(min_full_service_utilization_, group.full_service_utilization);
 }
 
 double ActiveSet::fill_of(const Worker& worker, double core_ratio, double memory_ratio) const {
@@ -24,7 +24,7 @@
     const double memory = 1 - worker.endpoint.free_memory / worker.kind->memory;
     return std::max(
         {cores / config_.acceptance.cores_overcommit, memory / config_.acceptance.memory_overcommit,
-         cores * core_ratio / least_full_service_utilization_, memory * memory_ratio / kFullMemory});
+         cores * core_ratio / min_full_service_utilization_, memory * memory_ratio / kFullMemory});
 }
 
 void ActiveSet::refresh_if_due(Nanos now, const std::vector<Worker*>& listed_workers) {
--- a/src/scheduler/active_set.h
+++ b/src/scheduler/active_set.h
@@ -33,7 +33,7 @@
     const SchedulerConfig& config_;
     const Capacity& capacity_;
     const OutlierDetection& outliers_;
-    double least_full_service_utilization_ = 1;  // the lowest of all queue groups
+    double min_full_service_utilization_ = 1;  // the lowest of all queue groups
     Nanos next_refresh_at_ = 0;
     Nanos widened_until_ = 0;
     int extra_workers_ = 0;
--- a/src/scheduler/candidate_selection.cpp
+++ b/src/scheduler/candidate_selection.cpp
@@ -28,7 +28,7 @@
 // Slowdown per share of memory in use above kFullMemory: overfull memory slows tasks by up to 70% within a
 // tenth of its size.
 constexpr double kMemorySlope = 8;
-constexpr double kLeastService = 0.05, kLeastDegradationRange = 0.01;
+constexpr double kMinService = 0.05, kMinDegradationRange = 0.01;
 
 double zero_service_utilization(const QueueGroup& group) {
     return group.full_service_utilization + group.degradation_range;
@@ -129,9 +129,9 @@
     const double excess =
         (margin ? kLoadMargin : 1) * load.used_cores / worker.kind->cores - curve.full_service_utilization;
     if (excess > 0)
-        sum += 1 / std::max(kLeastService,
-                            1 - excess / std::max(curve.degradation_range, kLeastDegradationRange)) -
-               1;
+        sum +=
+            1 / std::max(kMinService, 1 - excess / std::max(curve.degradation_range, kMinDegradationRange)) -
+            1;
     sum += kMemorySlope * std::max(0.0, load.used_memory / worker.kind->memory - kFullMemory);
     // The failure rate counts as the expected failed attempts per start, so that the least bad worker is
     // still used when all are bad.
--- a/src/scheduler/interference_model.cpp
+++ b/src/scheduler/interference_model.cpp
@@ -13,11 +13,11 @@
 constexpr double kStartingSlowdown = 0.003;
 constexpr double kLearningRate = 0.05;       // the design's learning rate
 constexpr double kPairWeight = 0.2;          // a pair value mostly reflects its last ten observations
-constexpr double kLeastSlowdown = 0.01;      // the design's lower bound in placement_order()
+constexpr double kMinOrderSlowdown = 0.01;   // the design's lower bound in placement_order()
 constexpr std::size_t kMaxPairs = 512;       // known neighbours per service; bounds the memory
 constexpr std::size_t kWarmStartsKept = 15;  // enough for a median that one odd start cannot move
 constexpr std::size_t kWarmStartsNeeded = 3;
-constexpr double kLeastCoresWeight = 0.05;
+constexpr double kMinCoresWeight = 0.05;
 constexpr double kColdStartWeight = 0.2;
 
 }  // namespace
@@ -91,13 +91,13 @@
 void InterferenceModel::observe_cores(Service& service, double cores) const {
     service.core_reports += 1;
     service.mean_cores =
-        moving_average(service.mean_cores, cores, std::max(kLeastCoresWeight, 1 / service.core_reports));
+        moving_average(service.mean_cores, cores, std::max(kMinCoresWeight, 1 / service.core_reports));
 }
 
 double InterferenceModel::placement_order(const Task& task) const {
     const Service& service = *task.service;
     const double cores = service.core_reports > 0 ? service.mean_cores : task.request.cores;
-    return cores / std::max(kLeastSlowdown, service.mean_slowdown);
+    return cores / std::max(kMinOrderSlowdown, service.mean_slowdown);
 }
 
 }  // namespace whinpost::scheduler
--- a/src/scheduler/migration.cpp
+++ b/src/scheduler/migration.cpp
@@ -14,7 +14,7 @@
 // In a fuller fleet, a migration only moves the overload to another worker.
 constexpr double kMaxUtilization = 0.8;
 constexpr Nanos kCheckInterval = kSecond;
-constexpr double kLeastColdStartS = 1.0;
+constexpr double kMinColdStartS = 1.0;
 
 }  // namespace
 
@@ -37,7 +37,7 @@
     const double left_s = task.service->mean_runtime_s > 0 ? task.service->mean_runtime_s / 2 : start_value_s;
     const double gain = left_s * (1 - 1 / (1 + task.worker->outlier.residual_slowdown));
     const double cost =
-        price_ * (2 * left_s + start_value_s) + std::max(task.service->mean_cold_start_s, kLeastColdStartS);
+        price_ * (2 * left_s + start_value_s) + std::max(task.service->mean_cold_start_s, kMinColdStartS);
     return !(gain < kMinGain * cost);
 }
 
--- a/src/scheduler/retry_policy.cpp
+++ b/src/scheduler/retry_policy.cpp
@@ -13,7 +13,7 @@
 constexpr double kAnswerFactor = 8;
 // Share of the time left that an attempt gets at least, if workers accept it only when its task runs.
 constexpr double kStartShare = 0.6;
-constexpr double kLeastTimeoutS = 0.4;
+constexpr double kMinTimeoutS = 0.4;
 
 bool proves_not_run(AttemptOutcome outcome) {
     return outcome == AttemptOutcome::rejected || outcome == AttemptOutcome::connect_failed ||
@@ -94,7 +94,7 @@
 Nanos RetryPolicy::attempt_timeout(Nanos now, const Task& task, double mean_answer_time_s) const {
     const Nanos left = task.deadline - now;
     if (task.queue_group->effect == Effect::side_effecting || task.attempts + 1 >= max_attempts_) return left;
-    const double least_s = accepts_when_running_ ? to_seconds(left) * kStartShare : kLeastTimeoutS;
+    const double least_s = accepts_when_running_ ? to_seconds(left) * kStartShare : kMinTimeoutS;
     const Nanos timeout = from_seconds(std::max(kAnswerFactor * mean_answer_time_s, least_s));
     return timeout > left * 7 / 10 ? left : timeout;
 }
--- a/src/scheduler/scheduler_core.cpp
+++ b/src/scheduler/scheduler_core.cpp
@@ -11,7 +11,7 @@
 
 // Delay until a task without a worker is tried again; a small part of a start objective.
 constexpr Nanos kRoundInterval = 40 * kMillisecond;
-constexpr Nanos kLeastWait = kMillisecond;
+constexpr Nanos kMinWakeDelay = kMillisecond;
 
 // Folds the seed into the fewer bits that the random engine takes.
 std::ranlux24_base::result_type folded(std::uint64_t seed) {
@@ -174,7 +174,7 @@
     Nanos next = 0;
     for (const Task* task : queue_)
         if (!next || task->not_before < next) next = task->not_before;
-    if (next) wake_no_later_than(now, std::max(next, now + kLeastWait));
+    if (next) wake_no_later_than(now, std::max(next, now + kMinWakeDelay));
 }
 
 void SchedulerCore::wake_no_later_than(Nanos now, Nanos at) {
--- a/src/scheduler/task_events.cpp
+++ b/src/scheduler/task_events.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Nanos kStall = kSecond;
-constexpr double kLeastShare = 0.05;
+constexpr double kMinServiceShare = 0.05;
 constexpr double kRuntimeWeight = 0.1;
 
 // Whether the outcome of an attempt counts as a failure of its worker or its task.
@@ -72,7 +72,7 @@
 
 void SchedulerCore::on_service_share(Nanos now, Task& task, double share) {
     if (!task.worker || !task.accepted) return;
-    const double slowdown = 1.0 / std::max(share, kLeastShare) - 1.0;
+    const double slowdown = 1.0 / std::max(share, kMinServiceShare) - 1.0;
     task.has_service_report = true;
     const double predicted = interference_.predict(*task.worker, *task.service);
     outliers_.on_residual_slowdown(now, *task.worker, std::max(0.0, slowdown - predicted));
