--- a/include/whinpost/worker.h
+++ b/include/whinpost/worker.h
@@ -23,9 +23,9 @@
 
 // State of src/scheduler/endpoint_list.h.
 struct WorkerListing {
-    bool is_listed = false;    // in the endpoint list
-    bool has_changed = false;  // new or with a changed phase in the current watch event
-    int named_in_watch = 0;    // number of the latest watch event that named it
+    bool is_listed = false;      // in the endpoint list
+    bool has_changed = false;    // new or with a changed phase in the current watch event
+    int latest_watch_event = 0;  // number of the latest watch event that named it
 };
 
 // State of src/scheduler/capacity.h.
--- a/src/scheduler/active_set.cpp
+++ b/src/scheduler/active_set.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr double kTargetFill = 0.80;  // share of the load that a worker may hold; the rest is spare room
-constexpr Nanos kWidenedFor = 2 * kSecond;
+constexpr Nanos kWideningDuration = 2 * kSecond;
 
 }  // namespace
 
@@ -54,7 +54,7 @@
 
 void ActiveSet::widen(Nanos now, std::size_t listed_workers) {
     extra_workers_ = std::min<int>(extra_workers_ + 1, static_cast<int>(listed_workers));
-    widened_until_ = now + kWidenedFor;
+    widened_until_ = now + kWideningDuration;
 }
 
 }  // namespace whinpost::scheduler
--- a/src/scheduler/endpoint_list.cpp
+++ b/src/scheduler/endpoint_list.cpp
@@ -31,7 +31,7 @@
 }
 
 bool EndpointList::update(Worker& worker, const EndpointState& state) {
-    worker.listing.named_in_watch = watch_events_;
+    worker.listing.latest_watch_event = watch_events_;
     const bool was_listed = std::exchange(worker.listing.is_listed, true);
     if (!was_listed) listed_workers_.push_back(&worker);
     if (!was_listed || worker.endpoint.phase != state.phase) mark_changed(worker);
@@ -46,7 +46,7 @@
 void EndpointList::finish_watch_event(bool complete) {
     if (complete) {
         for (Worker* worker : listed_workers_) {
-            if (worker->listing.named_in_watch == watch_events_) continue;
+            if (worker->listing.latest_watch_event == watch_events_) continue;
             if (worker->endpoint.phase == EndpointPhase::gone) continue;
             worker->endpoint.phase = EndpointPhase::gone;
             mark_changed(*worker);
--- a/src/scheduler/migration.cpp
+++ b/src/scheduler/migration.cpp
@@ -29,10 +29,10 @@
     const double requested_cores = worker.kind->cores - worker.endpoint.free_cores;
     if (static_cast<double>(random() % 1000) * requested_cores > 1000 * worker.capacity.own_cores)
         return false;
-    return is_worth_it(task);
+    return gain_exceeds_cost(task);
 }
 
-bool Migration::is_worth_it(const Task& task) const {
+bool Migration::gain_exceeds_cost(const Task& task) const {
     const double start_value_s = task.queue_group->start_value_s;
     const double left_s = task.service->mean_runtime_s > 0 ? task.service->mean_runtime_s / 2 : start_value_s;
     const double gain = left_s * (1 - 1 / (1 + task.worker->outlier.residual_slowdown));
--- a/src/scheduler/migration.h
+++ b/src/scheduler/migration.h
@@ -24,7 +24,7 @@
                                       std::ranlux24_base& random) const;
 
 private:
-    bool is_worth_it(const Task&) const;
+    bool gain_exceeds_cost(const Task&) const;
 
     const double price_;
 };
--- a/src/scheduler/scheduler_core.cpp
+++ b/src/scheduler/scheduler_core.cpp
@@ -14,14 +14,14 @@
 constexpr Nanos kMinWakeDelay = kMillisecond;
 
 // Folds the seed into the fewer bits that the random engine takes.
-std::ranlux24_base::result_type folded(std::uint64_t seed) {
+std::ranlux24_base::result_type fold_seed(std::uint64_t seed) {
     return static_cast<std::ranlux24_base::result_type>(seed ^ (seed >> 24) ^ (seed >> 48));
 }
 
 }  // namespace
 
 SchedulerCore::SchedulerCore(DecisionHandler& handler, std::uint64_t seed, scheduler::SchedulerConfig config)
-    : handler_(handler), config_(std::move(config)), random_(folded(seed)), endpoints_(config_.kinds),
+    : handler_(handler), config_(std::move(config)), random_(fold_seed(seed)), endpoints_(config_.kinds),
       watch_retry_(config_.discovery.poll_interval), slow_start_(config_.slow_start),
       capacity_(config_.acceptance, config_.groups, slow_start_),
       outliers_(config_.groups.size(), config_.acceptance.reports_pressure, slow_start_),
--- a/src/scheduler/task_events.cpp
+++ b/src/scheduler/task_events.cpp
@@ -8,7 +8,7 @@
 namespace whinpost {
 namespace {
 
-constexpr Nanos kStall = kSecond;
+constexpr Nanos kStallThreshold = kSecond;
 constexpr double kMinServiceShare = 0.05;
 constexpr double kRuntimeWeight = 0.1;
 
@@ -36,7 +36,7 @@
 // Whether the scheduler itself was stalled. Events of that time are then all delivered at once, and do not
 // show how long workers took. Guards against learning from such delays. Seldom true without a stall, as some
 // report arrives every second.
-bool SchedulerCore::was_stalled(Nanos now) const { return now - last_round_at_ > kStall; }
+bool SchedulerCore::was_stalled(Nanos now) const { return now - last_round_at_ > kStallThreshold; }
 
 void SchedulerCore::on_accepted(Nanos now, Task& task) {
     if (task.settled || !task.worker) return;
