--- a/simulator_adapter/scheduler_instance.cpp
+++ b/simulator_adapter/scheduler_instance.cpp
@@ -7,7 +7,7 @@
 namespace whinpost::simulator_adapter {
 namespace {
 
-constexpr Nanos kFinishedKept = 30 * kSecond;
+constexpr Nanos kFinishedRetention = 30 * kSecond;
 
 }  // namespace
 
@@ -85,7 +85,7 @@
 }
 
 void SchedulerInstance::forget_finished(Nanos now) {
-    while (!finished_.empty() && now - finished_.front().first > kFinishedKept) {
+    while (!finished_.empty() && now - finished_.front().first > kFinishedRetention) {
         finished_ids_.erase(finished_.front().second);
         finished_.pop_front();
     }
--- a/simulator_adapter/simulator_adapter.cpp
+++ b/simulator_adapter/simulator_adapter.cpp
@@ -64,7 +64,7 @@
 void SimulatorAdapter::dispatch(std::string_view line) {
     MessageFields fields(line);
     const std::string_view message = fields.message();
-    if (entries_due_ > 0) {
+    if (entries_expected_ > 0) {
         if (message != "M") throw MalformedMessage("POOL", "nodes_list", "names more entries than follow");
         return on_pool_entry(fields);
     }
@@ -75,7 +75,7 @@
 }
 
 void SimulatorAdapter::end_batch() {
-    if (entries_due_ > 0) throw MalformedMessage("POOL", "nodes_list", "names more entries than follow");
+    if (entries_expected_ > 0) throw MalformedMessage("POOL", "nodes_list", "names more entries than follow");
     std::string reply;
     for (SchedulerInstance* instance : active_) {
         current_ = instance;
@@ -147,7 +147,7 @@
     sheet_ = fields.index("sheet", sheets_.size());
     const std::int64_t count = fields.integer("nodes_list");
     if (count < 0 || count > kMaxPoolEntries) fields.fail("nodes_list", "is out of range");
-    entries_due_ = count;
+    entries_expected_ = count;
     sheets_[sheet_].clear();
 }
 
@@ -164,7 +164,7 @@
     endpoint.state.started_at = fields.duration_or_zero("ready_at_us");
     fields.expect_end();
     sheets_[sheet_].push_back(std::move(endpoint));
-    --entries_due_;
+    --entries_expected_;
 }
 
 void SimulatorAdapter::on_roster_change(MessageFields& fields) {
--- a/simulator_adapter/simulator_adapter.h
+++ b/simulator_adapter/simulator_adapter.h
@@ -63,8 +63,8 @@
     SchedulerInstance* current_ = nullptr;    // the instance that the next messages are for
     std::vector<SchedulerInstance*> active_;  // instances that got messages in this batch, in order
     std::array<std::vector<ListedEndpoint>, 16> sheets_;
-    std::size_t sheet_ = 0;         // the sheet that the next pool entries belong to
-    std::int64_t entries_due_ = 0;  // entries of the current POOL that have not come yet
+    std::size_t sheet_ = 0;              // the sheet that the next pool entries belong to
+    std::int64_t entries_expected_ = 0;  // entries of the current POOL that have not come yet
 };
 
 }  // namespace whinpost::simulator_adapter
