--- a/src/platform/attempt_controller.cpp
+++ b/src/platform/attempt_controller.cpp
@@ -21,7 +21,7 @@
     : context_(context), tasks_(tasks), lifecycle_(lifecycle), endpoints_(endpoints), watch_(watch),
       pool_(pool), clients_(clients), adoptions_(adoptions), releases_(releases) {}
 
-// ---------------------------------------------------------------- the planner's decisions
+// ---------------------------------------------------------------- planner decisions
 
 void AttemptController::place(planner::TaskNumber number, planner::WorkerNumber to, Nanos timeout) {
     InFlightTask* task = tasks_.find(number);
@@ -53,7 +53,7 @@
     });
 }
 
-// The ledger knows no such attempt, so the planner alone is told.
+// The ledger has no such attempt, so its end is reported to the planner only.
 void AttemptController::defer_not_sent(planner::TaskNumber number) {
     context_.rounds.defer([this, number] {
         context_.planner().on_attempt_ended(context_.now(), number, 0, AttemptOutcome::not_sent,
@@ -62,7 +62,8 @@
     });
 }
 
-// Where nobody would place it anew it stays until its client is back.
+// While the client has no connection, nobody would request the task again, so it keeps running until the
+// client is back.
 void AttemptController::migrate(planner::TaskNumber number) {
     InFlightTask* task = tasks_.find(number);
     if (!task || !task->running) return;
@@ -87,7 +88,7 @@
     context_.rounds.schedule();
 }
 
-// What it was to leave may be over by now, but a drain is not.
+// The reason for the migration may have passed meanwhile, so only tasks on draining workers are migrated.
 void AttemptController::resume_migrations(const ClientConnection& client) {
     std::erase_if(pending_migrations_, [this, &client](planner::TaskNumber number) {
         const InFlightTask* task = tasks_.find(number);
@@ -113,7 +114,7 @@
     lifecycle_.end_attempt(task, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
 }
 
-// ---------------------------------------------------------------- what workers say
+// ---------------------------------------------------------------- worker events
 
 bool AttemptController::may_send(InFlightTask& task) {
     return task.record->in_flight && !(task.client && task.client->may_have_disconnected()) &&
@@ -150,7 +151,7 @@
 void AttemptController::on_attempt_ended(InFlightTask& task, AttemptOutcome outcome, OutcomeReason reason,
                                          const LoadReport& report) {
     if (!task.record->in_flight) return;
-    // Its time may run out between the decision and the write, in the same round.
+    // The attempt's time can run out between the decision and the write, within the planner's round.
     if (context_.rounds.in_round()) {
         context_.rounds.defer([this, number = task.record->number, outcome, reason, report] {
             InFlightTask* remaining = tasks_.find(number);
@@ -158,8 +159,9 @@
         });
         return;
     }
-    // Answers can be late, or lost, while the task runs and comes to its end: the platform wants that end
-    // told to the client, who asks again. Started anew in silence, the task counted as lost.
+    // The worker's answer can be late or lost although the task runs and ends. The platform requires that the
+    // client receives that end, and the client then requests the task again. A task that was retried without
+    // telling the client counted as lost.
     const bool may_have_ended = outcome == AttemptOutcome::reset || outcome == AttemptOutcome::completed ||
                                 outcome == AttemptOutcome::cancelled;
     const bool ran_unanswered = task.reported_running && may_have_ended;
@@ -180,8 +182,8 @@
                       {"worker", task.worker->name()},
                       {"cause", static_cast<int>(cause)},
                       {"connected", task.client != nullptr}});
-    // Also where it was cancelled: what this placer cancels it no longer holds, so its client has not asked
-    // for that here, and waits.
+    // Sent for cancelled tasks too. A task that this placer cancels is removed at once, so its client has not
+    // cancelled this one here and waits for its end.
     lifecycle_.end_running(task, outcome, reason, cause, report);
 }
 
--- a/src/platform/attempt_controller.h
+++ b/src/platform/attempt_controller.h
@@ -1,5 +1,5 @@
-// Attempts and running tasks: carries out what the planner decides about them, and tells it what became of
-// them.
+// Carries out the planner's decisions on attempts and running tasks, and reports their results to the
+// planner.
 #pragma once
 #include <set>
 
@@ -17,14 +17,14 @@
                       const DiscoveryWatch&, WorkerPool&, ClientServer&, AdoptionController&,
                       ReleaseController&);
 
-    // The planner's decisions, called from within its round; without effect where the task is gone.
+    // Decisions of the planner, called during its round; ignored if the task no longer exists.
     void place(planner::TaskNumber, planner::WorkerNumber, Nanos timeout);
     void migrate(planner::TaskNumber);
     void cancel_attempt(planner::TaskNumber);
 
-    // The client has a connection: its tasks that were to be migrated when it had none are migrated now.
+    // To be called when the client has connected: carries out the migrations that waited for its connection.
     void resume_migrations(const ClientConnection&);
-    // The client no longer wants its running task.
+    // Ends a running task that its client has cancelled.
     void cancel_running(InFlightTask&);
 
     bool may_send(InFlightTask&) override;
@@ -55,7 +55,7 @@
     ClientServer& clients_;
     AdoptionController& adoptions_;
     ReleaseController& releases_;
-    // Put off until their clients have a connection.
+    // Migrations that wait until the task's client has a connection.
     std::set<planner::TaskNumber> pending_migrations_;
 };
 
--- a/src/platform/bootstrap_config.cpp
+++ b/src/platform/bootstrap_config.cpp
@@ -11,7 +11,7 @@
 
 using Json = nlohmann::json;
 
-constexpr const char* kNotHex = "is not text of hex digits";
+constexpr const char* kNotHex = "is not a string of hexadecimal digits";
 constexpr std::int64_t kMinSockets = 32, kMaxSockets = 10'000'000;
 
 std::string plain_text(const Json& value) {
@@ -20,7 +20,7 @@
     return value.dump();
 }
 
-// Nested JSON to the paths of the simulator's first message.
+// Flattens nested JSON to the dotted keys of the simulator's first message.
 void flatten(const Json& value, const std::string& path, settings::Settings& settings) {
     const std::string prefix = path.empty() ? path : path + ".";
     if (value.is_object()) {
@@ -36,7 +36,7 @@
     } else settings.put(path, plain_text(value));
 }
 
-// The members of one JSON object; errors name the file and the member's full path.
+// Reads the members of one JSON object. Errors name the file and the member's full path.
 class ObjectReader {
 public:
     ObjectReader(const Json& object, std::string file, std::string prefix = "")
@@ -80,7 +80,7 @@
         const Json* value = find(key);
         if (!value || !value->is_number_integer() || value->get<std::int64_t>() < kMinSockets ||
             value->get<std::int64_t>() > kMaxSockets)
-            fail(key, "is not a whole number from 32 on");
+            fail(key, "is not a whole number from 32 to 10000000");
         return value->get<std::size_t>();
     }
 
--- a/src/platform/bootstrap_config.h
+++ b/src/platform/bootstrap_config.h
@@ -1,4 +1,4 @@
-// What the platform tells a placer at its start: one JSON file, read and checked whole.
+// The placer's start-up configuration from the platform: one JSON file, read and checked as a whole.
 #pragma once
 #include <cstdint>
 #include <stdexcept>
@@ -10,8 +10,8 @@
 
 namespace whinpost::platform {
 
-// The exception with which the start ends. The text is `SOURCE: KEY PROBLEM`, without the key where the
-// source as a whole is wrong.
+// Thrown for an invalid start-up configuration. The text is `SOURCE: KEY PROBLEM`, without the key if the
+// problem concerns the whole source.
 struct BootstrapError : std::runtime_error {
     // `source`: a file or an environment variable.
     BootstrapError(std::string source, std::string key, std::string problem);
@@ -28,10 +28,11 @@
     std::uint64_t seed() const { return seed_; }
     std::size_t descriptors() const { return descriptors_; }  // for connections to clients and workers
     const std::string& discovery_address() const { return discovery_address_; }
-    // The number of the last initial event.
+    // The sequence number of the last initial event.
     std::int64_t last_sequence() const { return last_sequence_; }
     const std::vector<std::string>& initial_events() const { return initial_events_; }  // each as JSON
-    // Not checked here: its getters throw settings::SettingsError, which names the file and the key.
+    // Not checked here: the getters of Settings throw settings::SettingsError, which names the file and the
+    // key.
     const settings::Settings& settings() const { return settings_; }
 
 private:
--- a/src/platform/connection_allocator.cpp
+++ b/src/platform/connection_allocator.cpp
@@ -5,8 +5,8 @@
 namespace whinpost::platform {
 namespace {
 
-// Where there are more workers than descriptors, each in turn has one for so long; all have had theirs well
-// before a worker that is not connected counts as lost.
+// When there are more workers than descriptors, each worker in turn keeps a connection for this long. Every
+// worker gets a turn well before a worker without a connection counts as lost.
 constexpr Nanos kTurn = kSecond;
 
 }  // namespace
@@ -15,8 +15,9 @@
                                          const ClientServer& clients, WorkerPool& pool)
     : loop_(loop), budget_(budget), clients_(clients), pool_(pool) {}
 
-// A worker that finds no descriptor waits in the queue, and nobody passes it: otherwise workers that are used
-// all the time would keep theirs for good, and the others would never be reached.
+// A worker for which no descriptor is free waits in the queue, and no other worker is served before it.
+// Otherwise workers in constant use would keep their descriptors for good, and the others would never be
+// connected.
 bool ConnectionAllocator::reserve_connection(PooledWorker& worker) {
     const bool fits = worker_fits();
     if (!queue_.others_first(worker.number()) && (fits || close_least_useful())) {
@@ -32,8 +33,9 @@
     return budget_.workers_make_room(clients_.size()) && close_least_useful();
 }
 
-// Guards against more workers than descriptors: the watch on the endpoint list, or a client, would find none.
-// Connections to workers where nothing runs are closed first.
+// Guards against a lack of descriptors for the discovery watch or a client when there are more workers than
+// descriptors. Closes an idle connection: first those to workers without running tasks, and among these the
+// one that has been idle for the longest.
 bool ConnectionAllocator::close_least_useful() {
     const Nanos now = loop_.now();
     WorkerConnection* chosen = nullptr;
@@ -51,7 +53,8 @@
     return chosen != nullptr;
 }
 
-// Of the connections that have had their turn, the one that is up for the longest.
+// Of the connections whose turn is over and that can be closed or retired, as `wanted` says, returns the one
+// that has been up for the longest; null if there is none.
 WorkerConnection* ConnectionAllocator::oldest_past_its_turn(Nanos now, Wanted wanted) const {
     WorkerConnection* oldest = nullptr;
     for (const auto& worker : pool_.workers()) {
@@ -63,9 +66,9 @@
     return oldest;
 }
 
-// A connection that is used all the time is never idle; once its turn is over it carries nothing new, and is
-// closed as soon as no attempt is on it. So a worker waits at most as many turns as there are workers to each
-// descriptor, and the time of an attempt.
+// A connection in constant use is never idle. Once its turn is over it is retired, so that it carries nothing
+// new, and it is closed as soon as no attempt is on it. So a worker waits at most one turn for each worker
+// ahead of it per descriptor, plus the time of an attempt.
 void ConnectionAllocator::serve_queue(Nanos now) {
     while (!queue_.empty()) {
         PooledWorker& worker = pool_.at(queue_.front());
--- a/src/platform/connection_allocator.h
+++ b/src/platform/connection_allocator.h
@@ -8,19 +8,20 @@
 
 namespace whinpost::platform {
 
-// Where the budget has no descriptor left, connections to workers that are of no use now are closed for
-// others; workers that still find none wait in a queue and are served in turn.
+// When the budget has no descriptor left, idle connections to workers are closed to make room. Workers that
+// still get none wait in a queue and are served in turn.
 class ConnectionAllocator final : public ConnectionReserver {
 public:
     ConnectionAllocator(const net::EventLoop&, ConnectionBudget, const ClientServer&, WorkerPool&);
 
     bool reserve_connection(PooledWorker&) override;
     void on_connection_ended() override { --worker_connections_; }
-    // Whether there is a descriptor for one more client.
+    // Returns whether one more client may connect; closes an idle connection to a worker if needed.
     bool make_room_for_client();
-    // Gives the workers that wait for a descriptor their turn; to be called from time to time.
+    // Connects the workers that wait for a descriptor, as far as descriptors can be freed; to be called
+    // periodically.
     void serve_queue(Nanos now);
-    // Of clients and workers.
+    // The number of open connections to clients and workers.
     std::size_t connections() const { return clients_.size() + worker_connections_; }
 
 private:
--- a/src/platform/connection_budget.h
+++ b/src/platform/connection_budget.h
@@ -1,13 +1,14 @@
-// How many of the process's file descriptors clients and workers may hold. No I/O; it chooses no connection.
+// Limits how many of the process's file descriptors clients and workers may hold. No I/O.
 #pragma once
 #include <algorithm>
 #include <cstddef>
 
 namespace whinpost::platform {
 
-// Workers always have a quarter, clients always five twelfths (PROTOCOL: good clients hold at most a third of
-// all); what one side does not use the other may. What is kept back is for the standard streams, the loop's
-// own, the listener, the watch on the endpoint list and the file: none of these ever waits for a free one.
+// A quarter of the usable descriptors is reserved for workers and five twelfths for clients: by the protocol,
+// well-behaved clients hold at most a third of all. Either side may use what the other leaves free. kSpare
+// descriptors are set aside for the standard streams, the event loop, the listener, the discovery watch and
+// the configuration file, none of which ever waits for a free descriptor.
 class ConnectionBudget {
 public:
     explicit ConnectionBudget(std::size_t all)
@@ -21,7 +22,8 @@
     bool client_fits(std::size_t clients, std::size_t workers) const {
         return clients + std::max(workers, workers_always_) < usable_;
     }
-    // Where no descriptor is left for a client: whether workers hold more than they always have.
+    // When client_fits() is false: whether a connection to a worker may be closed to make room, because
+    // clients hold less than their reserve.
     bool workers_make_room(std::size_t clients) const { return clients < clients_always_; }
 
 private:
--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -5,15 +5,18 @@
 namespace whinpost::platform {
 namespace {
 
-// A comment comes every second: half a second more without a byte, and discovery has fallen silent. What it
-// would have said counts as said 4 s after that began, so there is time for several tries.
+// Discovery sends a comment every second. After this long without a byte the watch counts as silent and is
+// opened again. Updates are assumed to arrive within 4 s (ledger::TaskLiveness::kListDelay), which leaves
+// time for several tries.
 constexpr Nanos kSilent = 1500 * kMillisecond;
-// Bytes that make no complete line for so long are as good as silence: an event or a header that never ends.
+// Bytes that complete no line for this long count as silence: guards against an event or a header that never
+// ends.
 constexpr Nanos kMaxLineTime = 2 * kSilent;
-// After the first line, what was missed has been read by then.
+// This long after the first line, the events missed during a break have been read.
 constexpr Nanos kSettled = 500 * kMillisecond;
 constexpr Nanos kDialTimeout = 500 * kMillisecond;
-// Backoff after a break; with jitter, so that placers do not come together.
+// Backoff after a connection broke or could not be opened. The jitter keeps placers from reconnecting at the
+// same time.
 constexpr Nanos kBackoff = 50 * kMillisecond, kMaxBackoff = 800 * kMillisecond;
 constexpr int kMaxBackoffShift = 4;
 constexpr Nanos kJitterSteps = 1000;
@@ -38,7 +41,7 @@
         log_(log::Level::warning, "watch_event_invalid",
              {{"reason", event ? "" : discovery::to_string(event.error().kind)},
               {"entries_left_out", event ? event->invalid_entries : 0}});
-    if (!event || event->sequence <= last_sequence_) return;  // it may come twice
+    if (!event || event->sequence <= last_sequence_) return;  // discovery may send an event twice
     last_sequence_ = event->sequence;
     handler_.on_watch_event(*event);
 }
@@ -86,7 +89,7 @@
     if (!watching_) return in.size();
     const std::uint64_t lines_before = parser_->lines();
     if (!parser_->feed(in, [this](std::string_view data) { on_event(data); })) {
-        retry_later("no good answer");
+        retry_later("invalid response");
         return in.size();
     }
     const Nanos now = loop_.now();
@@ -95,9 +98,9 @@
         if (!first_line_at_) first_line_at_ = now;
         failed_attempts_ = 0;
     }
-    // Not left to the timer: where bytes come in each pass of the loop, arming it again takes it back each
-    // time.
-    if (now - last_line_at_ >= kMaxLineTime) retry_later("no end of a line");
+    // Checked here as well as by the timer: when bytes arrive in each pass of the event loop, rearming the
+    // timer postpones it each time.
+    if (now - last_line_at_ >= kMaxLineTime) retry_later("line not completed in time");
     else timer_->arm(std::min(now + kSilent, last_line_at_ + kMaxLineTime));
     return in.size();
 }
--- a/src/platform/discovery_watch.h
+++ b/src/platform/discovery_watch.h
@@ -1,4 +1,5 @@
-// The watch on discovery: keeps one connection to it, and watches again from the last event after a break.
+// Watches the endpoint list of discovery over one connection. After a break it reconnects and resumes after
+// the last event.
 #pragma once
 #include <memory>
 #include <random>
@@ -14,7 +15,7 @@
 class DiscoveryHandler {
 public:
     virtual ~DiscoveryHandler() = default;
-    // Each event once, in the order of their numbers.
+    // Called once for each event, in the order of the sequence numbers.
     virtual void on_watch_event(const discovery::WatchEvent&) = 0;
 };
 
@@ -22,13 +23,15 @@
 public:
     DiscoveryWatch(net::EventLoop&, const log::Logger&, DiscoveryHandler&, std::vector<std::string> zones,
                    std::vector<std::string> kinds, std::uint64_t seed);
-    // An event of the configuration, as JSON text; follow() then goes on after `last_sequence`.
+    // Applies an event of the bootstrap configuration, given as JSON text. To be called before follow().
     void apply_initial_event(std::string_view json) { on_event(json); }
+    // Connects to discovery and watches the events after `last_sequence`.
     void follow(std::string address, std::int64_t last_sequence);
-    // Discovery has another address; its events' numbers go on.
+    // Reconnects to discovery at a new address; the sequence numbers continue.
     void move_to(std::string address);
     std::int64_t last_sequence() const { return last_sequence_; }
-    // The watch is up for a while and not silent: what discovery knew a moment ago has been told.
+    // True if the watch has been up for a while and is not silent, so that the endpoint list is at most a
+    // moment behind discovery.
     bool is_current() const;
 
 private:
@@ -49,11 +52,11 @@
     std::int64_t last_sequence_ = 0;
     std::unique_ptr<net::Stream> stream_;
     std::unique_ptr<discovery::EventStreamParser> parser_;
-    std::unique_ptr<net::Timer> timer_;  // while watching: of the silence; else of the next try
+    std::unique_ptr<net::Timer> timer_;  // silence timeout while connected, otherwise the next try
     bool watching_ = false;
-    Nanos first_line_at_ = 0;  // of the watch that is up; 0: nothing has come
-    Nanos last_line_at_ = 0;   // when the last complete line came
-    int failed_attempts_ = 0;  // in a row
+    Nanos first_line_at_ = 0;  // on the current connection; 0: no line received
+    Nanos last_line_at_ = 0;   // when the last complete line was received
+    int failed_attempts_ = 0;  // consecutive
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -8,7 +8,7 @@
 namespace whinpost::platform {
 namespace {
 
-// What an update leaves out stays as it was.
+// Fields that are absent from the update keep their value.
 void merge(EndpointState& state, const discovery::EndpointUpdate& update) {
     if (update.zone) state.zone = *update.zone;
     if (update.kind) state.kind = *update.kind;
@@ -26,8 +26,8 @@
     pool_.share_connections(listed_);
 }
 
-// True where the worker has started again. It is another start that tells so and not a later one: the clock
-// that it is told on may have been set back meanwhile.
+// Returns true if the update names a new start of the worker. Any other start time counts, also an earlier
+// one, since the clock that it comes from may have been set back.
 bool EndpointList::apply_start(Endpoint& endpoint, const discovery::EndpointUpdate& update) const {
     if (!update.started_at || *update.started_at == endpoint.told_start) return false;
     endpoint.told_start = *update.started_at;
@@ -45,7 +45,7 @@
     merge(endpoint.state, update);
     if (endpoint.address.empty()) return;
     if (!endpoint.worker) {
-        if (endpoint.state.phase == EndpointPhase::gone) return;  // this placer never knew it
+        if (endpoint.state.phase == EndpointPhase::gone) return;  // it was never listed here
         endpoint.worker = &pool_.add(update.worker);
         endpoint.record = &ledger_.add_worker(update.worker);
     }
@@ -53,8 +53,8 @@
     endpoint.worker->update_endpoint(endpoint.address, endpoint.state.phase);
     ledger_.on_endpoint(now, *endpoint.record, endpoint.state);
     planner.on_endpoint(now, endpoint.worker->number(), stable_hash(update.worker), endpoint.state);
-    // Guards against a worker that is back before anybody missed it: it answers, so it is not lost, and knows
-    // nothing of what ran there.
+    // Guards against a worker that restarts before the loss of its connections is noticed: it answers, so it
+    // does not count as lost, but the tasks that ran on it are gone.
     if (restarted) endpoint.worker->on_restarted(endpoint.state.started_at);
 }
 
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -1,4 +1,4 @@
-// The endpoint list as the watch events of discovery have told it so far.
+// The endpoint list, built from the watch events of discovery.
 #pragma once
 #include <map>
 #include <string>
@@ -22,13 +22,13 @@
         PooledWorker* worker = nullptr;  // null until its address is known
         ledger::WorkerRecord* record = nullptr;
         std::string address;
-        EndpointState state;   // its start on the loop's clock
-        Nanos told_start = 0;  // the same as it was told: Unix time
+        EndpointState state;   // with started_at on the event loop's clock
+        Nanos told_start = 0;  // started_at as received, in Unix time
         bool is_listed() const { return worker && state.phase != EndpointPhase::gone; }
     };
 
     void apply(Nanos now, const discovery::WatchEvent&, planner::Planner&);
-    // Null where no event has named the worker with its address.
+    // Null if no event has given the worker's address yet.
     const Endpoint* find(std::string_view worker_name) const;
 
 private:
@@ -40,7 +40,7 @@
     WorkerPool& pool_;
     ledger::Ledger& ledger_;
     std::map<std::string, Endpoint, std::less<>> endpoints_;
-    std::size_t listed_ = 0;  // with a worker, and not gone
+    std::size_t listed_ = 0;  // number of endpoints for which is_listed() holds
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/planner_rounds.h
+++ b/src/platform/planner_rounds.h
@@ -1,4 +1,4 @@
-// When the planner runs, and what has to wait until it has run.
+// Schedules the planner's rounds, and runs deferred calls after them.
 #pragma once
 #include <functional>
 #include <memory>
@@ -12,23 +12,24 @@
 class RoundHandler {
 public:
     virtual ~RoundHandler() = default;
-    virtual void on_round_done() = 0;  // after the deferred calls
+    virtual void on_round_done() = 0;  // called after the deferred calls of the round
 };
 
-// Runs the planner's rounds, a millisecond apart at least. The planner may not be told anything while it is
-// in a round; what its decisions bring about is deferred until the round is over.
+// Runs the planner's rounds at least one millisecond apart. The planner must not be called during a round, so
+// events that its decisions cause are deferred until the round is over.
 class PlannerRounds {
 public:
     PlannerRounds(net::EventLoop&, RoundHandler&);
 
-    // To be called before anything else; the planner must outlive the server.
+    // To be called first; the planner must outlive this object.
     void set_planner(planner::Planner& planner) { planner_ = &planner; }
     planner::Planner& planner() const { return *planner_; }
 
-    void schedule();         // a round soon; calls before it are one round
-    void wake_at(Nanos at);  // another one at that time; replaces the last call
+    void schedule();         // requests a round; calls before it runs share it
+    void wake_at(Nanos at);  // requests a round at `at`; replaces the previous call
     bool in_round() const { return in_round_; }
-    // Called once, in order, after the round that is running, or after the next one.
+    // Runs `call` once after the current round, or after the next one if none is running. Calls run in the
+    // order in which they were deferred.
     void defer(std::function<void()> call) { deferred_calls_.defer(std::move(call)); }
 
 private:
--- a/src/platform/platform_server.cpp
+++ b/src/platform/platform_server.cpp
@@ -46,7 +46,7 @@
 }
 PlatformServer::~PlatformServer() = default;
 
-// ---------------------------------------------------------------- the planner's decisions
+// ---------------------------------------------------------------- planner decisions
 
 void PlatformServer::place(planner::TaskNumber task, planner::WorkerNumber worker, Nanos timeout) {
     attempts_.place(task, worker, timeout);
--- a/src/platform/platform_server.h
+++ b/src/platform/platform_server.h
@@ -1,6 +1,5 @@
-// A placer's server on the platform's protocol: clients, workers and discovery on one side, ledger and
-// planner on the other. It carries out what the planner decides, as far as the ledger allows it, and chooses
-// nothing itself.
+// A placer's server for the platform's protocol. It connects clients, workers and discovery to the ledger and
+// the planner, and carries out the planner's decisions as far as the ledger permits; it makes none itself.
 #pragma once
 #include <functional>
 #include <memory>
@@ -26,25 +25,24 @@
 namespace whinpost::platform {
 
 struct PlatformServerOptions {
-    std::vector<std::string> group_names;  // by the index of their queue group
+    std::vector<std::string> group_names;  // indexed by queue group
     std::vector<WorkerKind> worker_kinds;
-    std::vector<std::string> worker_kind_names;  // by the index of their kind
+    std::vector<std::string> worker_kind_names;  // indexed by worker kind
     std::vector<std::string> zone_names;
-    Nanos dial_timeout = 0;       // of a connection to a worker
+    Nanos dial_timeout = 0;       // for connections to workers
     Nanos idle_timeout = 0;       // after which workers close an idle connection
-    std::size_t descriptors = 0;  // that this process may hold
+    std::size_t descriptors = 0;  // limit for this process
     std::uint64_t seed = 0;
-    bool health_checks = false;  // workers may be sent them
+    bool health_checks = false;  // whether they may be sent to workers
 };
 
-// Composes the parts, which share a ServerContext and call each other; it holds no state of its own but the
-// sweep's timer.
+// Composes the parts of the server, which share a ServerContext and call each other.
 class PlatformServer final : public planner::PlannerHandler,
                              private DiscoveryHandler,
                              private RoundHandler,
                              private DrainTarget {
 public:
-    // Loop, log and ledger must outlive the server.
+    // The loop, the log and the ledger must outlive the server.
     PlatformServer(net::EventLoop&, const log::Logger&, ledger::Ledger&, PlatformServerOptions);
     ~PlatformServer() override;
     // To be called first; the planner must outlive the server.
@@ -54,7 +52,8 @@
     [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address) {
         return clients_.listen(address);
     }
-    // Accepts what still comes for a while, answers all that is owed, then calls `done`.
+    // Starts a graceful shutdown: accepts requests for a little longer, sends all outstanding answers and
+    // releases, and then calls `done`.
     void drain(std::function<void()> done);
 
     // For tests and the log.
@@ -85,8 +84,9 @@
 
     net::EventLoop& loop_;
     const log::Logger& log_;
-    // Parts refer to each other, also to later ones, and use these references only once all are constructed.
-    // Tasks are destroyed before the timers that they are armed in.
+    // The parts hold references to each other, also to members declared later, and use them only after
+    // construction. tasks_ is declared after timers_, since its tasks must be destroyed before the timers
+    // that they are armed in.
     PlannerRounds rounds_;
     DeadlineTimers timers_;
     ServerStatistics statistics_;
--- a/src/platform/pooled_worker.cpp
+++ b/src/platform/pooled_worker.cpp
@@ -8,15 +8,18 @@
 
 constexpr Nanos kMaxDialBackoff = kSecond;
 constexpr int kMaxDialBackoffShift = 4;
-// After a connection that was up: the worker is there, so the next dial need not wait for long.
+// After the loss of a connection that was up. The worker was reachable, so the next dial need not wait for
+// long.
 constexpr Nanos kRedialDelay = 50 * kMillisecond;
-// Ends of tasks that no client has reported yet: reports follow within a second of a start.
+// How long releases of unknown tasks are kept. Clients report running tasks within a second of the placer's
+// start.
 constexpr Nanos kEndedKeptFor = 10 * kSecond;
 constexpr std::size_t kMaxEndedKept = 4096;
-// Ids that the worker spoke of before their client reported them: both come within some 20 ms of a start.
+// How long the ids of unknown tasks are kept about which the worker sent a message. This message and the
+// client's report both arrive within some 20 ms of the placer's start.
 constexpr Nanos kMentionedKeptFor = 3 * kSecond;
 constexpr std::size_t kMaxMentionedKept = 4096;
-// A connection that is up for so long beside one that breaks shows that the worker's process goes on.
+// If another connection has been up for this long when one breaks, the worker's process still runs.
 constexpr Nanos kEstablished = kSecond;
 
 }  // namespace
@@ -29,7 +32,7 @@
       next_health_check_(options.seed ^ (static_cast<std::uint64_t>(options.number) << 40)) {}
 PooledWorker::~PooledWorker() = default;
 
-// ---------------------------------------------------------------- the endpoint list
+// ---------------------------------------------------------------- endpoint updates
 
 void PooledWorker::update_endpoint(const std::string& address, EndpointPhase phase) {
     const bool moved = address_ != address && !address_.empty();
@@ -44,9 +47,9 @@
     address_ = address;
     phase_ = phase;
     if (!moved && !left) return;
-    // Guards against a dial that comes up at the worker that has the address now: attempts, cancellations and
-    // health checks of this one would reach that one. What is up still leads here; after a move it carries
-    // nothing new.
+    // Guards against a dial that connects to another worker, which has the address now: that worker would
+    // receive this one's attempts, cancellations and health checks. Connections that are up still lead to
+    // this worker; after a move they carry nothing new.
     std::vector<WorkerConnection*> dialing;
     for (const auto& connection : connections_) {
         if (!connection->is_up()) dialing.push_back(connection.get());
@@ -76,12 +79,13 @@
 
 // ---------------------------------------------------------------- attempts and running tasks
 
-// A connection that breaks leaves all attempts on it in doubt, so each goes on one of its own while there are
-// enough.
+// When a connection breaks, it is unknown whether the attempts on it were accepted. So each attempt gets a
+// connection of its own until the limit is reached.
 bool PooledWorker::start_attempt(InFlightTask& task) {
     task.worker = this;
     WorkerConnection* connection = usable_connection();
-    // The same id went out on it before, and that attempt's end may still come there.
+    // An earlier attempt with the same id was abandoned on this connection, and its answer or release may
+    // still arrive there.
     if (connection && connection->has_abandoned(task.id)) {
         connection->retire();
         connection = nullptr;
@@ -99,7 +103,7 @@
 
 void PooledWorker::check_health() {
     WorkerConnection* connection = usable_connection();
-    if (!connection && is_gone()) return;  // whoever asked finds that it does not answer
+    if (!connection && is_gone()) return;  // the planner gets no reply, as from a worker that does not answer
     if (!connection) connection = dial();
     if (connection) connection->check_health();
     else health_check_due_ = true;
@@ -125,7 +129,8 @@
     return it == running_.end() ? nullptr : it->second;
 }
 
-// Whatever ran before the same doubt began is shown to run on with it: the process is the same.
+// A message about a task that was confirmed before shows that the worker's process is the same as when the
+// doubt began. So the other tasks that were put in doubt at that time still run.
 void PooledWorker::on_task_message(InFlightTask& task) {
     if (!task.liveness.in_doubt()) return;
     const bool was_confirmed = task.liveness.is_confirmed();
@@ -152,7 +157,8 @@
         recently_mentioned_.pop_front();
 }
 
-// Over any connection; what goes out on that one later, the same id again too, comes after it.
+// Any usable connection will do: what is sent on it later, also an attempt with the same id, arrives after
+// the cancellation.
 void PooledWorker::cancel_task(std::uint64_t id) {
     if (is_gone()) return;
     if (WorkerConnection* connection = usable_connection()) return connection->cancel_task(id);
@@ -163,7 +169,9 @@
 void PooledWorker::remember_ended(std::uint64_t id, platform_codec::Cause cause) {
     if (recently_ended_.size() >= kMaxEndedKept) {
         log_(log::Level::warning, "worker_release_dropped",
-             {{"worker", name_}, {"id", recently_ended_.front().id}, {"reason", "too many"}});
+             {{"worker", name_},
+              {"id", recently_ended_.front().id},
+              {"reason", "too many releases of unknown tasks"}});
         recently_ended_.pop_front();
     }
     recently_ended_.push_back({id, cause, last_received_});
@@ -206,8 +214,8 @@
 }
 
 WorkerConnection* PooledWorker::usable_connection() const {
-    // One that was idle for long may be closed while an attempt is on its way, which would leave that in
-    // doubt.
+    // Skips connections that have been idle for long. The worker may close one while an attempt is on its
+    // way, and it would be unknown whether the attempt was accepted.
     WorkerConnection* least_loaded = nullptr;
     for (const auto& connection : connections_) {
         if (!connection->usable()) continue;
@@ -243,8 +251,8 @@
     lost.end_attempts(was_up);
 }
 
-// Its process may have died with the connection. One that is back at once answers and knows nothing of what
-// ran, so that it answers is no sign of life for its tasks.
+// The worker's process may have died with the connection. A process that was restarted at once also answers,
+// but has none of the tasks, so its replies do not show that they still run.
 void PooledWorker::on_interrupted() {
     const Nanos established_before = loop_.now() - kEstablished;
     if (oldest_connection(established_before)) return;
@@ -252,8 +260,9 @@
     for (const auto& [id, task] : running_) task->liveness.on_interrupted(loop_.now());
 }
 
-// What is in doubt may run by now, where no message on it reaches us: a copy that earns nothing and fills the
-// worker. Where a repeat does no harm it is cancelled.
+// Attempts whose outcome is unknown may run on the worker by now, and no message about them would reach this
+// placer: duplicates that take up the worker's capacity for nothing. Attempts of idempotent tasks are
+// therefore cancelled.
 void PooledWorker::cancel_doubtful_attempts(const WorkerConnection& lost) {
     std::vector<std::uint64_t> doubtful;
     for (const auto& [id, task] : lost.in_flight_)
--- a/src/platform/pooled_worker.h
+++ b/src/platform/pooled_worker.h
@@ -1,4 +1,4 @@
-// One worker: its connections, and the tasks that run there.
+// One worker: its connections and the tasks that run on it.
 #pragma once
 #include <deque>
 #include <map>
@@ -18,14 +18,14 @@
 
 struct PooledWorkerOptions {
     std::string name;
-    std::uint32_t number = 0;  // the planner's
+    std::uint32_t number = 0;  // the planner's worker number
     Nanos dial_timeout = 0;
     Nanos idle_timeout = 0;      // after which the worker closes an idle connection
-    std::uint64_t seed = 0;      // of the ids of health checks
-    bool health_checks = false;  // may be sent
+    std::uint64_t seed = 0;      // for the ids of health checks
+    bool health_checks = false;  // whether they may be sent
 };
 
-// A running task belongs to no connection: a message on it may come on any. Chooses no attempts.
+// A running task belongs to no connection: messages about it may arrive on any of them.
 class PooledWorker {
 public:
     PooledWorker(PooledWorkerOptions, net::EventLoop&, const log::Logger&, WorkerHandler&,
@@ -38,46 +38,48 @@
     bool is_draining() const { return phase_ == EndpointPhase::draining; }
     bool has_running_tasks() const { return !running_.empty(); }
 
-    // What is being dialed before it leaves, or moves, is given up: a new worker may have the address.
+    // Aborts dials in progress if the worker leaves or moves, since another worker may have the address now.
     void update_endpoint(const std::string& address, EndpointPhase);
     void set_max_connections(std::size_t connections) { max_connections_ = connections; }
-    // It started anew at that time: what was sent to it before is over.
+    // The worker restarted at `at`: tasks that were sent to it earlier are lost.
     void on_restarted(Nanos at);
-    // Reads nothing more: what it says is left for whoever connects to it next.
+    // Stops reading; the worker sends unread messages again to the next placer that connects.
     void stop_reading();
 
-    // False where no descriptor was free for it.
+    // Returns false if there is no connection for the attempt and none could be opened.
     [[nodiscard]] bool start_attempt(InFlightTask&);
     void abandon_attempt(InFlightTask&);
-    // Sends a health check, once there is a connection.
+    // Sends a health check as soon as there is a connection.
     void check_health();
 
     void add_running(InFlightTask&);
-    // `cancel`: the worker is told to end the task.
+    // `cancel`: also sends a cancellation to the worker.
     void remove_running(InFlightTask&, bool cancel);
     InFlightTask* find_running(std::uint64_t id) const;
-    // The worker has said something of a task that runs here.
+    // The worker sent a message about a running task.
     void on_task_message(InFlightTask&);
-    // Whether it lately said something of a task that was unknown then, on a connection of the same process.
+    // Whether the worker's current process recently sent a message about this task while no such task was
+    // known.
     bool has_mentioned(std::uint64_t id) const;
-    // The cause with which it lately ended a task that was unknown then.
+    // The cause of the worker's recent release of this task, if no such task was known then.
     std::optional<platform_codec::Cause> recent_end_of(std::uint64_t id) const;
 
-    // The connection that is of no use for the longest; null where each is of use.
+    // The connection that has been idle for the longest; null if none is idle.
     WorkerConnection* longest_idle_connection() const;
-    // Whether there is a connection, up or dialing, that may carry something new.
+    // Whether there is a connection, up or dialing, that can carry something new.
     bool has_connection() const { return usable_connection() != nullptr; }
-    // Of the connections up since before `before`, the oldest; null where there is none.
+    // The oldest connection that came up before `before`; null if there is none.
     WorkerConnection* oldest_connection(Nanos before) const;
-    // Dials where there is no connection that may carry something new; false where no descriptor was free. A
-    // health check that waited for it is sent once it is up.
+    // Dials if no connection can carry something new; returns false if no descriptor was free. A health check
+    // that waited for a descriptor is sent once the connection is up.
     bool connect();
-    // To be called from time to time: silent and idle connections, tasks on a worker that is lost.
+    // To be called periodically: checks for silent and idle connections, ends the tasks of a lost worker, and
+    // reconnects.
     void sweep(Nanos now);
 
 private:
     friend class WorkerConnection;
-    static constexpr Nanos kDialBackoff = 150 * kMillisecond;  // after the first dial that fails
+    static constexpr Nanos kDialBackoff = 150 * kMillisecond;  // after the first failed dial
     struct EndedTask {
         std::uint64_t id;
         platform_codec::Cause cause;
@@ -89,16 +91,16 @@
     };
     struct ConnectionSummary {
         bool alive = false, dialing = false;
-        // The end of a task may be said on a connection that is silent.
+        // The release of a running task may be due on a connection that is silent.
         bool waits_on_silent = false;
     };
     void remember_ended(std::uint64_t id, platform_codec::Cause cause);
     void remember_mentioned(std::uint64_t id);
     void forget_expired(Nanos now);
-    // The least loaded that may carry something new; null if there is none.
+    // The least loaded connection that can carry something new; null if there is none.
     WorkerConnection* usable_connection() const;
     void cancel_task(std::uint64_t id);
-    WorkerConnection* dial();  // null where no descriptor was free
+    WorkerConnection* dial();  // null if no descriptor was free, or once reading has stopped
     void on_connection_lost(WorkerConnection&, bool was_up, bool refused);
     void on_interrupted();
     void cancel_doubtful_attempts(const WorkerConnection& lost);
@@ -107,9 +109,11 @@
     void end_running_tasks(ledger::TaskLossReason);
     void end_doubted_tasks(Nanos now);
     void end_if_doubt_is_over(InFlightTask&, Nanos now);
-    // No connection is alive: true where that has ended the tasks.
+    // To be called when no connection is alive. Returns true if the worker counts as lost; its tasks have
+    // then been ended.
     bool end_lost_tasks(Nanos now);
-    // Connections that should have spoken are asked; what a mute one leaves in doubt is marked.
+    // Sends health checks on connections that have been silent for too long, and puts in doubt the tasks of
+    // those that do not respond.
     void check_connections(Nanos now);
     void doubt_tasks_on(WorkerConnection& mute);
     void on_connection_heard(WorkerConnection&);
@@ -130,19 +134,20 @@
     std::string address_;
     EndpointPhase phase_ = EndpointPhase::serving;
     Nanos gone_at_ = 0;
-    // Closed ones are freed by the next sweep: one of them may be what is calling.
+    // Closed connections are freed by the next sweep, since one of them may be the caller of the code that
+    // closes it.
     std::vector<std::unique_ptr<WorkerConnection>> connections_, closed_;
     std::map<std::uint64_t, InFlightTask*> running_;
-    std::vector<std::uint64_t> pending_cancels_;  // for the next connection
+    std::vector<std::uint64_t> pending_cancels_;  // sent on the next connection
     std::deque<EndedTask> recently_ended_;
     std::deque<MentionedTask> recently_mentioned_;
     std::size_t max_connections_ = 1;
     ledger::WorkerReachability reachability_;
-    Nanos last_received_ = 0;    // or since a connection came up
-    Nanos last_message_at_ = 0;  // 0: it never said anything
+    Nanos last_received_ = 0;    // when the last byte came, or the last connection came up
+    Nanos last_message_at_ = 0;  // 0: nothing was ever received
     bool reading_stopped_ = false;
-    bool health_check_due_ = false;  // once there is a connection
-    int refused_dials_ = 0;          // in a row
+    bool health_check_due_ = false;  // to be sent once there is a connection
+    int refused_dials_ = 0;          // consecutive
     Nanos next_dial_at_ = 0;
     std::uint64_t next_health_check_;
 };
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -1,5 +1,5 @@
-// PooledWorker's sweep: which connections live, which running tasks are in doubt or lost, and when to connect
-// anew.
+// The periodic sweep of PooledWorker: finds the connections that are alive and the running tasks that are in
+// doubt or lost, and reconnects.
 #include <algorithm>
 #include <utility>
 
@@ -8,12 +8,13 @@
 namespace whinpost::platform {
 namespace {
 
-// So long without a message and without a connection, and what ran there is over. PROTOCOL leaves 8 s. Less
-// than a network partition of some seconds would end tasks that run on behind it.
+// After this long without a message and without a connection, the tasks on the worker count as lost. The
+// protocol allows 8 s. A shorter time would end tasks that survive a network partition of some seconds.
 constexpr Nanos kLost = 7500 * kMillisecond;
-// Dials refused in a row: no process listens there, and its tasks died with it.
+// After this many consecutive refused dials no process listens at the address, so the worker's tasks are
+// gone.
 constexpr int kRefusedForGood = 3;
-// In which a worker that has left may still report its tasks' ends.
+// How long a worker that has left the endpoint list may still report the ends of its tasks.
 constexpr Nanos kLastReports = 1500 * kMillisecond;
 
 }  // namespace
@@ -27,8 +28,8 @@
         if (running_.contains(id)) handler_.on_task_lost(*task, reason);
 }
 
-// A task that ran once may run on: where a repeat does no harm it is cancelled, or else a copy would fill the
-// worker. One that was only reported is left alone: its id may be that of another placer's task.
+// An interrupted task may still run. If it is idempotent it is cancelled, or else it would take up the worker
+// beside its replacement. An unconfirmed task is not cancelled: its id may be that of another placer's task.
 void PooledWorker::end_if_doubt_is_over(InFlightTask& task, Nanos now) {
     const ledger::TaskLiveness::Evidence evidence{handler_.is_endpoint_list_current(),
                                                   last_message_at_ >= task.liveness.doubted_since(),
@@ -51,8 +52,9 @@
         if (InFlightTask* task = find_running(id)) end_if_doubt_is_over(*task, now);
 }
 
-// A live connection is never closed from here: the worker's last messages on what runs could be on their way.
-// It closes idle ones itself, with all that it wrote before.
+// Aborts only connections that nothing is expected on any more: the worker's last messages about running
+// tasks may be on their way on the others. Workers close idle connections themselves, after all that they
+// wrote.
 PooledWorker::ConnectionSummary PooledWorker::sweep_connections(Nanos now) {
     ConnectionSummary summary;
     std::size_t accepted = 0;
@@ -77,7 +79,7 @@
         any_silent_accepted = any_silent_accepted || (silent && !connection.accepted_.empty());
         ++i;
     }
-    // Tasks whose attempt's connection is gone: their end may be said on any.
+    // Running tasks whose attempt's connection is gone: their release may arrive on any connection.
     const bool any_unattached = accepted < running_.size();
     summary.waits_on_silent = any_silent_accepted || (any_unattached && any_silent);
     return summary;
@@ -96,10 +98,10 @@
     return states;
 }
 
-// Guards against a worker that is taken for alive because a new connection came up: that it answers there is
-// no sign of the process that ran its tasks. So where nothing was heard for long on the connections that are
-// as old as the tasks, these are asked; and a newer one beside a mute one, since only an answer there shows
-// that the machine is back.
+// Guards against a worker that counts as alive only because a new connection came up: a reply there does not
+// show that the process that ran its tasks still exists. So health checks are sent on the old connections if
+// none of them has received anything for long. If one of them is mute, newer connections are checked too,
+// since only a reply there shows that the machine can be reached.
 void PooledWorker::check_connections(Nanos now) {
     if (!health_checks_ || running_.empty()) return;
     if (ledger::WorkerReachability::is_process_in_question(now, connection_states()))
@@ -116,7 +118,8 @@
     }
 }
 
-// Those on which a task was accepted; where there is none, the one that was heard last.
+// Sends a health check on each old connection on which a running task was accepted; if there is none, on the
+// old connection that received data last.
 void PooledWorker::ask_old_connections(Nanos now) {
     WorkerConnection* heard_last = nullptr;
     bool any_asked = false;
@@ -142,14 +145,15 @@
     for (InFlightTask* task : tasks) task->liveness.on_silenced(*since);
 }
 
-// The process that spoke there before is there still.
+// A mute connection has received data again, so the process at its other end still runs.
 void PooledWorker::on_connection_heard(WorkerConnection& heard) {
     if (!std::exchange(heard.is_doubted_, false)) return;
     for (InFlightTask* task : tasks_spoken_of_before(loop_.now()))
         task->liveness.on_process_confirmed(heard.up_since_);
 }
 
-// But for those that were accepted on a connection which was opened later.
+// The running tasks that were sent up to `moment`, except those accepted on a connection that was opened
+// later.
 std::vector<InFlightTask*> PooledWorker::tasks_spoken_of_before(Nanos moment) const {
     std::vector<InFlightTask*> tasks;
     for (const auto& [id, task] : running_) {
@@ -174,16 +178,16 @@
 }
 
 void PooledWorker::dial_for_word(Nanos now, bool alive) {
-    if (now < next_dial_at_ || is_gone()) return;  // a new worker may have the address of one that left
+    if (now < next_dial_at_ || is_gone()) return;  // another worker may have the address now
     WorkerConnection* connection = dial();
     if (connection) connection->opened_for_word_ = true;
-    // A descriptor that this process lacks says nothing about the worker.
+    // This process had no free descriptor, which is no evidence of a silent worker.
     else if (!alive) last_received_ = now;
     next_dial_at_ = now + kDialBackoff;
 }
 
-// Guards against a pile of connections to a worker whose tasks are quiet. What crosses the close is said
-// again on the next one.
+// Guards against an ever growing number of connections to a worker whose tasks send nothing for long. The
+// worker repeats on the next connection what it sent while this one was closed.
 void PooledWorker::close_earlier_for_word(const WorkerConnection& latest) {
     std::vector<WorkerConnection*> earlier;
     for (const auto& connection : connections_) {
@@ -200,7 +204,7 @@
     const ConnectionSummary summary = sweep_connections(now);
     forget_expired(now);
     end_doubted_tasks(now);
-    // Nobody is there for them any more.
+    // The worker has left or cannot be reached, so no cancellation can be sent.
     if (is_gone() || refused_dials_ >= kRefusedForGood || now - last_received_ > kLost)
         drop_pending_cancels();
     if (summary.dialing || (running_.empty() && pending_cancels_.empty())) return;
--- a/src/platform/server_context.h
+++ b/src/platform/server_context.h
@@ -1,4 +1,4 @@
-// What the parts of the platform's server share.
+// Objects shared by the parts of the platform's server.
 #pragma once
 #include "ledger/ledger.h"
 #include "log/logger.h"
--- a/src/platform/server_statistics.cpp
+++ b/src/platform/server_statistics.cpp
@@ -5,7 +5,7 @@
 namespace whinpost::platform {
 namespace {
 
-// As in `no_request:3,draining:1`; reasons that never occurred are left out.
+// Formats the counts as in `no_request:3,draining:1`; reasons with a count of 0 are left out.
 std::string close_counts(const ClientStatistics& clients) {
     std::string text;
     for (std::size_t i = 0; i < kClientCloseReasons; ++i) {
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -17,11 +17,11 @@
 
 namespace {
 
-// A message is written in one go, so the rest of a partial one is there at once or never comes; a worker that
-// is slow to write is met by this too, and loses what is in flight on that connection only.
+// A worker writes a message in one call, so the rest of a partial one arrives at once or never. A worker that
+// writes slowly also exceeds this timeout; it loses only what is in flight on that connection.
 constexpr Nanos kPartialMessageTimeout = 300 * kMillisecond;
-// Only after so long without use does a connection count as idle: one that is calling just now was used just
-// now.
+// A connection counts as idle after this long without use. A connection whose callback is running was used
+// just now, so it never counts as idle.
 constexpr Nanos kIdleAfter = 50 * kMillisecond;
 
 constexpr std::pair<std::string_view, OutcomeReason> kReasons[] = {
@@ -37,7 +37,7 @@
     return OutcomeReason::unspecified;
 }
 
-// What can't be read says nothing.
+// A report that cannot be parsed counts as empty.
 LoadReport load_report_of(const Message& message) {
     LoadReport report;
     if (message.load_report && !settings::parse_load_report(*message.load_report, ';', report)) report = {};
@@ -52,7 +52,7 @@
             return AttemptOutcome::failed;
         case Cause::never_sent:
             return AttemptOutcome::not_sent;
-        default:  // any byte may come
+        default:  // peers may send any value
             return AttemptOutcome::reset;
     }
 }
@@ -63,7 +63,7 @@
             return AttemptOutcome::completed;
         case Cause::cancelled:
             return AttemptOutcome::cancelled;
-        default:  // any byte may come
+        default:  // peers may send any value
             return AttemptOutcome::reset;
     }
 }
@@ -81,17 +81,17 @@
 WorkerConnection::WorkerConnection(PooledWorker& worker, net::EventLoop& loop, const std::string& address,
                                    Nanos dial_timeout)
     : worker_(worker), stream_(loop.dial(address, *this)), timer_(loop.make_timer([this] {
-          if (is_up()) on_malformed("half a message");
+          if (is_up()) on_malformed("incomplete message");
           else abort();  // the dial takes too long
       })),
       last_received_(loop.now()), last_used_(loop.now()) {
     timer_->arm(loop.now() + dial_timeout);
 }
 
-// ---------------------------------------------------------------- what is sent
+// ---------------------------------------------------------------- sending
 
-// Attempts wait here while anything written is not in the kernel's hands. Guards against one that would leave
-// long after its client has gone: here it can still be taken back.
+// Attempts wait in waiting_ until the kernel has taken all bytes written before. Guards against an attempt
+// that is sent long after its client has disconnected: while it waits it can still be withdrawn.
 bool WorkerConnection::can_send() const { return is_up() && stream_->unsent() == 0; }
 
 void WorkerConnection::write(const Message& message) {
@@ -141,8 +141,8 @@
     }
     if (in_flight_.erase(task.id) == 0) return;
     retire_if_unanswered(task.record->in_flight->sent_at);
-    // A repeat of an idempotent task may run elsewhere: a late acceptance is cancelled. Others are left
-    // running; clients find them by their name.
+    // An idempotent task may be retried elsewhere, so a late acceptance of this attempt is cancelled. Other
+    // tasks keep running, and their clients find them by name.
     abandoned_[task.id] = task.record->queue_group->effect == Effect::idempotent;
     Message message;
     message.type = MessageType::release;
@@ -151,8 +151,8 @@
     if (is_up()) write(message);
 }
 
-// Its neighbours to the same worker may be well, and a slow worker may answer yet: it only carries nothing
-// new.
+// The connection is retired, not closed: a slow worker may still answer on it, and other connections to the
+// worker may work well.
 void WorkerConnection::retire_if_unanswered(Nanos written_at) {
     const Nanos now = worker_.loop_.now();
     if (state_ != State::up || !ledger::WorkerReachability::is_mute(now, last_received_, written_at)) return;
@@ -171,7 +171,8 @@
                   {"running_tasks", accepted_.size()}});
     pending_health_checks_.clear();
     retire();
-    // One that never said anything holds no word back: its worker hangs, and will speak on it.
+    // If nothing was ever received on the connection, no message of the worker is held up there: the worker
+    // hangs, and its next message will arrive on this connection.
     if (last_received_ > up_since_) worker_.reachability_.on_word_may_be_lost();
 }
 
@@ -206,7 +207,7 @@
     write(message);
 }
 
-// ---------------------------------------------------------------- what is received
+// ---------------------------------------------------------------- receiving
 
 void WorkerConnection::on_connected() {
     state_ = State::up;
@@ -234,7 +235,7 @@
         on_message(message);
         return state_ != State::broken;
     });
-    if (decoded.error) on_malformed("not a message");
+    if (decoded.error) on_malformed("invalid message");
     if (state_ != State::broken) {
         if (decoded.consumed < in.size()) timer_->arm(worker_.loop_.now() + kPartialMessageTimeout);
         else timer_->disarm();
@@ -271,14 +272,14 @@
         case MessageType::release_ack:
         case MessageType::migrate:
         case MessageType::health_check:
-            return;  // a worker has nothing to say with these
+            return;  // ignored: workers do not send these
     }
 }
 
 void WorkerConnection::on_answer(const Message& message) {
     if (const auto it = in_flight_.find(message.task); it != in_flight_.end()) {
         if (!message.description || message.description->empty())
-            return on_malformed("an answer without description");
+            return on_malformed("answer without description");
         InFlightTask& task = *it->second;
         in_flight_.erase(it);
         task.connection = nullptr;
@@ -292,7 +293,7 @@
         if (to_be_cancelled && !worker_.find_running(message.task)) cancel_task(message.task);
         return;
     }
-    // A second copy, or one under an id that is none of ours.
+    // A repeated answer, or one for an unknown id.
     worker_.log_(log::Level::debug, "worker_answer_unknown",
                  {{"worker", worker_.name_}, {"task", message.task}});
 }
@@ -312,16 +313,17 @@
     }
     worker_.log_(log::Level::debug, "worker_release_unknown",
                  {{"worker", worker_.name_}, {"task", message.task}, {"cause", static_cast<int>(cause)}});
-    // Guards against what ended while this placer restarted: its worker says so on the first connection,
-    // which may be before the client says that it runs there.
+    // Guards against tasks that end while this placer restarts: the worker sends their release on the first
+    // connection, possibly before the client reports the task as running.
     worker_.remember_ended(message.task, cause);
 }
 
 void WorkerConnection::on_released_in_flight(InFlightTask& task, const Message& message) {
     const Cause cause = message.cause.value_or(platform_codec::kNoCause);
     task.connection = nullptr;
-    // It has run and ended by now: the worker gives its answer and its end in one. Taken for a reset, a short
-    // task was started four times over, each time to its end.
+    // A release with cause `ok` and a description is the answer and the end in one: the task has run and
+    // ended. When it was treated as a reset, a short task was started four times, and ran to its end each
+    // time.
     if (cause == Cause::ok && message.description && !message.description->empty()) {
         const LoadReport report = load_report_of(message);
         worker_.handler_.on_attempt_accepted(task, *message.description);
@@ -363,9 +365,10 @@
         worker_.handler_.on_load_report(worker_, load_report_of(message));
 }
 
-// ---------------------------------------------------------------- its end
+// ---------------------------------------------------------------- closing
 
-// Nothing after such bytes can be trusted: the connection goes, and each attempt on it is in doubt.
+// Aborts the connection, since the message boundaries after malformed bytes are unknown. It remains unknown
+// whether the attempts on it were accepted.
 void WorkerConnection::on_malformed(std::string_view reason) {
     worker_.log_(log::Level::info, "worker_message_malformed",
                  {{"worker", worker_.name_}, {"reason", reason}, {"attempts", in_flight_.size()}});
@@ -405,7 +408,7 @@
 
 void WorkerConnection::on_closed(net::CloseReason reason) {
     if (state_ == State::broken) return;
-    stream_->abort();  // its descriptor is free from now on
+    stream_->abort();  // frees its descriptor at once
     const bool in_use = is_up() && (load() > 0 || worker_.has_running_tasks());
     worker_.log_(in_use ? log::Level::info : log::Level::debug, "worker_connection_closed",
                  {{"worker", worker_.name_},
@@ -414,7 +417,7 @@
                   {"running_tasks", worker_.running_.size()},
                   {"refused_dials", worker_.refused_dials_},
                   {"attempts", in_flight_.size()}});
-    // What this machine lacks says nothing about the worker.
+    // A lack of resources on this machine is no evidence of a silent worker.
     if (reason == net::CloseReason::out_of_resources) worker_.last_received_ = worker_.loop_.now();
     const bool was_up = is_up();
     const bool closed_as_idle = reason == net::CloseReason::by_peer && !has_work() && is_long_idle();
@@ -423,13 +426,14 @@
     if (was_up && !closed_as_idle) worker_.on_interrupted();
 }
 
-// Workers close a connection that is idle for the stated time.
+// Workers close a connection that has been idle for idle_timeout_; from 80 % of that on, this may happen at
+// any time.
 bool WorkerConnection::is_long_idle() const {
     return worker_.loop_.now() - last_used_ >= worker_.idle_timeout_ * 8 / 10;
 }
 
-// Called after the connection is out of the worker's list, so that what the handler does next meets none of
-// it.
+// Called after the connection was removed from the worker's list, so that the handler's next actions cannot
+// use it.
 void WorkerConnection::end_attempts(bool was_up) {
     std::vector<InFlightTask*> written;
     for (const auto& [id, task] : in_flight_) written.push_back(task);
--- a/src/platform/worker_connection.h
+++ b/src/platform/worker_connection.h
@@ -17,14 +17,15 @@
 
 class PooledWorker;
 
-// An attempt belongs to the connection that it was sent on: the client's id passes on unchanged, so two
-// attempts of one task at one worker carry the same id, and only the connection tells their ends apart.
+// An attempt belongs to the connection that it was sent on. The client's id is sent unchanged, so two
+// attempts of one task at one worker have the same id, and only the connection shows to which of them a
+// message belongs.
 class WorkerConnection final : public net::StreamHandler {
 public:
     // Dials at once. The worker owns the connection.
     WorkerConnection(PooledWorker&, net::EventLoop&, const std::string& address, Nanos dial_timeout);
 
-    // Something new may be sent on it, now or once it is up.
+    // Whether something new may be sent on it, now or once it is up.
     bool usable() const { return state_ == State::dialing || state_ == State::up; }
     bool is_up() const { return state_ == State::up || state_ == State::retired; }
     bool is_retired() const { return state_ == State::retired; }
@@ -33,24 +34,26 @@
     bool has_abandoned(std::uint64_t id) const { return abandoned_.contains(id); }
 
     void start_attempt(InFlightTask&);
-    // The attempt ends here, whether it was written or not.
+    // Withdraws the attempt. If it was already written, the worker is sent a release.
     void abandon_attempt(InFlightTask&);
     void check_health();
-    // A health check that only asks for a sign of life; once while it is silent.
+    // Sends a health check to find out whether the worker responds on this connection. Does nothing if one
+    // was sent since the last byte was received.
     void ask_for_life();
     void cancel_task(std::uint64_t id);
-    // Nothing new is sent on it any more. Only for one that is up.
+    // Sends nothing new on it from now on. Only for a connection that is up.
     void retire() { state_ = State::retired; }
-    // As if it had broken.
+    // Closes it as if it had broken.
     void abort();
-    // Of no use since then, with nothing on its way either way that is known of; 0: it is of use.
+    // The time since when it has been idle, without work and with no bytes unread or unsent; 0 if it is not
+    // idle.
     Nanos idle_since() const;
     // 0 while it is still dialing.
     Nanos up_since() const { return is_up() ? up_since_ : 0; }
-    // No attempt is on it, and nothing lies unread or unsent: closing it loses at most the reply to a health
-    // check. Not to be asked from within one of its own calls.
+    // Whether it has no attempts and no bytes unread or unsent, so that closing it loses at most the reply to
+    // a health check. Must not be called from within its own callbacks.
     bool is_empty() const;
-    void close();  // after idle_since() or is_empty()
+    void close();  // only if idle_since() or is_empty() allows it
 
 private:
     friend class PooledWorker;
@@ -76,9 +79,10 @@
     ledger::WorkerReachability::ConnectionState state() const {
         return {up_since_, last_received_, is_mute_, asked_at_, answered_ask_};
     }
-    // An attempt that was written then is given up.
+    // Called when an attempt that was written at `written_at` is abandoned. Retires the connection if it is
+    // mute.
     void retire_if_unanswered(Nanos written_at);
-    // Once the time to answer the latest ask_for_life() is over.
+    // Marks the connection as mute if the worker has not responded in time to the latest ask_for_life().
     void check_mute();
     void end_attempts(bool was_up);
     void write(const platform_codec::Message&);
@@ -86,20 +90,20 @@
 
     PooledWorker& worker_;
     std::unique_ptr<net::Stream> stream_;
-    std::unique_ptr<net::Timer> timer_;  // of the dial, then of a partial message
+    std::unique_ptr<net::Timer> timer_;  // dial timeout, then timeout of a partial message
     State state_ = State::dialing;
     bool health_check_due_ = false;  // to be sent once it is up
     Nanos last_received_ = 0, last_used_ = 0, up_since_ = 0;
-    Nanos asked_at_ = 0;     // for a sign of life that has not come; 0: it was not
-    std::uint64_t ask_ = 0;  // the id of the latest health check that asked for one
+    Nanos asked_at_ = 0;     // time of the ask_for_life() that has no response yet; 0: none
+    std::uint64_t ask_ = 0;  // id of the latest health check that ask_for_life() sent
     Nanos ask_sent_at_ = 0, answered_ask_ = 0;
-    bool is_mute_ = false;               // and none has come in time
-    bool opened_for_word_ = false;       // only to bring what the worker may have said in vain
-    bool is_doubted_ = false;            // mute, and the tasks that were spoken of on it are in doubt
-    std::deque<InFlightTask*> waiting_;  // not written yet
-    // Written, and not ended; looked up, and walked in order of id only.
+    bool is_mute_ = false;               // no response to ask_for_life() came in time
+    bool opened_for_word_ = false;       // opened only to receive messages that may have been lost
+    bool is_doubted_ = false;            // mute, and the tasks of the process at its other end are in doubt
+    std::deque<InFlightTask*> waiting_;  // attempts that are not written yet
+    // Attempts that were written and have not ended. Look up by id, or iterate over the sorted ids only.
     std::unordered_map<std::uint64_t, InFlightTask*> in_flight_;
-    std::set<std::uint64_t> accepted_;         // tasks that were accepted on it and run on
+    std::set<std::uint64_t> accepted_;         // running tasks that were accepted on it
     std::map<std::uint64_t, bool> abandoned_;  // by id: whether a late acceptance is to be cancelled
     std::set<std::uint64_t> pending_health_checks_;
     std::vector<std::uint64_t> pending_cancels_;  // to be written once it is up
--- a/src/platform/worker_pool.cpp
+++ b/src/platform/worker_pool.cpp
@@ -6,7 +6,8 @@
 namespace whinpost::platform {
 namespace {
 
-// To one worker: about the attempts that a service of many tasks sends to it at once.
+// The maximum for one worker: about the number of attempts that a service with many tasks sends to it at
+// once.
 constexpr std::size_t kMaxConnectionsEach = 12;
 
 }  // namespace
@@ -25,7 +26,7 @@
     return *workers_.back();
 }
 
-// Walks over all workers only where each one's part changes, not for each watch event.
+// Updates the workers only if their limit has changed, not on each watch event.
 void WorkerPool::share_connections(std::size_t listed_workers) {
     const std::size_t workers = std::max<std::size_t>(listed_workers, 1);
     const std::size_t each =
--- a/src/platform/worker_pool.h
+++ b/src/platform/worker_pool.h
@@ -1,4 +1,4 @@
-// All workers that the endpoint list has ever named, by the planner's number.
+// All workers that have ever been in the endpoint list, indexed by the planner's worker number.
 #pragma once
 #include <memory>
 #include <string>
@@ -12,12 +12,12 @@
 struct WorkerPoolOptions {
     Nanos dial_timeout = 0;
     Nanos idle_timeout = 0;                // after which workers close an idle connection
-    std::size_t reserved_connections = 0;  // that are divided among the listed workers
-    std::uint64_t seed = 0;                // of the ids of health checks
-    bool health_checks = false;            // may be sent
+    std::size_t reserved_connections = 0;  // divided among the listed workers
+    std::uint64_t seed = 0;                // for the ids of health checks
+    bool health_checks = false;            // whether they may be sent
 };
 
-// Workers are never removed, so pointers to them hold as long as the pool.
+// Workers are never removed, so pointers to them stay valid as long as the pool exists.
 class WorkerPool {
 public:
     WorkerPool(net::EventLoop&, const log::Logger&, WorkerHandler&, ConnectionReserver&, WorkerPoolOptions);
@@ -26,10 +26,10 @@
     const std::vector<std::unique_ptr<PooledWorker>>& workers() const { return workers_; }
     PooledWorker& at(planner::WorkerNumber number) { return *workers_.at(number); }
     PooledWorker& add(const std::string& name);
-    // Divides the reserved connections among so many workers.
+    // Divides the reserved connections evenly among `listed_workers` workers.
     void share_connections(std::size_t listed_workers);
     void sweep(Nanos now);
-    // What workers say from now on is left for the next placer that connects to them.
+    // Stops reading from all workers; they send unread messages again to the next placer that connects.
     void stop_reading();
 
 private:
@@ -38,7 +38,7 @@
     WorkerHandler& handler_;
     ConnectionReserver& reserver_;
     const WorkerPoolOptions options_;
-    std::size_t connections_each_ = 0;  // as last told to all workers
+    std::size_t connections_each_ = 0;  // current limit of each worker
     std::vector<std::unique_ptr<PooledWorker>> workers_;
 };
 
