--- a/tests/bootstrap_config_test.cpp
+++ b/tests/bootstrap_config_test.cpp
@@ -1,4 +1,4 @@
-// The file that the platform gives a placer at its start.
+// Parsing of the start-up file that the platform gives a placer.
 #include "platform/bootstrap_config.h"
 
 #include <catch2/catch.hpp>
@@ -6,7 +6,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("the configuration is flattened to the paths of the simulator's settings; what is wrong is named") {
+TEST_CASE("parsing flattens the settings to the simulator's keys; errors name the file and the key") {
     const std::string head =
         R"({"listen":"127.0.0.1:1","bus":"127.0.0.1:2","seed":"8c1f","limits":{"sockets":256},)";
     const auto config = platform::BootstrapConfig::parse(
--- a/tests/connection_allocator_test.cpp
+++ b/tests/connection_allocator_test.cpp
@@ -50,7 +50,9 @@
 
 }  // namespace
 
-TEST_CASE("a worker beyond the budget gets the descriptor of the connection that is idle for the longest") {
+TEST_CASE(
+    "at the limit of the budget, a worker gets the descriptor of the connection that is idle for the "
+    "longest") {
     AllocatorFixture fixture;
     for (planner::WorkerNumber number = 0; number < 40; ++number) {
         CHECK(fixture.pool.at(number).connect());
@@ -76,7 +78,7 @@
     CHECK(fixture.allocator.connections() == 40);
 }
 
-TEST_CASE("idle connections to workers make room for clients") {
+TEST_CASE("an idle connection to a worker is closed to make room for a client") {
     AllocatorFixture fixture;
     for (planner::WorkerNumber number = 0; number < 40; ++number) CHECK(fixture.pool.at(number).connect());
     CHECK_FALSE(fixture.allocator.make_room_for_client());
--- a/tests/deferred_calls_test.cpp
+++ b/tests/deferred_calls_test.cpp
@@ -19,7 +19,7 @@
     CHECK(calls.empty());
 }
 
-TEST_CASE("a call that is deferred by a deferred call runs in the same pass, after those that waited") {
+TEST_CASE("a call that is deferred by a deferred call runs in the same pass, after those queued before") {
     DeferredCalls calls;
     std::vector<int> ran;
     calls.defer([&] {
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a worker is added once its address is known, unless it has gone by then") {
+TEST_CASE("a worker is added once its address is known, unless it has left by then") {
     EndpointFixture fixture;
     fixture.apply({EndpointFixture::update("w1", EndpointPhase::serving, "")});
     CHECK(fixture.pool.size() == 0);
@@ -65,7 +65,7 @@
     CHECK(fixture.told.size() == 1);
 }
 
-TEST_CASE("what an update leaves out stays as it was") {
+TEST_CASE("fields that are absent from an update keep their value") {
     EndpointFixture fixture;
     EndpointUpdate first = EndpointFixture::update("w1", EndpointPhase::serving, "10.0.1.1:1");
     first.cell = 4;
--- a/tests/planner_rounds_test.cpp
+++ b/tests/planner_rounds_test.cpp
@@ -1,4 +1,4 @@
-// When the planner of the platform's server runs, and what waits for it.
+// Scheduling of the planner's rounds in the platform's server, and the calls deferred until a round is over.
 #include "platform/planner_rounds.h"
 
 #include <catch2/catch.hpp>
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-TEST_CASE("rounds that are asked for together are one, and deferred calls run after it") {
+TEST_CASE("several requests for a round before it runs cause one round, and deferred calls run after it") {
     RoundsFixture fixture;
     fixture.rounds.schedule();
     fixture.rounds.schedule();
@@ -41,7 +41,7 @@
     CHECK(fixture.order == "round deferred done ");
 }
 
-TEST_CASE("rounds are a millisecond apart, and a planner that asks is woken") {
+TEST_CASE("rounds are a millisecond apart, and wake_at() runs a round at the given time") {
     RoundsFixture fixture;
     const Nanos start = fixture.world.now();
     fixture.rounds.schedule();
--- a/tests/platform_attempts_test.cpp
+++ b/tests/platform_attempts_test.cpp
@@ -1,4 +1,5 @@
-// Attempts of the platform's server: what is sent to workers, and what becomes of it; in virtual time.
+// Attempts of the platform's server: the messages to workers, and the handling of their replies; in virtual
+// time.
 #include <catch2/catch.hpp>
 
 #include "support/platform_rig.h"
@@ -7,8 +8,8 @@
 using namespace whinpost;
 
 TEST_CASE(
-    "a task is sent to a worker as its client wrote it, and the worker's acceptance and its end are passed "
-    "on") {
+    "a task is sent to a worker as its client wrote it, and the worker's answer and release are passed on to "
+    "the client") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 0x8c1f30d27a5be964, "marked");
     REQUIRE(rig.worker.attempts().size() == 1);
@@ -19,10 +20,10 @@
     CHECK(attempt.idempotency_key == "5c0f6e1a2b3d4c59a8b7c6d5e4f30211");
     CHECK(attempt.description == "asked");
     CHECK(std::stoi(attempt.time_left_ms) > 0);
-    rig.worker.last_connection().answer(attempt.task, "it stands at h");
+    rig.worker.last_connection().answer(attempt.task, "runs on h");
     rig.run(20 * kMillisecond);
     REQUIRE(rig.client.messages(MessageType::answer).size() == 1);
-    CHECK(rig.client.messages(MessageType::answer)[0].description == "it stands at h");
+    CHECK(rig.client.messages(MessageType::answer)[0].description == "runs on h");
     rig.worker.last_connection().release(attempt.task, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
     REQUIRE(rig.client.messages(MessageType::release).size() == 1);
@@ -31,8 +32,7 @@
     CHECK(rig.ledger.open_tasks() == 0);
 }
 
-TEST_CASE(
-    "the late acceptance of an abandoned attempt is cancelled where a repeat may run elsewhere, else left") {
+TEST_CASE("a late answer to an abandoned attempt is cancelled if the task is idempotent, otherwise ignored") {
     SingleWorkerRig rig;
     const std::string group = GENERATE("free", "marked", "once");
     rig.request_placement(rig.client, 7, group, 1000);
@@ -41,7 +41,7 @@
     CHECK(answer_count(rig.client, 7) == 1);
     CHECK(rig.client.count(MessageType::answer, 7) == 0);
     const std::size_t before = rig.worker.count(MessageType::release, 7);
-    CHECK(before >= 1);  // given up
+    CHECK(before >= 1);  // for the abandoned attempt
     rig.worker.connections[0]->answer(7);
     rig.run(50 * kMillisecond);
     CHECK(rig.worker.count(MessageType::release, 7) - before == (group == "free" ? 1u : 0u));
@@ -57,13 +57,13 @@
     rig.server.place(quiet.submitted[0], 0, 500 * kMillisecond);
     rig.run(kSecond);
     REQUIRE(rig.worker.attempts().size() == 1);
-    CHECK(rig.worker.count(MessageType::release, 7) == 1);  // given up
+    CHECK(rig.worker.count(MessageType::release, 7) == 1);  // for the abandoned attempt
     rig.server.place(quiet.submitted[0], 0, 500 * kMillisecond);
     rig.run(50 * kMillisecond);
     REQUIRE(rig.worker.attempts().size() == 2);
     REQUIRE(rig.worker.connections.size() == 2);
     CHECK(rig.worker.connections[1]->count(MessageType::place_task, 7) == 1);
-    rig.worker.connections[0]->answer(7, "the first one's");  // of the attempt that was given up
+    rig.worker.connections[0]->answer(7, "the first one's");  // answers the abandoned attempt
     rig.run(20 * kMillisecond);
     CHECK(rig.client.count(MessageType::answer, 7) == 0);
     rig.worker.connections[1]->answer(7, "the second one's");
@@ -85,26 +85,28 @@
     CHECK(!rig.worker.connections[0]->closed);
 }
 
-TEST_CASE("a task that ended before its answer was sent reports both in one, and is not started again") {
+TEST_CASE(
+    "a release that also carries the answer passes both on to the client, and the task is not started "
+    "again") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     Message message;
     message.type = MessageType::release;
     message.task = 1;
     message.cause = platform_codec::Cause::ok;
-    message.description = "stood and ended";
+    message.description = "ran and ended";
     rig.worker.last_connection().send(message);
     rig.run(200 * kMillisecond);
     CHECK(rig.worker.attempts().size() == 1);
     REQUIRE(rig.client.received.size() == 2);
     CHECK(rig.client.received[0].type == MessageType::answer);
-    CHECK(rig.client.received[0].description == "stood and ended");
+    CHECK(rig.client.received[0].description == "ran and ended");
     CHECK(rig.client.received[1].type == MessageType::release);
     CHECK(rig.client.received[1].cause == platform_codec::Cause::ok);
     CHECK(rig.server.task_count() == 0);
     rig.request_placement(rig.client, 2, "once");
     message.task = 2;
-    message.description.reset();  // says no such thing: in doubt
+    message.description.reset();  // without a description it is unknown whether the task ran
     rig.worker.last_connection().send(message);
     rig.run(200 * kMillisecond);
     CHECK(rig.client.count(MessageType::answer, 2) == 0);
@@ -112,8 +114,8 @@
 }
 
 TEST_CASE(
-    "a task that ran by its notes and ended before its late answer is reported to its client, not started "
-    "anew") {
+    "if a note shows that an attempt runs, a release before its answer goes to the client and the task is "
+    "not retried") {
     SingleWorkerRig rig;
     const bool has_note = GENERATE(true, false);
     rig.request_placement(rig.client, 1);
@@ -136,7 +138,9 @@
     CHECK(rig.planner.open_tasks() == 0);
 }
 
-TEST_CASE("a refused connection proves that nothing ran, a reset proves nothing") {
+TEST_CASE(
+    "a side-effecting task ends with try_later after a refused connection, with another cause after a "
+    "reset") {
     SingleWorkerRig rig;
     const bool refused = GENERATE(true, false);
     if (refused) rig.worker.listener.reset();
--- a/tests/platform_codec_test.cpp
+++ b/tests/platform_codec_test.cpp
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-TEST_CASE("a message is decoded as it was encoded, whatever pieces it comes in") {
+TEST_CASE("a message decodes to what was encoded, and each shorter prefix of it is incomplete") {
     std::string bytes;
     Message message = valid_request();
     message.cause = static_cast<platform_codec::Cause>(200);
@@ -49,7 +49,7 @@
     changed[0] = '\x7f';  // too long
     CHECK(read(changed) == DecodeStatus::malformed);
     changed = bytes;
-    changed[2] = 99;  // no such type, known before the rest has come
+    changed[2] = 99;  // unknown type: an error even before the rest has arrived
     CHECK(read(changed) == DecodeStatus::malformed);
     CHECK(read(changed.substr(0, 3)) == DecodeStatus::malformed);
     CHECK(read(std::string("\x00\x02\x01", 3)) == DecodeStatus::malformed);  // shorter than any message
--- a/tests/platform_discovery_test.cpp
+++ b/tests/platform_discovery_test.cpp
@@ -5,7 +5,8 @@
 
 using namespace whinpost;
 
-TEST_CASE("discovery breaks off, repeats events, falls silent, moves: watched again from the last event") {
+TEST_CASE(
+    "after a break, repeated events, silence or a move, discovery is watched again from the last event") {
     PlatformRig rig;
     rig.start();
     PlatformRig::FakeWorker &a = rig.add_worker("a"), &b = rig.add_worker("b");
@@ -22,7 +23,7 @@
     rig.publish_bytes(second);
     rig.run(20 * kMillisecond);
     CHECK(rig.server.worker_count() == 2);
-    rig.comments = false;  // silent, and open
+    rig.comments = false;  // sends nothing, but keeps the connection open
     rig.run(2500 * kMillisecond);
     REQUIRE(rig.watches.size() >= 3);
     CHECK(rig.watches[2]->requests.find("Last-Event-ID: 2\r\n") != std::string::npos);
--- a/tests/platform_random_faults_test.cpp
+++ b/tests/platform_random_faults_test.cpp
@@ -1,4 +1,4 @@
-// The platform's server among workers and clients that do anything; in virtual time.
+// The platform's server with workers and clients that behave at random; in virtual time.
 #include <catch2/catch.hpp>
 #include <random>
 #include <utility>
@@ -7,7 +7,9 @@
 
 using namespace whinpost;
 
-TEST_CASE("whatever workers and other clients do, each request has one final answer, and that in time") {
+TEST_CASE(
+    "whatever workers and other clients do, each request gets in time an answer or a release, one of each at "
+    "most") {
     const auto seed = GENERATE(take(12, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](unsigned n) { return static_cast<unsigned>(chance() % n); };
@@ -42,7 +44,7 @@
                 for (const TestClient::ReceivedMessage& received_message :
                      std::exchange(connection->received, {})) {
                     if (received_message.type != MessageType::place_task) continue;
-                    switch (roll(8)) {  // else silent for good
+                    switch (roll(8)) {  // otherwise the worker never answers
                         case 0:
                             connection->answer(received_message.task);
                             break;
@@ -67,7 +69,7 @@
                             break;
                     }
                 }
-        if (roll(10) == 0) {  // another client's trouble
+        if (roll(10) == 0) {  // a misbehaving client
             TestClient& bad = rig.connect_client(100 + static_cast<int>(roll(50)));
             switch (roll(4)) {
                 case 0:
@@ -75,12 +77,12 @@
                     break;
                 case 1:
                     bad.send_bytes(place_task_bytes(next - 1, "free", 500, ""));
-                    break;  // an id of another's
+                    break;  // an id that another client has used
                 case 2:
                     bad.release(next - 1, platform_codec::Cause::given_up);
                     break;
                 default:
-                    break;  // silent
+                    break;  // sends nothing
             }
         }
         if (roll(40) == 0)
--- a/tests/platform_worker_connections_test.cpp
+++ b/tests/platform_worker_connections_test.cpp
@@ -1,4 +1,5 @@
-// The platform's server and its connections to workers: broken, lost, moved, and too many; in virtual time.
+// The platform's server and its connections to workers: broken, lost, moved, or more than there are
+// descriptors; in virtual time.
 #include <catch2/catch.hpp>
 #include <utility>
 
@@ -7,7 +8,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("malformed bytes end a worker's connection: its attempts are in doubt, its running tasks go on") {
+TEST_CASE("malformed bytes close a worker's connection: its attempts may have run, its running tasks go on") {
     SingleWorkerRig rig;
     const std::string bytes = GENERATE(std::string("\xff\xff garbage, no message"),
                                        std::string("\x00\x03\x09xy", 5), std::string("\x00\x40\x09half", 7));
@@ -19,19 +20,19 @@
     rig.worker.last_connection().send_bytes(bytes);
     rig.run(600 * kMillisecond);
     CHECK(rig.worker.connections[0]->closed);
-    CHECK(rig.worker.attempts().size() == 2);  // side-effecting: it may have run
+    CHECK(rig.worker.attempts().size() == 2);  // not retried: it is side-effecting and may have run
     REQUIRE(rig.client.count(MessageType::release, 2) == 1);
     CHECK(rig.client.messages(MessageType::release)[0].cause != platform_codec::Cause::try_later);
     CHECK(rig.client.count(MessageType::release, 1) == 0);
-    REQUIRE(rig.worker.connections.size() == 2);  // dialed again for what runs
+    REQUIRE(rig.worker.connections.size() == 2);  // dialed again for the running task
     rig.worker.connections[1]->release(1, platform_codec::Cause::reset, "evicted");
     rig.run(20 * kMillisecond);
     CHECK(rig.client.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE(
-    "attempts at one worker are sent on connections of their own, so that one that breaks puts one in "
-    "doubt") {
+    "each attempt at a worker is sent on a connection of its own, so that one that breaks affects one "
+    "attempt") {
     SingleWorkerRig rig;
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
@@ -45,19 +46,20 @@
     rig.worker.connections[1]->stream->abort();
     rig.worker.connections[1]->stream.reset();
     rig.run(50 * kMillisecond);
-    // It may stand there, where its word can't reach us: cut, on a connection that is up.
+    // The attempt may run on the worker, and its messages would not reach the placer. So it is cancelled, on
+    // a connection that is up.
     CHECK(rig.worker.count(MessageType::release, broken) == 1);
     CHECK(rig.worker.count(MessageType::release, 1) + rig.worker.count(MessageType::release, 2) +
               rig.worker.count(MessageType::release, 3) ==
           1);
     for (const auto n : quiet.submitted)
-        rig.server.place(n, 0, 2 * kSecond);  // those that are out: refused by the ledger
+        rig.server.place(n, 0, 2 * kSecond);  // the ledger refuses those that are still in flight
     rig.run(50 * kMillisecond);
     CHECK(rig.worker.count(MessageType::place_task, broken) == 2);
     CHECK(rig.ledger.statistics().refused_to_planner == 2);
 }
 
-TEST_CASE("what may not be repeated is not cancelled when its connection breaks") {
+TEST_CASE("an attempt of a task that is not idempotent is not cancelled when its connection breaks") {
     SingleWorkerRig rig;
     const std::string group = GENERATE("marked", "once");
     rig.request_placement(rig.client, 1, group);
@@ -68,7 +70,8 @@
     CHECK(rig.worker.count(MessageType::release, 1) == 0);
 }
 
-TEST_CASE("tasks on a worker that vanished are released within 8 s, on one whose process died at once") {
+TEST_CASE(
+    "tasks are released within 8 s if their worker's machine vanishes, within 2 s if its process dies") {
     SingleWorkerRig rig;
     const bool vanished = GENERATE(true, false);
     rig.request_placement(rig.client, 1);
@@ -83,7 +86,7 @@
     CHECK(rig.server.task_count() == 0);
 }
 
-TEST_CASE("a worker that is merely silent keeps its connection: its last messages may be on their way") {
+TEST_CASE("the connection to a silent worker is kept, since its last messages may be on their way") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
@@ -96,7 +99,8 @@
 }
 
 TEST_CASE(
-    "attempts at a worker that reads nothing wait where they can be taken back once their client goes") {
+    "attempts at a worker that does not read are withdrawn when their client disconnects, unless the kernel "
+    "has them") {
     SingleWorkerRig rig(64);
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
@@ -104,7 +108,7 @@
     rig.server.place(quiet.submitted[0], 0, 60 * kSecond);
     rig.run(20 * kMillisecond);
     REQUIRE(rig.worker.connections.size() == 1);
-    // Further attempts go on connections of their own, up to ten.
+    // Further attempts get connections of their own, up to ten.
     const std::string description(1000, 'd');
     Message message;
     message.type = MessageType::place_task;
@@ -127,7 +131,7 @@
     REQUIRE(quiet.submitted.size() == 1 + kAttempts);
     REQUIRE(rig.worker.connections.size() == 10);
     message.task_name = "0000000000000000";
-    message.requirements.reset();  // workers are not told them
+    message.requirements.reset();  // not sent to workers
     std::string bytes;
     platform_codec::encode(bytes, message);
     const std::size_t size = bytes.size();
@@ -137,7 +141,7 @@
     for (const auto& connection : rig.worker.connections)
         if (connection->stream) connection->stream->set_reading(true);
     rig.run(kSecond);
-    // The kernels hold 256 kB of each connection; one more message may be in parts, one was read before.
+    // The kernels hold 256 kB per connection. One more message may be sent in part, and one was read before.
     const std::size_t most = (256u << 10) / size + 2;
     for (const auto& connection : rig.worker.connections) {
         std::size_t attempts = 0;
@@ -148,15 +152,15 @@
     }
 }
 
-TEST_CASE("nothing for a worker that left reaches a new one at its address") {
+TEST_CASE("no message for a worker that left reaches another worker at the same address") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
     rig.run(20 * kMillisecond);
     rig.world.kill(*rig.worker.process);
     rig.worker.listener.reset();
-    PlatformRig::FakeWorker& successor = rig.workers["heir"];
-    successor.name = "heir";
+    PlatformRig::FakeWorker& successor = rig.workers["successor"];
+    successor.name = "successor";
     successor.address = rig.worker.address;
     successor.process = &rig.world.process("10.0.1.1");
     rig.publish({PlatformRig::entry(rig.worker, "left")});
@@ -169,7 +173,7 @@
     CHECK(successor.attempts().size() == 1);
 }
 
-TEST_CASE("more workers than descriptors, all in use all the time: each worker is reached again and again") {
+TEST_CASE("with more workers than descriptors, all in constant use, each worker is reached again and again") {
     constexpr std::size_t kWorkers = 60;
     PlatformRig rig(64);                         // 40 of them for connections
     const bool answers = GENERATE(true, false);  // whether workers answer health checks
@@ -181,7 +185,7 @@
     }
     rig.start();
     rig.publish(entries, true);
-    std::vector<std::size_t> checked(kWorkers);  // health checks that came to each worker
+    std::vector<std::size_t> checked(kWorkers);  // health checks received by each worker
     const auto answer_checks = [&] {
         for (std::size_t i = 0; i < kWorkers; ++i)
             for (const auto& connection : workers[i]->connections)
--- a/tests/pooled_worker_test.cpp
+++ b/tests/pooled_worker_test.cpp
@@ -16,7 +16,7 @@
     void on_attempt_timeout(platform::InFlightTask&) override {}
 };
 
-// A task with an attempt that the ledger has started.
+// A task with an attempt in flight.
 struct StartedTask {
     StartedTask(std::uint64_t id, const QueueGroup& group) : task(timeouts, timeouts) {
         attempt.deadline = kSecond * 1000;
@@ -78,7 +78,7 @@
 }
 
 TEST_CASE(
-    "a connection that breaks leaves what was written in doubt, and says so before the connection is up") {
+    "an attempt ends as reset if its connection breaks after the write, as connect_failed if none comes up") {
     WorkerFixture fixture;
     fixture.start(7);
     fixture.peer.connections[0]->stream->abort();
@@ -109,13 +109,13 @@
     reply.cause = Cause::check_passed;
     reply.load_report = "x0:2.5";
     fixture.peer.connections[0]->send(reply);
-    fixture.peer.connections[0]->send(reply);  // the second is the reply to nothing
+    fixture.peer.connections[0]->send(reply);  // repeated: no health check is pending for it
     fixture.run();
     REQUIRE(fixture.handler.load_reports.size() == 1);
     CHECK(fixture.handler.load_reports[0].free_cores == 2.5);
 }
 
-TEST_CASE("running tasks end with the worker's word, or once no process listens there") {
+TEST_CASE("a running task ends when it is removed or dials are refused; releases of unknown tasks are kept") {
     WorkerFixture fixture;
     platform::InFlightTask& first = fixture.start(1);
     platform::InFlightTask& second = fixture.start(2);
--- a/tests/support/platform_fakes.h
+++ b/tests/support/platform_fakes.h
@@ -1,4 +1,5 @@
-// Handlers that record what the parts of the platform's server tell them and decide nothing, to derive from.
+// Fakes for tests of the platform server's parts: handlers that record the calls they receive, and a
+// listener.
 #pragma once
 #include <memory>
 #include <string>
@@ -76,7 +77,7 @@
     int health_checks = 0, identified = 0, ending = 0, left = 0, stalled = 0;
 };
 
-// A peer that accepts connections and keeps what comes on them.
+// A peer that accepts connections and keeps the messages received on them.
 struct FakeListener {
     FakeListener(simulation::SimulatedNetwork& world, const std::string& ip)
         : process(world.process(ip)), address(ip + ":1") {
--- a/tests/support/platform_messages.h
+++ b/tests/support/platform_messages.h
@@ -1,4 +1,4 @@
-// What tests say on the platform's protocol and keep of what they hear, whatever carries the bytes.
+// Helpers that build the platform's messages and keep the received ones, for any transport.
 #pragma once
 #include <cstdint>
 #include <optional>
@@ -13,7 +13,7 @@
 using platform_codec::Message;
 using platform_codec::MessageType;
 
-// One end of a connection. What came is kept.
+// One end of a connection, which keeps all messages that it receives.
 class ProtocolPeer {
 public:
     struct ReceivedMessage {
@@ -44,7 +44,7 @@
         if (!reason.empty()) message.detail = reason;
         send(message);
     }
-    // What a worker says of a task that it starts, or that is handed to a placer.
+    // Sends the note that a worker sends about a task when it starts the task or hands it to a placer.
     void report_use(std::uint64_t id) {
         Message note;
         note.type = MessageType::note;
@@ -53,7 +53,7 @@
         note.metric_value = "0.5";
         send(note);
     }
-    // A health check, which the server answers: the shortest way to be known as a client.
+    // Sends a health check. The server answers it and from then on knows the peer as a client.
     void send_plain_check() {
         Message message;
         message.type = MessageType::health_check;
@@ -75,7 +75,7 @@
     std::vector<ReceivedMessage> received;
 
 protected:
-    // Keeps every whole message; gives back how many bytes they were.
+    // Keeps every complete message; returns the number of bytes that they took.
     std::size_t decode_received(std::string_view in) {
         const auto decoded = platform_codec::decode_all(in, [this](const Message& message) {
             const auto text = [](const std::optional<std::string_view>& value) {
@@ -91,7 +91,7 @@
     }
 };
 
-// With every field that a request of a keyed queue group, `batch`, has.
+// A request with every field that the keyed queue group `batch` needs.
 inline Message valid_request() {
     Message message;
     message.type = MessageType::place_task;
@@ -111,7 +111,7 @@
     return out;
 }
 
-// A request as a good client sends it.
+// The bytes of a request as a well-behaved client sends it.
 inline std::string place_task_bytes(std::uint64_t id, const std::string& queue_group, int time_left_ms,
                                     const std::string& more, std::uint64_t name_of = 0) {
     Message message;
@@ -136,7 +136,7 @@
            R"(","share":1,"born_ms":0,"free":[16,32]})";
 }
 
-// Discovery's event of that number.
+// An event of discovery with this sequence number, as sent in the event stream.
 inline std::string watch_event(std::int64_t number, const std::vector<std::string>& entries, bool whole) {
     std::string list;
     for (const std::string& entry : entries) list += (list.empty() ? "" : ",") + entry;
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -1,5 +1,5 @@
-// The platform's server in virtual time, among clients, workers and a discovery service that say just what a
-// test has them say.
+// The platform's server in virtual time, with clients, workers and a discovery service that send only what
+// the test has them send.
 #pragma once
 #include <functional>
 #include <map>
@@ -15,7 +15,7 @@
 
 namespace whinpost {
 
-// One end of a connection, by hand.
+// One end of a connection, controlled by the test.
 struct TestClient : net::StreamHandler, ProtocolPeer {
     std::size_t on_received(std::string_view in) override { return decode_received(in); }
     void on_closed(net::CloseReason) override {
@@ -35,7 +35,7 @@
         simulation::SimulatedProcess* process;
         std::unique_ptr<net::Listener> listener;
         std::vector<std::unique_ptr<TestClient>> connections;
-        // Every attempt that came, on any connection.
+        // All attempts that were received, on any connection.
         std::vector<TestClient::ReceivedMessage> attempts() const {
             std::vector<TestClient::ReceivedMessage> out;
             for (const auto& connection : connections)
@@ -78,7 +78,7 @@
         require(server.listen("10.0.0.1:3868").has_value());
     }
     static void require(bool holds) {
-        if (!holds) throw std::runtime_error("the rig does not stand");
+        if (!holds) throw std::runtime_error("PlatformRig: set-up failed");
     }
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
@@ -125,7 +125,7 @@
         publish_bytes(event(entries, whole));
         run(20 * kMillisecond);
     }
-    // Discovery stays alive: a comment comes every second.
+    // Runs the simulation for `by`. Meanwhile discovery sends a comment every second.
     void run(Nanos by) {
         for (const Nanos until = world.now() + by; world.now() < until;) {
             const Nanos step = std::min(until, next_comment);
@@ -165,7 +165,7 @@
         run(5 * kMillisecond);
         return client;
     }
-    // A request as a good client sends it.
+    // Sends a request as a well-behaved client does, and lets the server handle it.
     void request_placement(TestClient& client, std::uint64_t id, const std::string& group = "free",
                            int time_left_ms = 5000, const std::string& more = "") {
         client.send_bytes(place_task_bytes(id, group, time_left_ms, more));
@@ -189,7 +189,7 @@
     bool comments = true;
 };
 
-// One worker, listed, and one client.
+// A rig with one client and one listed worker.
 struct SingleWorkerRig : PlatformRig {
     explicit SingleWorkerRig(std::size_t descriptors = 256)
         : PlatformRig(descriptors), worker(add_worker("h")), client(connect_client()) {
--- a/tests/support/quiet_platform_handlers.h
+++ b/tests/support/quiet_platform_handlers.h
@@ -1,4 +1,4 @@
-// Handlers of the platform's server that take what they are told and do nothing, to derive from.
+// Handlers of the platform's server that ignore all calls; to derive from.
 #pragma once
 #include <string_view>
 
