--- a/src/platform/pooled_worker.h
+++ b/src/platform/pooled_worker.h
@@ -118,7 +118,7 @@
     void doubt_tasks_on(WorkerConnection& mute);
     void on_connection_heard(WorkerConnection&);
     std::vector<InFlightTask*> tasks_spoken_of_before(Nanos moment) const;
-    void ask_old_connections(Nanos now);
+    void probe_old_connections(Nanos now);
     std::vector<ledger::WorkerReachability::ConnectionState> connection_states() const;
     void dial_for_word(Nanos now, bool alive);
     void close_earlier_for_word(const WorkerConnection& latest);
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -105,33 +105,34 @@
 void PooledWorker::check_connections(Nanos now) {
     if (!health_checks_ || running_.empty()) return;
     if (ledger::WorkerReachability::is_process_in_question(now, connection_states()))
-        ask_old_connections(now);
+        probe_old_connections(now);
     Nanos unanswered_since = 0;
     for (const auto& connection : connections_) {
         connection->check_mute();
-        if (connection->is_mute_) unanswered_since = std::max(unanswered_since, connection->asked_at_);
+        if (connection->is_mute_)
+            unanswered_since = std::max(unanswered_since, connection->unanswered_probe_at_);
     }
     if (!unanswered_since) return;
     for (const auto& connection : connections_) {
         if (connection->is_mute_ && !connection->is_doubted_) doubt_tasks_on(*connection);
-        if (!connection->is_mute_ && connection->answered_ask_ < unanswered_since) connection->ask_for_life();
+        if (!connection->is_mute_ && connection->answered_probe_at_ < unanswered_since) connection->probe();
     }
 }
 
 // Sends a health check on each old connection on which a running task was accepted; if there is none, on the
 // old connection that received data last.
-void PooledWorker::ask_old_connections(Nanos now) {
-    WorkerConnection* heard_last = nullptr;
-    bool any_asked = false;
+void PooledWorker::probe_old_connections(Nanos now) {
+    WorkerConnection* latest_received = nullptr;
+    bool any_probed = false;
     for (const auto& connection : connections_) {
         if (!ledger::WorkerReachability::is_old(now, connection->state())) continue;
-        if (!heard_last || connection->last_received_ > heard_last->last_received_)
-            heard_last = connection.get();
+        if (!latest_received || connection->last_received_ > latest_received->last_received_)
+            latest_received = connection.get();
         if (connection->accepted_.empty()) continue;
-        connection->ask_for_life();
-        any_asked = true;
+        connection->probe();
+        any_probed = true;
     }
-    if (!any_asked && heard_last) heard_last->ask_for_life();
+    if (!any_probed && latest_received) latest_received->probe();
 }
 
 void PooledWorker::doubt_tasks_on(WorkerConnection& mute) {
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -162,8 +162,8 @@
 
 void WorkerConnection::check_mute() {
     const Nanos now = worker_.loop_.now();
-    if (!asked_at_ || is_mute_ || !is_up()) return;
-    if (!ledger::WorkerReachability::is_mute(now, last_received_, asked_at_)) return;
+    if (!unanswered_probe_at_ || is_mute_ || !is_up()) return;
+    if (!ledger::WorkerReachability::is_mute(now, last_received_, unanswered_probe_at_)) return;
     is_mute_ = true;
     worker_.log_(log::Level::info, "worker_connection_mute",
                  {{"worker", worker_.name_},
@@ -176,10 +176,10 @@
     if (last_received_ > up_since_) worker_.reachability_.on_word_may_be_lost();
 }
 
-void WorkerConnection::ask_for_life() {
-    if (asked_at_ || !is_up()) return;
-    asked_at_ = ask_sent_at_ = worker_.loop_.now();
-    ask_ = worker_.next_health_check_;
+void WorkerConnection::probe() {
+    if (unanswered_probe_at_ || !is_up()) return;
+    unanswered_probe_at_ = probe_sent_at_ = worker_.loop_.now();
+    probe_id_ = worker_.next_health_check_;
     check_health();
 }
 
@@ -230,7 +230,7 @@
 std::size_t WorkerConnection::on_received(std::string_view in) {
     last_received_ = worker_.last_received_ = worker_.last_message_at_ = worker_.loop_.now();
     if (std::exchange(is_mute_, false)) worker_.on_connection_heard(*this);
-    asked_at_ = 0;
+    unanswered_probe_at_ = 0;
     const auto decoded = platform_codec::decode_all(in, [this](const Message& message) {
         on_message(message);
         return state_ != State::broken;
@@ -360,7 +360,7 @@
 }
 
 void WorkerConnection::on_health_check_reply(const Message& message) {
-    if (message.task == ask_) answered_ask_ = ask_sent_at_;
+    if (message.task == probe_id_) answered_probe_at_ = probe_sent_at_;
     if (pending_health_checks_.erase(message.task) && message.cause == Cause::check_passed)
         worker_.handler_.on_load_report(worker_, load_report_of(message));
 }
--- a/src/platform/worker_connection.h
+++ b/src/platform/worker_connection.h
@@ -39,7 +39,7 @@
     void check_health();
     // Sends a health check to find out whether the worker responds on this connection. Does nothing if one
     // was sent since the last byte was received.
-    void ask_for_life();
+    void probe();
     void cancel_task(std::uint64_t id);
     // Sends nothing new on it from now on. Only for a connection that is up.
     void retire() { state_ = State::retired; }
@@ -77,12 +77,12 @@
     bool is_long_idle() const;
     void send_waiting();
     ledger::WorkerReachability::ConnectionState state() const {
-        return {up_since_, last_received_, is_mute_, asked_at_, answered_ask_};
+        return {up_since_, last_received_, is_mute_, unanswered_probe_at_, answered_probe_at_};
     }
     // Called when an attempt that was written at `written_at` is abandoned. Retires the connection if it is
     // mute.
     void retire_if_unanswered(Nanos written_at);
-    // Marks the connection as mute if the worker has not responded in time to the latest ask_for_life().
+    // Marks the connection as mute if the worker has not responded to the latest probe in time.
     void check_mute();
     void end_attempts(bool was_up);
     void write(const platform_codec::Message&);
@@ -94,10 +94,10 @@
     State state_ = State::dialing;
     bool health_check_due_ = false;  // to be sent once it is up
     Nanos last_received_ = 0, last_used_ = 0, up_since_ = 0;
-    Nanos asked_at_ = 0;     // time of the ask_for_life() that has no response yet; 0: none
-    std::uint64_t ask_ = 0;  // id of the latest health check that ask_for_life() sent
-    Nanos ask_sent_at_ = 0, answered_ask_ = 0;
-    bool is_mute_ = false;               // no response to ask_for_life() came in time
+    Nanos unanswered_probe_at_ = 0;  // when the probe that has no response yet was sent; 0: none
+    std::uint64_t probe_id_ = 0;     // id of the latest probe
+    Nanos probe_sent_at_ = 0, answered_probe_at_ = 0;
+    bool is_mute_ = false;               // the latest probe was not answered in time
     bool opened_for_word_ = false;       // opened only to receive messages that may have been lost
     bool is_doubted_ = false;            // mute, and the tasks of the process at its other end are in doubt
     std::deque<InFlightTask*> waiting_;  // attempts that are not written yet
