--- a/src/platform/pooled_worker.h
+++ b/src/platform/pooled_worker.h
@@ -116,12 +116,12 @@
     // those that do not respond.
     void check_connections(Nanos now);
     void doubt_tasks_on(WorkerConnection& mute);
-    void on_connection_heard(WorkerConnection&);
-    std::vector<InFlightTask*> tasks_spoken_of_before(Nanos moment) const;
+    void on_connection_recovered(WorkerConnection&);
+    std::vector<InFlightTask*> running_tasks_sent_before(Nanos moment) const;
     void probe_old_connections(Nanos now);
     std::vector<ledger::WorkerReachability::ConnectionState> connection_states() const;
-    void dial_for_word(Nanos now, bool alive);
-    void close_earlier_for_word(const WorkerConnection& latest);
+    void dial_for_lost_messages(Nanos now, bool alive);
+    void close_superseded_connections(const WorkerConnection& latest);
 
     const std::string name_;
     const std::uint32_t number_;
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -64,7 +64,7 @@
         const Nanos last = std::max(connection.last_used_, connection.last_received_);
         const bool forgotten = !connection.has_work() && now - last > 2 * idle_timeout_;
         const bool unused = connection.is_mute_ && !connection.has_work() &&
-                            tasks_spoken_of_before(connection.last_received_).empty();
+                            running_tasks_sent_before(connection.last_received_).empty();
         const bool useless = unused || (is_gone() && running_.empty() && !connection.has_work());
         if (connection.is_up() && (forgotten || useless)) {
             connection.abort();
@@ -114,7 +114,7 @@
     }
     if (!unanswered_since) return;
     for (const auto& connection : connections_) {
-        if (connection->is_mute_ && !connection->is_doubted_) doubt_tasks_on(*connection);
+        if (connection->is_mute_ && !connection->tasks_in_doubt_) doubt_tasks_on(*connection);
         if (!connection->is_mute_ && connection->answered_probe_at_ < unanswered_since) connection->probe();
     }
 }
@@ -139,23 +139,23 @@
     const std::optional<Nanos> since =
         ledger::WorkerReachability::may_be_replaced_since(mute.state(), connection_states());
     if (!since) return;
-    mute.is_doubted_ = true;
-    const std::vector<InFlightTask*> tasks = tasks_spoken_of_before(*since);
+    mute.tasks_in_doubt_ = true;
+    const std::vector<InFlightTask*> tasks = running_tasks_sent_before(*since);
     log_(log::Level::info, "worker_may_be_replaced",
          {{"worker", name_}, {"tasks", tasks.size()}, {"silent_ms", (loop_.now() - *since) / kMillisecond}});
     for (InFlightTask* task : tasks) task->liveness.on_silenced(*since);
 }
 
 // A mute connection has received data again, so the process at its other end still runs.
-void PooledWorker::on_connection_heard(WorkerConnection& heard) {
-    if (!std::exchange(heard.is_doubted_, false)) return;
-    for (InFlightTask* task : tasks_spoken_of_before(loop_.now()))
-        task->liveness.on_process_confirmed(heard.up_since_);
+void PooledWorker::on_connection_recovered(WorkerConnection& recovered) {
+    if (!std::exchange(recovered.tasks_in_doubt_, false)) return;
+    for (InFlightTask* task : running_tasks_sent_before(loop_.now()))
+        task->liveness.on_process_confirmed(recovered.up_since_);
 }
 
 // The running tasks that were sent up to `moment`, except those accepted on a connection that was opened
 // later.
-std::vector<InFlightTask*> PooledWorker::tasks_spoken_of_before(Nanos moment) const {
+std::vector<InFlightTask*> PooledWorker::running_tasks_sent_before(Nanos moment) const {
     std::vector<InFlightTask*> tasks;
     for (const auto& [id, task] : running_) {
         if (!task->record->in_flight || task->record->in_flight->sent_at > moment) continue;
@@ -178,10 +178,10 @@
     return refused || left || silent;
 }
 
-void PooledWorker::dial_for_word(Nanos now, bool alive) {
+void PooledWorker::dial_for_lost_messages(Nanos now, bool alive) {
     if (now < next_dial_at_ || is_gone()) return;  // another worker may have the address now
     WorkerConnection* connection = dial();
-    if (connection) connection->opened_for_word_ = true;
+    if (connection) connection->opened_for_lost_messages_ = true;
     // This process had no free descriptor, which is no evidence of a silent worker.
     else if (!alive) last_received_ = now;
     next_dial_at_ = now + kDialBackoff;
@@ -189,10 +189,10 @@
 
 // Guards against an ever growing number of connections to a worker whose tasks send nothing for long. The
 // worker repeats on the next connection what it sent while this one was closed.
-void PooledWorker::close_earlier_for_word(const WorkerConnection& latest) {
+void PooledWorker::close_superseded_connections(const WorkerConnection& latest) {
     std::vector<WorkerConnection*> earlier;
     for (const auto& connection : connections_) {
-        const bool is_earlier = connection->opened_for_word_ && connection.get() != &latest;
+        const bool is_earlier = connection->opened_for_lost_messages_ && connection.get() != &latest;
         if (is_earlier && connection->is_empty() && connection->accepted_.empty() && !connection->is_mute_)
             earlier.push_back(connection.get());
     }
@@ -211,7 +211,7 @@
     if (summary.dialing || (running_.empty() && pending_cancels_.empty())) return;
     if (!summary.alive && end_lost_tasks(now)) return;
     if (!summary.alive || reachability_.needs_connection(now, summary.waits_on_silent))
-        dial_for_word(now, summary.alive);
+        dial_for_lost_messages(now, summary.alive);
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -223,13 +223,13 @@
     for (const std::uint64_t id : std::exchange(pending_cancels_, {})) cancel_task(id);
     for (const std::uint64_t id : std::exchange(worker_.pending_cancels_, {})) cancel_task(id);
     if (std::exchange(health_check_due_, false)) check_health();
-    if (opened_for_word_) worker_.close_earlier_for_word(*this);
+    if (opened_for_lost_messages_) worker_.close_superseded_connections(*this);
     send_waiting();
 }
 
 std::size_t WorkerConnection::on_received(std::string_view in) {
     last_received_ = worker_.last_received_ = worker_.last_message_at_ = worker_.loop_.now();
-    if (std::exchange(is_mute_, false)) worker_.on_connection_heard(*this);
+    if (std::exchange(is_mute_, false)) worker_.on_connection_recovered(*this);
     unanswered_probe_at_ = 0;
     const auto decoded = platform_codec::decode_all(in, [this](const Message& message) {
         on_message(message);
--- a/src/platform/worker_connection.h
+++ b/src/platform/worker_connection.h
@@ -97,9 +97,9 @@
     Nanos unanswered_probe_at_ = 0;  // when the probe that has no response yet was sent; 0: none
     std::uint64_t probe_id_ = 0;     // id of the latest probe
     Nanos probe_sent_at_ = 0, answered_probe_at_ = 0;
-    bool is_mute_ = false;               // the latest probe was not answered in time
-    bool opened_for_word_ = false;       // opened only to receive messages that may have been lost
-    bool is_doubted_ = false;            // mute, and the tasks of the process at its other end are in doubt
+    bool is_mute_ = false;                   // the latest probe was not answered in time
+    bool opened_for_lost_messages_ = false;  // opened only to receive messages that may have been lost
+    bool tasks_in_doubt_ = false;        // mute, and the tasks of the process at its other end are in doubt
     std::deque<InFlightTask*> waiting_;  // attempts that are not written yet
     // Attempts that were written and have not ended. Look up by id, or iterate over the sorted ids only.
     std::unordered_map<std::uint64_t, InFlightTask*> in_flight_;
