--- a/src/platform/connection_allocator.cpp
+++ b/src/platform/connection_allocator.cpp
@@ -30,7 +30,7 @@
 
 bool ConnectionAllocator::make_room_for_client() {
     if (budget_.client_fits(clients_.size(), worker_connections_)) return true;
-    return budget_.workers_make_room(clients_.size()) && close_least_useful();
+    return budget_.client_may_displace_worker(clients_.size()) && close_least_useful();
 }
 
 // Guards against a lack of descriptors for the discovery watch or a client when there are more workers than
@@ -53,14 +53,14 @@
     return chosen != nullptr;
 }
 
-// Of the connections whose turn is over and that can be closed or retired, as `wanted` says, returns the one
+// Of the connections whose turn is over and that can be closed or retired, as `purpose` says, returns the one
 // that has been up for the longest; null if there is none.
-WorkerConnection* ConnectionAllocator::oldest_past_its_turn(Nanos now, Wanted wanted) const {
+WorkerConnection* ConnectionAllocator::oldest_after_turn(Nanos now, Purpose purpose) const {
     WorkerConnection* oldest = nullptr;
     for (const auto& worker : pool_.workers()) {
         WorkerConnection* connection = worker->oldest_connection(now - kTurn);
         if (!connection) continue;
-        if (wanted == Wanted::closable ? !connection->is_empty() : connection->is_retired()) continue;
+        if (purpose == Purpose::close ? !connection->is_empty() : connection->is_retired()) continue;
         if (!oldest || connection->up_since() < oldest->up_since()) oldest = connection;
     }
     return oldest;
@@ -77,7 +77,7 @@
             continue;
         }
         if (!worker_fits()) {
-            if (WorkerConnection* connection = oldest_past_its_turn(now, Wanted::closable))
+            if (WorkerConnection* connection = oldest_after_turn(now, Purpose::close))
                 connection->close();
             else if (!close_least_useful()) break;
         }
@@ -89,7 +89,7 @@
 
 void ConnectionAllocator::retire_for_waiting(Nanos now) {
     for (std::size_t left = queue_.size(); left > 0; --left) {
-        WorkerConnection* connection = oldest_past_its_turn(now, Wanted::replaceable);
+        WorkerConnection* connection = oldest_after_turn(now, Purpose::retire);
         if (!connection) break;
         connection->retire();
     }
--- a/src/platform/connection_allocator.h
+++ b/src/platform/connection_allocator.h
@@ -25,10 +25,10 @@
     std::size_t connections() const { return clients_.size() + worker_connections_; }
 
 private:
-    enum class Wanted { closable, replaceable };
+    enum class Purpose { close, retire };
     bool worker_fits() const { return budget_.worker_fits(clients_.size(), worker_connections_); }
     bool close_least_useful();
-    WorkerConnection* oldest_past_its_turn(Nanos now, Wanted) const;
+    WorkerConnection* oldest_after_turn(Nanos now, Purpose) const;
     void retire_for_waiting(Nanos now);
 
     const net::EventLoop& loop_;
--- a/tests/connection_budget_test.cpp
+++ b/tests/connection_budget_test.cpp
@@ -18,8 +18,8 @@
     CHECK(budget.client_fits(89, 0));
     CHECK_FALSE(budget.client_fits(90, 0));  // the workers' quarter is reserved
     CHECK_FALSE(budget.client_fits(10, 110));
-    CHECK(budget.workers_make_room(49));
-    CHECK_FALSE(budget.workers_make_room(50));
+    CHECK(budget.client_may_displace_worker(49));
+    CHECK_FALSE(budget.client_may_displace_worker(50));
 }
 
 TEST_CASE("workers are served in the order in which they joined; joining again keeps their place") {
