--- a/src/platform/discovery_watch.cpp
+++ b/src/platform/discovery_watch.cpp
@@ -8,12 +8,12 @@
 // Discovery sends a comment every second. After this long without a byte the watch counts as silent and is
 // opened again. Updates are assumed to arrive within 4 s (ledger::TaskLiveness::kListDelay), which leaves
 // time for several tries.
-constexpr Nanos kSilent = 1500 * kMillisecond;
+constexpr Nanos kSilenceTimeout = 1500 * kMillisecond;
 // Bytes that complete no line for this long count as silence: guards against an event or a header that never
 // ends.
-constexpr Nanos kMaxLineTime = 2 * kSilent;
+constexpr Nanos kLineTimeout = 2 * kSilenceTimeout;
 // This long after the first line, the events missed during a break have been read.
-constexpr Nanos kSettled = 500 * kMillisecond;
+constexpr Nanos kCatchUpTime = 500 * kMillisecond;
 constexpr Nanos kDialTimeout = 500 * kMillisecond;
 // Backoff after a connection broke or could not be opened. The jitter keeps placers from reconnecting at the
 // same time.
@@ -59,7 +59,8 @@
 
 bool DiscoveryWatch::is_current() const {
     const Nanos now = loop_.now();
-    return watching_ && first_line_at_ && now - first_line_at_ >= kSettled && now - last_line_at_ < kSilent;
+    return watching_ && first_line_at_ && now - first_line_at_ >= kCatchUpTime &&
+           now - last_line_at_ < kSilenceTimeout;
 }
 
 void DiscoveryWatch::connect() {
@@ -82,7 +83,7 @@
     stream_->write(discovery::watch_request(address_, last_sequence_));
     log_(log::Level::info, "watch_connected", {{"address", address_}, {"last_sequence", last_sequence_}});
     last_line_at_ = loop_.now();
-    timer_->arm(last_line_at_ + kSilent);
+    timer_->arm(last_line_at_ + kSilenceTimeout);
 }
 
 std::size_t DiscoveryWatch::on_received(std::string_view in) {
@@ -100,8 +101,8 @@
     }
     // Checked here as well as by the timer: when bytes arrive in each pass of the event loop, rearming the
     // timer postpones it each time.
-    if (now - last_line_at_ >= kMaxLineTime) retry_later("line not completed in time");
-    else timer_->arm(std::min(now + kSilent, last_line_at_ + kMaxLineTime));
+    if (now - last_line_at_ >= kLineTimeout) retry_later("line not completed in time");
+    else timer_->arm(std::min(now + kSilenceTimeout, last_line_at_ + kLineTimeout));
     return in.size();
 }
 
--- a/src/platform/endpoint_list.cpp
+++ b/src/platform/endpoint_list.cpp
@@ -29,11 +29,11 @@
 // Returns true if the update names a new start of the worker. Any other start time counts, also an earlier
 // one, since the clock that it comes from may have been set back.
 bool EndpointList::apply_start(Endpoint& endpoint, const discovery::EndpointUpdate& update) const {
-    if (!update.started_at || *update.started_at == endpoint.told_start) return false;
-    endpoint.told_start = *update.started_at;
-    if (endpoint.told_start == 0) return false;
+    if (!update.started_at || *update.started_at == endpoint.received_start) return false;
+    endpoint.received_start = *update.started_at;
+    if (endpoint.received_start == 0) return false;
     const Nanos before = endpoint.state.started_at;
-    endpoint.state.started_at = std::max(before + 1, loop_.from_unix_time(endpoint.told_start));
+    endpoint.state.started_at = std::max(before + 1, loop_.from_unix_time(endpoint.received_start));
     return true;
 }
 
--- a/src/platform/endpoint_list.h
+++ b/src/platform/endpoint_list.h
@@ -22,8 +22,8 @@
         PooledWorker* worker = nullptr;  // null until its address is known
         ledger::WorkerRecord* record = nullptr;
         std::string address;
-        EndpointState state;   // with started_at on the event loop's clock
-        Nanos told_start = 0;  // started_at as received, in Unix time
+        EndpointState state;       // with started_at on the event loop's clock
+        Nanos received_start = 0;  // started_at as received, in Unix time
         bool is_listed() const { return worker && state.phase != EndpointPhase::gone; }
     };
 
--- a/src/platform/pooled_worker.cpp
+++ b/src/platform/pooled_worker.cpp
@@ -20,7 +20,7 @@
 constexpr Nanos kMentionedKeptFor = 3 * kSecond;
 constexpr std::size_t kMaxMentionedKept = 4096;
 // If another connection has been up for this long when one breaks, the worker's process still runs.
-constexpr Nanos kEstablished = kSecond;
+constexpr Nanos kEstablishedAfter = kSecond;
 
 }  // namespace
 
@@ -254,8 +254,8 @@
 // The worker's process may have died with the connection. A process that was restarted at once also answers,
 // but has none of the tasks, so its replies do not show that they still run.
 void PooledWorker::on_interrupted() {
-    const Nanos established_before = loop_.now() - kEstablished;
-    if (oldest_connection(established_before)) return;
+    const Nanos established_by = loop_.now() - kEstablishedAfter;
+    if (oldest_connection(established_by)) return;
     recently_mentioned_.clear();
     for (const auto& [id, task] : running_) task->liveness.on_interrupted(loop_.now());
 }
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -10,12 +10,12 @@
 
 // After this long without a message and without a connection, the tasks on the worker count as lost. The
 // protocol allows 8 s. A shorter time would end tasks that survive a network partition of some seconds.
-constexpr Nanos kLost = 7500 * kMillisecond;
+constexpr Nanos kLostAfter = 7500 * kMillisecond;
 // After this many consecutive refused dials no process listens at the address, so the worker's tasks are
 // gone.
-constexpr int kRefusedForGood = 3;
+constexpr int kRefusedDialsForLoss = 3;
 // How long a worker that has left the endpoint list may still report the ends of its tasks.
-constexpr Nanos kLastReports = 1500 * kMillisecond;
+constexpr Nanos kFinalReportTimeout = 1500 * kMillisecond;
 
 }  // namespace
 
@@ -62,11 +62,11 @@
     for (std::size_t i = 0; i < connections_.size();) {
         WorkerConnection& connection = *connections_[i];
         const Nanos last = std::max(connection.last_used_, connection.last_received_);
-        const bool forgotten = !connection.has_work() && now - last > 2 * idle_timeout_;
+        const bool expired = !connection.has_work() && now - last > 2 * idle_timeout_;
         const bool unused = connection.is_mute_ && !connection.has_work() &&
                             running_tasks_sent_before(connection.last_received_).empty();
-        const bool useless = unused || (is_gone() && running_.empty() && !connection.has_work());
-        if (connection.is_up() && (forgotten || useless)) {
+        const bool unneeded = unused || (is_gone() && running_.empty() && !connection.has_work());
+        if (connection.is_up() && (expired || unneeded)) {
             connection.abort();
             continue;
         }
@@ -169,9 +169,9 @@
 }
 
 bool PooledWorker::end_lost_tasks(Nanos now) {
-    const bool refused = refused_dials_ >= kRefusedForGood;
-    const bool left = is_gone() && now - gone_at_ > kLastReports;
-    const bool silent = now - last_received_ > kLost;
+    const bool refused = refused_dials_ >= kRefusedDialsForLoss;
+    const bool left = is_gone() && now - gone_at_ > kFinalReportTimeout;
+    const bool silent = now - last_received_ > kLostAfter;
     if (refused) end_running_tasks(ledger::TaskLossReason::worker_refused);
     else if (left) end_running_tasks(ledger::TaskLossReason::worker_left);
     else if (silent) end_running_tasks(ledger::TaskLossReason::worker_silent);
@@ -206,7 +206,7 @@
     forget_expired(now);
     end_doubted_tasks(now);
     // The worker has left or cannot be reached, so no cancellation can be sent.
-    if (is_gone() || refused_dials_ >= kRefusedForGood || now - last_received_ > kLost)
+    if (is_gone() || refused_dials_ >= kRefusedDialsForLoss || now - last_received_ > kLostAfter)
         drop_pending_cancels();
     if (summary.dialing || (running_.empty() && pending_cancels_.empty())) return;
     if (!summary.alive && end_lost_tasks(now)) return;
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -444,11 +444,12 @@
     waiting_.clear();
     for (InFlightTask* task : written) task->connection = nullptr;
     for (InFlightTask* task : unwritten) task->connection = nullptr;
-    const AttemptOutcome never_left = was_up ? AttemptOutcome::not_sent : AttemptOutcome::connect_failed;
+    const AttemptOutcome unwritten_outcome =
+        was_up ? AttemptOutcome::not_sent : AttemptOutcome::connect_failed;
     for (InFlightTask* task : written)
         worker_.handler_.on_attempt_ended(*task, AttemptOutcome::reset, OutcomeReason::unspecified, {});
     for (InFlightTask* task : unwritten)
-        worker_.handler_.on_attempt_ended(*task, never_left, OutcomeReason::unspecified, {});
+        worker_.handler_.on_attempt_ended(*task, unwritten_outcome, OutcomeReason::unspecified, {});
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/worker_pool.cpp
+++ b/src/platform/worker_pool.cpp
@@ -8,7 +8,7 @@
 
 // The maximum for one worker: about the number of attempts that a service with many tasks sends to it at
 // once.
-constexpr std::size_t kMaxConnectionsEach = 12;
+constexpr std::size_t kMaxConnectionsPerWorker = 12;
 
 }  // namespace
 
@@ -22,7 +22,7 @@
         PooledWorkerOptions{name, number, options_.dial_timeout, options_.idle_timeout, options_.seed,
                             options_.health_checks},
         loop_, log_, handler_, reserver_));
-    workers_.back()->set_max_connections(connections_each_);
+    workers_.back()->set_max_connections(connections_per_worker_);
     return *workers_.back();
 }
 
@@ -30,8 +30,8 @@
 void WorkerPool::share_connections(std::size_t listed_workers) {
     const std::size_t workers = std::max<std::size_t>(listed_workers, 1);
     const std::size_t each =
-        std::clamp<std::size_t>(options_.reserved_connections / workers, 1, kMaxConnectionsEach);
-    if (std::exchange(connections_each_, each) == each) return;
+        std::clamp<std::size_t>(options_.reserved_connections / workers, 1, kMaxConnectionsPerWorker);
+    if (std::exchange(connections_per_worker_, each) == each) return;
     for (const auto& worker : workers_) worker->set_max_connections(each);
 }
 
--- a/src/platform/worker_pool.h
+++ b/src/platform/worker_pool.h
@@ -38,7 +38,7 @@
     WorkerHandler& handler_;
     ConnectionReserver& reserver_;
     const WorkerPoolOptions options_;
-    std::size_t connections_each_ = 0;  // current limit of each worker
+    std::size_t connections_per_worker_ = 0;  // current limit of each worker
     std::vector<std::unique_ptr<PooledWorker>> workers_;
 };
 
--- a/src/platform_codec/message.cpp
+++ b/src/platform_codec/message.cpp
@@ -13,7 +13,7 @@
 constexpr std::size_t kParametersAt = kLengthSize + kHeaderSize;
 constexpr std::size_t kParameterHeaderSize = 3;  // code and length
 constexpr std::uint8_t kCauseCode = 142;
-constexpr std::pair<std::uint8_t, std::optional<std::string_view> Message::*> kTexts[] = {
+constexpr std::pair<std::uint8_t, std::optional<std::string_view> Message::*> kTextParameters[] = {
     {100, &Message::queue_group},     {103, &Message::time_left_ms}, {109, &Message::retry},
     {112, &Message::task_name},       {115, &Message::requirements}, {118, &Message::retry_after_ms},
     {121, &Message::detail},          {127, &Message::load_report},  {136, &Message::metric_value},
@@ -54,7 +54,7 @@
         message.cause = static_cast<Cause>(value[0]);
         return std::nullopt;
     }
-    for (const auto& [text_code, text] : kTexts) {
+    for (const auto& [text_code, text] : kTextParameters) {
         if (text_code != code) continue;
         if (message.*text) return Kind::repeated_parameter;
         message.*text = value;
@@ -107,7 +107,7 @@
         write_number(out, value.size(), 2);
         out += value;
     };
-    for (const auto& [code, text] : kTexts)
+    for (const auto& [code, text] : kTextParameters)
         if (message.*text) write_parameter(code, *(message.*text));
     if (message.cause) {
         const char cause = static_cast<char>(*message.cause);
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -22,7 +22,7 @@
     void on_connection_ended() override {}
     void on_endpoint(Nanos, planner::WorkerNumber worker, std::uint64_t,
                      const EndpointState& state) override {
-        told.emplace_back(worker, state);
+        reported.emplace_back(worker, state);
     }
 
     static EndpointUpdate update(const std::string& worker, EndpointPhase phase, const std::string& address) {
@@ -44,7 +44,7 @@
     simulation::SimulatedProcess& process = world.process("10.0.0.1");
     log::Logger log;
     ledger::Ledger ledger{{}, {4, true}, {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}};
-    std::vector<std::pair<planner::WorkerNumber, EndpointState>> told;
+    std::vector<std::pair<planner::WorkerNumber, EndpointState>> reported;
     platform::WorkerPool pool{process, log, *this, *this, {kSecond, 15 * kSecond, 12, 5}};
     platform::EndpointList list{process, pool, ledger};
 };
@@ -62,7 +62,7 @@
     REQUIRE(fixture.list.find("w1"));
     CHECK(fixture.list.find("w1")->worker->number() == 0);
     CHECK(fixture.list.find("w1")->record == fixture.ledger.find_worker("w1"));
-    CHECK(fixture.told.size() == 1);
+    CHECK(fixture.reported.size() == 1);
 }
 
 TEST_CASE("fields that are absent from an update keep their value") {
@@ -72,10 +72,10 @@
     first.free_cores = 2.5;
     fixture.apply({first});
     fixture.apply({EndpointFixture::update("w1", EndpointPhase::draining, "")});
-    REQUIRE(fixture.told.size() == 2);
-    CHECK(fixture.told[1].second.cell == 4);
-    CHECK(fixture.told[1].second.free_cores == 2.5);
-    CHECK(fixture.told[1].second.phase == EndpointPhase::draining);
+    REQUIRE(fixture.reported.size() == 2);
+    CHECK(fixture.reported[1].second.cell == 4);
+    CHECK(fixture.reported[1].second.free_cores == 2.5);
+    CHECK(fixture.reported[1].second.phase == EndpointPhase::draining);
     CHECK(fixture.list.find("w1")->address == "10.0.1.1:1");
 }
 
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -82,11 +82,11 @@
     }
     static std::vector<QueueGroup> groups() {
         std::vector<QueueGroup> out(3);
-        for (QueueGroup& message : out) {
-            message.start_objective = 800 * kMillisecond;
-            message.start_value_s = 10;
-            message.full_service_utilization = 0.8;
-            message.degradation_range = 0.25;
+        for (QueueGroup& group : out) {
+            group.start_objective = 800 * kMillisecond;
+            group.start_value_s = 10;
+            group.full_service_utilization = 0.8;
+            group.degradation_range = 0.25;
         }
         out[1].effect = Effect::keyed;
         out[1].deduplicated_by = FailureDomain::cell;
