--- a/src/platform/attempt_controller.cpp
+++ b/src/platform/attempt_controller.cpp
@@ -160,8 +160,8 @@
         return;
     }
     // The worker's answer can be late or lost although the task runs and ends. The platform requires that the
-    // client receives that end, and the client then requests the task again. A task that was retried without
-    // telling the client counted as lost.
+    // client receives that end, and the client then requests the task again. A task that is retried without
+    // telling the client counts as lost.
     const bool may_have_ended = outcome == AttemptOutcome::reset || outcome == AttemptOutcome::completed ||
                                 outcome == AttemptOutcome::cancelled;
     const bool ran_unanswered = task.reported_running && may_have_ended;
--- a/src/platform/bootstrap_config.h
+++ b/src/platform/bootstrap_config.h
@@ -26,7 +26,7 @@
 
     const std::string& listen() const { return listen_; }
     std::uint64_t seed() const { return seed_; }
-    std::size_t descriptors() const { return descriptors_; }  // for connections to clients and workers
+    std::size_t descriptors() const { return descriptors_; }  // limit for this process
     const std::string& discovery_address() const { return discovery_address_; }
     // The sequence number of the last initial event.
     std::int64_t last_sequence() const { return last_sequence_; }
--- a/src/platform/connection_allocator.cpp
+++ b/src/platform/connection_allocator.cpp
@@ -53,8 +53,8 @@
     return chosen != nullptr;
 }
 
-// Of the connections whose turn is over and that can be closed or retired, as `purpose` says, returns the one
-// that has been up for the longest; null if there is none.
+// Of the connections whose turn is over, returns the one that has been up for the longest and can be closed
+// or retired, as `purpose` says; null if there is none.
 WorkerConnection* ConnectionAllocator::oldest_after_turn(Nanos now, Purpose purpose) const {
     WorkerConnection* oldest = nullptr;
     for (const auto& worker : pool_.workers()) {
@@ -66,9 +66,9 @@
     return oldest;
 }
 
-// A connection in constant use is never idle. Once its turn is over it is retired, so that it carries nothing
-// new, and it is closed as soon as no attempt is on it. So a worker waits at most one turn for each worker
-// ahead of it per descriptor, plus the time of an attempt.
+// A connection in constant use is never idle. Once its turn is over it is retired, so that no new attempts
+// are sent on it, and it is closed as soon as it has none left. So the longest wait for a connection is one
+// turn for each worker ahead in the queue, divided by the number of descriptors, plus the time of an attempt.
 void ConnectionAllocator::serve_queue(Nanos now) {
     while (!queue_.empty()) {
         PooledWorker& worker = pool_.at(queue_.front());
@@ -77,8 +77,7 @@
             continue;
         }
         if (!worker_fits()) {
-            if (WorkerConnection* connection = oldest_after_turn(now, Purpose::close))
-                connection->close();
+            if (WorkerConnection* connection = oldest_after_turn(now, Purpose::close)) connection->close();
             else if (!close_least_useful()) break;
         }
         if (!worker.connect()) break;
--- a/src/platform/pooled_worker.cpp
+++ b/src/platform/pooled_worker.cpp
@@ -49,7 +49,7 @@
     if (!moved && !left) return;
     // Guards against a dial that connects to another worker, which has the address now: that worker would
     // receive this one's attempts, cancellations and health checks. Connections that are up still lead to
-    // this worker; after a move they carry nothing new.
+    // this worker; after a move no new messages are sent on them.
     std::vector<WorkerConnection*> dialing;
     for (const auto& connection : connections_) {
         if (!connection->is_up()) dialing.push_back(connection.get());
@@ -80,7 +80,7 @@
 // ---------------------------------------------------------------- attempts and running tasks
 
 // When a connection breaks, it is unknown whether the attempts on it were accepted. So each attempt gets a
-// connection of its own until the limit is reached.
+// connection of its own, up to max_connections_.
 bool PooledWorker::start_attempt(InFlightTask& task) {
     task.worker = this;
     WorkerConnection* connection = usable_connection();
@@ -103,7 +103,7 @@
 
 void PooledWorker::check_health() {
     WorkerConnection* connection = usable_connection();
-    if (!connection && is_gone()) return;  // the planner gets no reply, as from a worker that does not answer
+    if (!connection && is_gone()) return;  // to the planner it is a worker that does not reply
     if (!connection) connection = dial();
     if (connection) connection->check_health();
     else health_check_due_ = true;
--- a/src/platform/pooled_worker.h
+++ b/src/platform/pooled_worker.h
@@ -56,7 +56,8 @@
     // `cancel`: also sends a cancellation to the worker.
     void remove_running(InFlightTask&, bool cancel);
     InFlightTask* find_running(std::uint64_t id) const;
-    // The worker sent a message about a running task.
+    // To be called for a message from the worker about a running task; ends doubts whether the task still
+    // runs.
     void on_task_message(InFlightTask&);
     // Whether the worker's current process recently sent a message about this task while no such task was
     // known.
@@ -66,12 +67,12 @@
 
     // The connection that has been idle for the longest; null if none is idle.
     WorkerConnection* longest_idle_connection() const;
-    // Whether there is a connection, up or dialing, that can carry something new.
+    // Whether there is a connection, up or dialing, on which new messages may be sent.
     bool has_connection() const { return usable_connection() != nullptr; }
     // The oldest connection that came up before `before`; null if there is none.
     WorkerConnection* oldest_connection(Nanos before) const;
-    // Dials if no connection can carry something new; returns false if no descriptor was free. A health check
-    // that waited for a descriptor is sent once the connection is up.
+    // Dials if there is no connection on which new messages may be sent; returns false if no descriptor was
+    // free. A health check that waited for a descriptor is sent once the connection is up.
     bool connect();
     // To be called periodically: checks for silent and idle connections, ends the tasks of a lost worker, and
     // reconnects.
@@ -97,7 +98,7 @@
     void remember_ended(std::uint64_t id, platform_codec::Cause cause);
     void remember_mentioned(std::uint64_t id);
     void forget_expired(Nanos now);
-    // The least loaded connection that can carry something new; null if there is none.
+    // The least loaded connection on which new messages may be sent; null if there is none.
     WorkerConnection* usable_connection() const;
     void cancel_task(std::uint64_t id);
     WorkerConnection* dial();  // null if no descriptor was free, or once reading has stopped
--- a/src/platform/worker_connection.h
+++ b/src/platform/worker_connection.h
@@ -25,7 +25,7 @@
     // Dials at once. The worker owns the connection.
     WorkerConnection(PooledWorker&, net::EventLoop&, const std::string& address, Nanos dial_timeout);
 
-    // Whether something new may be sent on it, now or once it is up.
+    // Whether new messages may be sent on it, now or once it is up.
     bool usable() const { return state_ == State::dialing || state_ == State::up; }
     bool is_up() const { return state_ == State::up || state_ == State::retired; }
     bool is_retired() const { return state_ == State::retired; }
@@ -41,7 +41,7 @@
     // was sent since the last byte was received.
     void probe();
     void cancel_task(std::uint64_t id);
-    // Sends nothing new on it from now on. Only for a connection that is up.
+    // Sends no new messages on it from now on. Only for a connection that is up.
     void retire() { state_ = State::retired; }
     // Closes it as if it had broken.
     void abort();
