--- a/src/platform/connection_allocator.cpp
+++ b/src/platform/connection_allocator.cpp
@@ -5,8 +5,8 @@
 namespace whinpost::platform {
 namespace {
 
-// Where there are more workers than descriptors, each in turn has one for so long; all have had theirs well
-// before a worker that is not connected counts as lost.
+// When there are more workers than descriptors, each worker in turn keeps a connection for this long. Every
+// worker gets a turn well before a worker without a connection counts as lost.
 constexpr Nanos kTurn = kSecond;
 
 }  // namespace
@@ -15,8 +15,9 @@
                                          const ClientServer& clients, WorkerPool& pool)
     : loop_(loop), budget_(budget), clients_(clients), pool_(pool) {}
 
-// A worker that finds no descriptor waits in the queue, and nobody passes it: otherwise workers that are used
-// all the time would keep theirs for good, and the others would never be reached.
+// A worker for which no descriptor is free waits in the queue, and no other worker is served before it.
+// Otherwise workers in constant use would keep their descriptors for good, and the others would never be
+// connected.
 bool ConnectionAllocator::reserve_connection(PooledWorker& worker) {
     const bool fits = worker_fits();
     if (!queue_.others_first(worker.number()) && (fits || close_least_useful())) {
@@ -29,11 +30,12 @@
 
 bool ConnectionAllocator::make_room_for_client() {
     if (budget_.client_fits(clients_.size(), worker_connections_)) return true;
-    return budget_.workers_make_room(clients_.size()) && close_least_useful();
+    return budget_.client_may_displace_worker(clients_.size()) && close_least_useful();
 }
 
-// Guards against more workers than descriptors: the watch on the endpoint list, or a client, would find none.
-// Connections to workers where nothing runs are closed first.
+// Guards against a lack of descriptors for the discovery watch or a client when there are more workers than
+// descriptors. Closes an idle connection: first those to workers without running tasks, and among these the
+// one that has been idle for the longest.
 bool ConnectionAllocator::close_least_useful() {
     const Nanos now = loop_.now();
     WorkerConnection* chosen = nullptr;
@@ -51,21 +53,22 @@
     return chosen != nullptr;
 }
 
-// Of the connections that have had their turn, the one that is up for the longest.
-WorkerConnection* ConnectionAllocator::oldest_past_its_turn(Nanos now, Wanted wanted) const {
+// Of the connections whose turn is over, returns the one that has been up for the longest and can be closed
+// or retired, as `purpose` says; null if there is none.
+WorkerConnection* ConnectionAllocator::oldest_after_turn(Nanos now, Purpose purpose) const {
     WorkerConnection* oldest = nullptr;
     for (const auto& worker : pool_.workers()) {
         WorkerConnection* connection = worker->oldest_connection(now - kTurn);
         if (!connection) continue;
-        if (wanted == Wanted::closable ? !connection->is_empty() : connection->is_retired()) continue;
+        if (purpose == Purpose::close ? !connection->is_empty() : connection->is_retired()) continue;
         if (!oldest || connection->up_since() < oldest->up_since()) oldest = connection;
     }
     return oldest;
 }
 
-// A connection that is used all the time is never idle; once its turn is over it carries nothing new, and is
-// closed as soon as no attempt is on it. So a worker waits at most as many turns as there are workers to each
-// descriptor, and the time of an attempt.
+// A connection in constant use is never idle. Once its turn is over it is retired, so that no new attempts
+// are sent on it, and it is closed as soon as it has none left. So the longest wait for a connection is one
+// turn for each worker ahead in the queue, divided by the number of descriptors, plus the time of an attempt.
 void ConnectionAllocator::serve_queue(Nanos now) {
     while (!queue_.empty()) {
         PooledWorker& worker = pool_.at(queue_.front());
@@ -74,8 +77,7 @@
             continue;
         }
         if (!worker_fits()) {
-            if (WorkerConnection* connection = oldest_past_its_turn(now, Wanted::closable))
-                connection->close();
+            if (WorkerConnection* connection = oldest_after_turn(now, Purpose::close)) connection->close();
             else if (!close_least_useful()) break;
         }
         if (!worker.connect()) break;
@@ -86,7 +88,7 @@
 
 void ConnectionAllocator::retire_for_waiting(Nanos now) {
     for (std::size_t left = queue_.size(); left > 0; --left) {
-        WorkerConnection* connection = oldest_past_its_turn(now, Wanted::replaceable);
+        WorkerConnection* connection = oldest_after_turn(now, Purpose::retire);
         if (!connection) break;
         connection->retire();
     }
--- a/src/platform_codec/message.cpp
+++ b/src/platform_codec/message.cpp
@@ -9,11 +9,11 @@
 using Kind = DecodeError::Kind;
 
 constexpr std::size_t kLengthSize = 2, kTypeSize = 1, kTaskSize = 8;
-constexpr std::size_t kHeaderSize = kTypeSize + kTaskSize;  // what the least length counts
+constexpr std::size_t kHeaderSize = kTypeSize + kTaskSize;  // the smallest valid length
 constexpr std::size_t kParametersAt = kLengthSize + kHeaderSize;
 constexpr std::size_t kParameterHeaderSize = 3;  // code and length
 constexpr std::uint8_t kCauseCode = 142;
-constexpr std::pair<std::uint8_t, std::optional<std::string_view> Message::*> kTexts[] = {
+constexpr std::pair<std::uint8_t, std::optional<std::string_view> Message::*> kTextParameters[] = {
     {100, &Message::queue_group},     {103, &Message::time_left_ms}, {109, &Message::retry},
     {112, &Message::task_name},       {115, &Message::requirements}, {118, &Message::retry_after_ms},
     {121, &Message::detail},          {127, &Message::load_report},  {136, &Message::metric_value},
@@ -45,7 +45,8 @@
     return false;
 }
 
-// Parameters of unknown code pass. A repeated one is an error: which of the two was meant?
+// Parameters with an unknown code are ignored. A known parameter that occurs twice is an error, since it is
+// unclear which value applies.
 std::optional<Kind> decode_parameter(std::uint8_t code, std::string_view value, Message& message) {
     if (code == kCauseCode) {
         if (message.cause) return Kind::repeated_parameter;
@@ -53,7 +54,7 @@
         message.cause = static_cast<Cause>(value[0]);
         return std::nullopt;
     }
-    for (const auto& [text_code, text] : kTexts) {
+    for (const auto& [text_code, text] : kTextParameters) {
         if (text_code != code) continue;
         if (message.*text) return Kind::repeated_parameter;
         message.*text = value;
@@ -78,7 +79,7 @@
 
 }  // namespace
 
-// The type is checked before the rest has come.
+// An unknown type is an error as soon as its byte has arrived, before the message is complete.
 tl::expected<std::optional<DecodedMessage>, DecodeError> decode(std::string_view in) {
     if (in.size() > kLengthSize && !is_known(static_cast<std::uint8_t>(in[kLengthSize])))
         return error_of(Kind::unknown_type);
@@ -106,7 +107,7 @@
         write_number(out, value.size(), 2);
         out += value;
     };
-    for (const auto& [code, text] : kTexts)
+    for (const auto& [code, text] : kTextParameters)
         if (message.*text) write_parameter(code, *(message.*text));
     if (message.cause) {
         const char cause = static_cast<char>(*message.cause);
