--- a/src/server/attempt_controller.cpp
+++ b/src/server/attempt_controller.cpp
@@ -17,7 +17,7 @@
     return reason >= 0 && reason <= 7 ? static_cast<OutcomeReason>(reason) : OutcomeReason::unspecified;
 }
 
-// After an acceptance a rejection is none any more: the task was placed, and is lost.
+// A REJECTED outcome after AttemptAccepted counts as a reset: the client was already sent TaskPlaced.
 AttemptOutcome attempt_outcome(const ledger::Attempt& attempt, const v1::AttemptEnded& message) {
     switch (message.outcome()) {
         case v1::AttemptEnded::COMPLETED:
@@ -35,7 +35,7 @@
     }
 }
 
-// The index by which the planner knows the task's latest attempt.
+// The planner's index of the task's latest attempt.
 int latest_attempt_index(const InFlightTask& task) { return task.attempts_decided - 1; }
 }  // namespace
 
@@ -67,7 +67,8 @@
     peer.connection.send(now, attempt);
 }
 
-// The planner counts the attempt as in flight: once its round is over it hears that nothing was sent.
+// The planner counts the attempt as in flight, so it is notified with the outcome not_sent. Deferred, since
+// the planner is calling.
 void AttemptController::refuse_placement(planner::TaskNumber number, int attempt_index,
                                          std::string_view reason) {
     context_.report_planner_fault("place", number, reason);
@@ -117,8 +118,9 @@
     context_.rounds.schedule_round();
 }
 
-// Too late: another copy is wanted, or none. A copy of a task that must not run twice is never cancelled
-// without its client's knowledge: the client is told where it is as soon as it has its answer.
+// AttemptAccepted has arrived after the attempt's end. The copy is cancelled if the task is idempotent, was
+// cancelled by its client, or was accepted elsewhere. Otherwise the task must not run twice and this may be
+// its only copy: its client is sent TaskFound with the worker as soon as it has been sent TaskFailed.
 void AttemptController::on_late_accept(InFlightTask& task, ledger::Attempt& attempt) {
     const bool may_cancel = attempt.task->queue_group->effect == Effect::idempotent || task.is_cancelled ||
                             attempt.task->accepted_attempt;
@@ -173,7 +175,7 @@
     const ledger::TaskRecord& record = *attempt.task;
     InFlightTask& task = *tasks_.find(record.number);
     if (!context_.ledger.on_ended(now, attempt, outcome)) {
-        // A copy that nobody waited for has ended.
+        // The attempt had ended before for the ledger; a late copy of it has now ended too.
         if (task.late_attempt == &attempt) task.late_attempt = nullptr;
         return;
     }
@@ -199,9 +201,9 @@
     context_.rounds.schedule_round();
 }
 
-// The worker's connection no longer counts the attempt. Where the worker may hold it all the same, it is
-// cancelled as far as that can be done, so that no copy occupies the worker for nothing; an attempt of a task
-// that must not run twice is left for the client to decide on.
+// Removes the attempt from the worker's connection. If it was given up but the worker may still hold it,
+// sends CancelAttempt so that no unused copy occupies the worker. An attempt of a task that must not run
+// twice is not cancelled: its client decides.
 void AttemptController::release_at_worker(ledger::Attempt& attempt, AttemptOutcome outcome) {
     WorkerPeer* peer = workers_.find(attempt.worker->name);
     if (!peer) return;
--- a/src/server/attempt_controller.h
+++ b/src/server/attempt_controller.h
@@ -1,5 +1,5 @@
-// Carries out what the planner decides on attempts, and tells it and the clients what becomes of them. The
-// ledger has the last word: an attempt that it refuses is not sent, and the planner hears that it was not.
+// Starts, cancels and ends attempts as the planner decides, and reports their outcomes to the planner and the
+// clients. An attempt that the ledger refuses is not sent; the planner is notified with the outcome not_sent.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -34,29 +34,30 @@
     void migrate(planner::TaskNumber);
     void cancel_attempt(planner::TaskNumber);
 
-    // ---- messages of the attempt's worker
+    // ---- messages from the attempt's worker
     void on_accepted(ledger::Attempt&);
     void on_running(ledger::Attempt&);
     void on_ended(ledger::Attempt&, const v1::AttemptEnded&);
     void on_usage(ledger::Attempt&, const v1::UsageReport&);
 
-    // The attempt has ended, by whatever source. An end that is known already changes nothing.
+    // Records the end of an attempt, whether its worker, a deadline or a lost connection reports it. Does
+    // nothing if the end is already recorded.
     void end_attempt(ledger::Attempt&, AttemptOutcome, OutcomeReason, const LoadReport&);
-    // The same, later, of the attempt of that number if it still exists: a round may be under way.
+    // Calls end_attempt() outside a planner round, if an attempt of that number still exists by then.
     void defer_end(std::uint64_t attempt, AttemptOutcome);
-    // The time of the attempt in flight is up, if it was not accepted.
-    // The worker speaks of a running task under the number of its latest adoption alone: earlier ones end
-    // here.
+    // Ends the earlier attempts of a task that is adopted again: its worker reports the task only under the
+    // attempt number of the latest adoption.
     void supersede(WorkerPeer&, std::string_view task_key);
+    // Ends the attempt in flight as timed out, or as not sent, unless it was accepted.
     void on_deadline(InFlightTask&);
-    // Its client cancels the task: the attempt in flight is withdrawn if it was not sent, else cancelled at
-    // its worker.
+    // For a task that its client cancels: withdraws the attempt in flight if it was not sent, else sends
+    // CancelAttempt to its worker.
     void cancel_in_flight(InFlightTask&);
-    // After a worker has greeted: cancels anew what its client cancelled while the worker was unreachable,
-    // and which would run on there unwanted.
+    // After a worker's greeting: sends CancelAttempt again for attempts whose client cancelled the task. The
+    // earlier one was dropped if the worker was unreachable, and the task would keep running there.
     void resend_cancellations(WorkerPeer&);
 
-    // Attempts in flight that no worker has accepted.
+    // The number of attempts in flight that no worker has accepted.
     std::int64_t unaccepted() const { return unaccepted_; }
 
 private:
--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -8,14 +8,15 @@
 namespace {
 using log::Level;
 
-// While this much waits to be sent to a client, nothing more is read from it: a client that reads slowly
-// delays its own requests.
+// In bytes. While more than this is unsent, reading from the client is paused, so a client that reads slowly
+// delays only its own requests.
 constexpr std::size_t kPauseReadingAt = 256 << 10;
-// A client for which more than this waits is evicted. Answers are small: so many can't wait for a client
-// within its limit of waiting tasks unless it has not read for very long.
+// In bytes. A client with more unsent than this is evicted. Answers are small, and the number of its waiting
+// tasks is limited, so only a client that has not read for a long time reaches this.
 constexpr std::size_t kEvictAt = 4 << 20;
-constexpr std::size_t kMaxMessageSize = 64 << 10;  // a request is some hundred bytes
-// A client greets as soon as it is connected. One that never does would hold one of the places for clients.
+constexpr std::size_t kMaxMessageSize = 64 << 10;  // in bytes; a request takes a few hundred
+// A client sends its Hello as soon as it is connected. One that never does would occupy one of the limited
+// client connections.
 constexpr Nanos kHelloTimeout = 5 * kSecond;
 }  // namespace
 
@@ -37,7 +38,7 @@
     }
 }
 
-// Deferred, since the planner's round or a call on this connection may be under way.
+// The removal is deferred, since a planner round or this connection's own code may be calling.
 void ClientConnection::evict(std::size_t unsent) {
     state_ = State::closing;
     ServerContext& context = endpoint_.context;
@@ -65,8 +66,7 @@
     send(message);
     state_ = State::closing;
     hello_timer_->disarm();
-    // The error may not have left yet: it goes out before the stream is closed, unless the peer does not read
-    // at all.
+    // The stream sends the Error before it closes, unless the peer does not read at all.
     context.rounds.defer([this] { endpoint_.remove(*this); });
     return false;
 }
@@ -136,7 +136,7 @@
                                   {{"client", name_}, {"error", message.error().text()}});
             return true;
         case v1::FromClient::OF_NOT_SET:
-            return true;  // of a newer version: ignored
+            return true;  // a message of a newer version: ignored
     }
     return true;
 }
@@ -161,7 +161,7 @@
     return state_ != State::closing;
 }
 
-// A task that has just ended may still be named: the two messages crossed.
+// An unknown id is ignored: CancelTask may have crossed with the task's answer or end.
 void ClientConnection::on_cancel(std::uint64_t client_task_id) {
     if (const auto task = open_tasks.find(client_task_id); task != open_tasks.end()) {
         endpoint_.tasks.cancel(*task->second);
--- a/src/server/client_connection.h
+++ b/src/server/client_connection.h
@@ -1,4 +1,4 @@
-// One client's stream: its greeting, its requests, and the answers on their way back.
+// One client's stream: reads its Hello and its requests, and writes the answers.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -27,16 +27,17 @@
     const std::string& name() const { return name_; }
     bool has_unsent() const { return stream_ && stream_->unsent() > 0; }
 
-    // Both by the client's task id. The first is looked up and never iterated; its tasks are the table's.
+    // Both by the client's task id. `open_tasks` is never iterated, since its order is unspecified; its tasks
+    // are owned by the TaskTable.
     std::unordered_map<std::uint64_t, InFlightTask*> open_tasks;
     std::map<std::uint64_t, std::unique_ptr<PendingAdoption>> pending_adoptions;
-    std::optional<admission::ClientShare> share;  // from the greeting on
+    std::optional<admission::ClientShare> share;  // set by the client's Hello
 
 private:
     enum class State {
         awaiting_hello,
         open,
-        closing,  // nothing more is read or sent; destroyed by its endpoint
+        closing,  // ignores further messages and sends none; destroyed by its endpoint
     };
 
     bool on_message(std::string_view);
@@ -46,7 +47,7 @@
     bool on_hand_over(const v1::HandOverTask&);
     void on_cancel(std::uint64_t client_task_id);
     bool is_in_use(std::uint64_t client_task_id) const;
-    // Sends one error and closes. False, to be returned by the message's handler.
+    // Sends an Error and closes the connection. Always false, which the message's handler returns.
     bool reject(const std::string& reason);
     void evict(std::size_t unsent);
 
@@ -55,7 +56,7 @@
     MessageWriter<v1::ToClient> writer_;
     std::string name_;
     State state_ = State::awaiting_hello;
-    std::unique_ptr<net::Timer> hello_timer_;  // until it has greeted
+    std::unique_ptr<net::Timer> hello_timer_;  // disarmed by the client's Hello
     bool reading_paused_ = false;
 };
 
--- a/src/server/client_endpoint.h
+++ b/src/server/client_endpoint.h
@@ -1,4 +1,4 @@
-// Where clients connect: accepts their streams and owns their connections.
+// Listens for clients, accepts their streams and owns their connections.
 #pragma once
 #include <memory>
 #include <string>
@@ -13,16 +13,17 @@
 public:
     ClientEndpoint(ServerContext&, TaskController&, TaskRecovery&);
 
-    // Begins to accept clients.
+    // Starts accepting clients.
     [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address);
     void stop_listening() { listener_.reset(); }
     std::string address() const { return listener_ ? listener_->address() : ""; }
-    // Everything that was written to clients is in the kernel's hands.
+    // True if everything written to clients has been handed over to the kernel.
     bool is_flushed() const;
-    // Ends a connection. It is destroyed in the next pass of the event loop: a call on it may be under way.
+    // Ends a connection. It is destroyed in the next pass of the event loop, since its own code may be
+    // calling.
     void remove(ClientConnection&);
 
-    // For the connections.
+    // Used by the connections.
     ServerContext& context;
     TaskController& tasks;
     TaskRecovery& recovery;
@@ -33,7 +34,7 @@
     std::unique_ptr<net::Listener> listener_;
     std::vector<std::unique_ptr<ClientConnection>> connections_;
     std::vector<std::unique_ptr<ClientConnection>> removed_;
-    std::unique_ptr<net::Timer> sweep_timer_;  // destroys what was removed
+    std::unique_ptr<net::Timer> sweep_timer_;  // destroys the connections in removed_
 };
 
 }  // namespace whinpost::server
--- a/src/server/discovery_client.cpp
+++ b/src/server/discovery_client.cpp
@@ -12,9 +12,10 @@
 
 constexpr std::size_t kMaxMessageSize = net::kMaxFrameSize;
 constexpr Nanos kInitialBackoff = 100 * kMillisecond, kMaxBackoff = 5 * kSecond;
-// A request without a response by then has failed: a few times what a busy discovery service takes.
+// A request without a response after this has failed. A few times the response time of a busy discovery
+// service.
 constexpr Nanos kResponseTimeout = 2 * kSecond;
-// Keeps these random choices apart from others that are made from the same seed.
+// Makes this jitter independent of other random choices from the same seed.
 constexpr std::uint64_t kSeedSalt = 0x715;
 }  // namespace
 
@@ -42,7 +43,7 @@
     stream_.reset();
     state_ = State::disconnected;
     backoff_ = backoff_ ? std::min(kMaxBackoff, 2 * backoff_) : kInitialBackoff;
-    // Between a half and the whole of it, so that placers do not all come back in one moment.
+    // Between half and all of the backoff, so that placers do not all reconnect at the same time.
     const auto jitter = static_cast<Nanos>(static_cast<double>(backoff_) * 0.5 * (jitter_() % 1024) / 1024);
     reconnect_timer_->arm(context_.now() + backoff_ / 2 + jitter);
     membership_.on_discovery_failed(reason);
@@ -52,7 +53,7 @@
 
 std::size_t DiscoveryClient::on_received(std::string_view bytes) {
     bool too_long = false;
-    // A message may close the stream.
+    // Handling a message may close the stream.
     net::Stream* const current = stream_.get();
     const std::size_t consumed = net::decode_frames(
         bytes, kMaxMessageSize, too_long,
@@ -90,7 +91,7 @@
             context_.log(Level::warning, "discovery_reported_error", {{"error", message.error().text()}});
             return true;
         case v1::FromDiscovery::OF_NOT_SET:
-            return true;  // of a newer version: ignored
+            return true;  // a message of a newer version: ignored
     }
     return true;
 }
@@ -102,7 +103,7 @@
     state_ = State::ready;
     backoff_ = 0;
     response_timer_->disarm();
-    if (hello.incarnation() != incarnation_) sequence_ = 0;  // another incarnation counts from the start
+    if (hello.incarnation() != incarnation_) sequence_ = 0;  // a new incarnation restarts its sequence
     incarnation_ = hello.incarnation();
     if (!has_snapshot_ && options_.poll) fetch();
     return true;
@@ -110,13 +111,13 @@
 
 bool DiscoveryClient::on_update(const v1::EndpointUpdate& update) {
     if (request_pending_) on_request_answered();
-    // The whole message is checked before any of it is used.
+    // All endpoints are checked before any is applied.
     for (const v1::Endpoint& endpoint : update.endpoints()) {
         const auto checked = check_endpoint(endpoint, worker_kinds_);
         if (!checked) return reject(std::string(to_string(checked.error())));
     }
-    // An update that is older than the present view (two services behind one address, a response overtaken by
-    // a change) would bring back what is gone.
+    // An update older than the latest one would bring back removed workers. It can arrive if two services
+    // share an address, or if a pushed change overtakes a response.
     if (update.sequence() < sequence_) {
         ++context_.statistics.stale_endpoint_updates;
         context_.log(Level::warning, "stale_endpoints_ignored",
--- a/src/server/discovery_client.h
+++ b/src/server/discovery_client.h
@@ -1,5 +1,5 @@
-// The connection to the discovery service: endpoint updates are pushed, or polled where the service wants it
-// so. While the service can't be reached the latest view is kept.
+// The connection to the discovery service, which pushes endpoint updates or is polled for them. While the
+// service is unreachable, the endpoints of the latest update stay in use.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -16,21 +16,21 @@
 
 struct DiscoveryOptions {
     std::string address;
-    bool poll = false;  // updates come on request only
+    bool poll = false;  // the service sends updates only on request
 };
 
 class DiscoveryClient final : public net::StreamHandler {
 public:
-    // `worker_kinds`: how many are configured.
+    // `worker_kinds`: the number of configured worker kinds.
     DiscoveryClient(ServerContext&, MembershipController&, DiscoveryOptions, std::size_t worker_kinds);
     void connect();
     void on_connected() override;
     std::size_t on_received(std::string_view) override;
     void on_closed(net::CloseReason) override;
 
-    // Polling: requests the changes since the latest update. Does nothing where they are pushed.
+    // When polling, requests the changes since the latest update; otherwise does nothing.
     void watch();
-    // Requests a snapshot, if there is a connection.
+    // Requests a snapshot. Does nothing while disconnected.
     void fetch();
 
 private:
@@ -40,13 +40,14 @@
     bool on_hello(const v1::FromDiscovery&);
     bool on_update(const v1::EndpointUpdate&);
     bool on_failed(const std::string& reason);
-    // Sends one error and closes. False, to be returned by the message's handler.
+    // Sends an Error and closes the connection. Always false, which the message's handler returns.
     bool reject(const std::string& reason);
     void send(const v1::ToDiscovery& message) { writer_.send(stream_.get(), message); }
     void send_request(const v1::ToDiscovery&);
     void on_request_answered();
-    // Reconnects after a backoff. The latest view is kept. Where updates are pushed, a new connection brings
-    // a snapshot; where they are polled, the planner asks again after its own backoff.
+    // Schedules a reconnection after a backoff; the endpoints of the latest update stay in use. If updates
+    // are pushed, the service sends a snapshot on the new connection; if they are polled, the planner
+    // requests them again after its own backoff.
     void on_connection_lost(std::string_view reason);
 
     ServerContext& context_;
--- a/src/server/drain_controller.cpp
+++ b/src/server/drain_controller.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 using log::Level;
-// Streams do not tell when they are written out, so they are looked at this often.
+// How often the streams are checked for unsent bytes; they do not notify when they are written out.
 constexpr Nanos kPollInterval = 5 * kMillisecond;
-// For what is written to reach clients, once nobody waits for an answer. A client that reads nothing, or
-// whose connection is dead without a reset, would hold up the shutdown for good.
+// How long the shutdown waits for unsent bytes once every task is answered. Without this limit, a client that
+// reads nothing, or whose connection died without a reset, would block the shutdown forever.
 constexpr Nanos kFlushTimeout = 2 * kSecond;
 }  // namespace
 
--- a/src/server/drain_controller.h
+++ b/src/server/drain_controller.h
@@ -1,5 +1,5 @@
-// The graceful shutdown: nothing more is admitted, every answer that is owed is given and written out, and
-// then the embedder is told.
+// The graceful shutdown: stops admitting tasks, waits until every waiting task has its answer and the answers
+// are written out, and then calls back.
 #pragma once
 #include <functional>
 #include <memory>
@@ -14,9 +14,10 @@
 public:
     explicit DrainController(ServerContext& context) : context_(context) {}
 
-    // `clients` may be null if none were ever served. `done` is called once.
+    // `clients` may be null if the server never listened. `done` is called once.
     void start(ClientEndpoint* clients, std::function<void()> done);
-    // Calls `done` if everything is answered and written; does nothing before start().
+    // Calls `done` if every task is answered and the answers are written, or the flush has timed out. Does
+    // nothing before start().
     void check();
 
 private:
--- a/src/server/endpoint_check.cpp
+++ b/src/server/endpoint_check.cpp
@@ -9,7 +9,7 @@
 namespace whinpost::server {
 
 namespace {
-constexpr std::uint32_t kMaxLocation = 1 << 20;  // of zones and cells; more is a mistake
+constexpr std::uint32_t kMaxLocation = 1 << 20;  // the largest zone or cell; a larger one is an input error
 }
 
 std::string_view to_string(const EndpointError& error) {
--- a/src/server/endpoint_check.h
+++ b/src/server/endpoint_check.h
@@ -1,4 +1,4 @@
-// What the discovery service says of one worker, checked.
+// Validates one worker's entry in an endpoint update of the discovery service.
 #pragma once
 #include <cstddef>
 #include <string_view>
@@ -21,10 +21,10 @@
     };
     Kind kind;
 };
-// The text that the discovery service is sent; it names the field.
+// The text of the Error for the discovery service; it names the field.
 std::string_view to_string(const EndpointError&);
 
-// `worker_kinds`: how many are configured.
+// `worker_kinds`: the number of configured worker kinds.
 [[nodiscard]] tl::expected<void, EndpointError> check_endpoint(const v1::Endpoint&, std::size_t worker_kinds);
 
 }  // namespace whinpost::server
--- a/src/server/in_flight_task.h
+++ b/src/server/in_flight_task.h
@@ -1,4 +1,4 @@
-// One task that the server holds: from its submission or adoption until nothing more can come of it.
+// One task that the server holds, from its submission or adoption until no message about it can arrive.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -11,7 +11,7 @@
 class ClientConnection;
 struct InFlightTask;
 
-// Told when one of a task's deadlines has passed.
+// Called when one of a task's deadlines has passed.
 class TaskDeadlineHandler {
 public:
     virtual ~TaskDeadlineHandler() = default;
@@ -33,16 +33,17 @@
     };
 
     TaskDeadlineHandler& handler;
-    ledger::TaskRecord* record;          // not owned: the ledger's
+    ledger::TaskRecord* record;          // not owned: owned by the ledger
     ClientConnection* client = nullptr;  // not owned; null once the client has disconnected
-    std::uint64_t client_task_id = 0;    // the number by which the client knows the task
+    std::uint64_t client_task_id = 0;    // the task's id on the client's connection
     std::string service;
-    bool counted_as_waiting = true;  // by admission control
+    bool counted_as_waiting = true;  // admission control counts the task as waiting for an answer
     bool is_migrating = false;
-    bool is_cancelled = false;  // by its client
-    int attempts_decided = 0;   // by the planner, whether or not the ledger allowed them
-    std::string last_failure;   // why the latest attempt failed, for the client
-    // Accepted after its deadline, of a task that must not run twice: its client is told where it is.
+    bool is_cancelled = false;  // by a CancelTask from its client, or by the client's disconnection
+    int attempts_decided = 0;   // the planner's place() calls, including those that the ledger refused
+    std::string last_failure;   // why the latest attempt failed; sent to the client as the reason
+    // An attempt that was accepted after its deadline, of a task that must not run twice. The client is sent
+    // TaskFound with its worker.
     ledger::Attempt* late_attempt = nullptr;
     DeadlineTimer<&TaskDeadlineHandler::on_answer_deadline> answer_deadline;
     DeadlineTimer<&TaskDeadlineHandler::on_attempt_deadline> attempt_deadline;
--- a/src/server/membership_controller.cpp
+++ b/src/server/membership_controller.cpp
@@ -13,9 +13,9 @@
 namespace {
 using log::Level;
 
-// A worker that comes or goes changes the planner's view of all workers, which costs it a sort of them all:
-// changes that no endpoint update brought are collected for so long. That a worker takes nothing more is told
-// at once, and holds at once.
+// Changes of workers' states that come from no endpoint update are collected for this long before
+// on_watch_event_done(), at which the planner sorts all workers. The change itself is passed to the planner
+// at once, so a worker that stops taking tasks gets no more in the meantime.
 constexpr Nanos kPlannerViewInterval = 100 * kMillisecond;
 
 EndpointPhase endpoint_phase(v1::Endpoint::Phase phase) {
@@ -39,7 +39,7 @@
     membership_.begin_update(now, age, update.is_snapshot());
     for (const v1::Endpoint& endpoint : update.endpoints()) update_entry(now, endpoint);
     membership_.end_update(now);
-    // The planner learns of all workers before it learns of what runs on them.
+    // The planner is notified of all workers before it is notified of the tasks that run on them.
     recovery::RecoveryQueue& queue = recovery_.queue();
     for (const v1::Endpoint& endpoint : update.endpoints())
         if (queue.size() && endpoint.phase() != v1::Endpoint::GONE)
@@ -89,8 +89,8 @@
 
 void MembershipController::on_worker_changed(Nanos now, membership::WorkerEntry& entry, bool) {
     WorkerPeer& peer = workers_.at(entry.number);
-    // The ledger is given what the endpoint list says, not what was concluded from it: it is a guard of its
-    // own.
+    // The ledger gets the endpoint as listed, not the effective one that the membership derives from it: the
+    // ledger checks the planner's decisions independently of the membership.
     EndpointState listed = entry.listed.endpoint;
     listed.started_at = entry.effective_endpoint.started_at;
     if (entry.listed.is_omitted) context_.ledger.on_removed(now, peer.record);
@@ -143,7 +143,8 @@
     planner_view_changed_ = false;
     planner_view_timer_.disarm();
     context_.planner->on_watch_event_done(now, false);
-    // The planner takes this for an endpoint update, which did not come: it must still be requested.
+    // The planner treats on_watch_event_done() as a received endpoint update. While discovery fails, none was
+    // received, and the planner must keep requesting one.
     if (discovery_failing_ && planner_started_) context_.planner->on_watch_failed(now);
     context_.rounds.schedule_round();
 }
--- a/src/server/membership_controller.h
+++ b/src/server/membership_controller.h
@@ -1,5 +1,5 @@
-// Brings what is known of the workers to the ledger, the planner and the connections: endpoint updates of the
-// discovery service come in here, and each change of a worker's state leaves from here.
+// Applies endpoint updates of the discovery service to the membership, and forwards each change of a worker's
+// state to the ledger, the planner, slow start and the worker's connection.
 #pragma once
 #include <string_view>
 
@@ -28,10 +28,10 @@
     // Not owned. Set before the first update.
     void set_discovery(DiscoveryClient* discovery) { discovery_ = discovery; }
 
-    // An update of the discovery service, which was checked.
+    // Applies an update of the discovery service. All its endpoints must have passed check_endpoint().
     void on_update(const v1::EndpointUpdate&);
     void on_discovery_failed(std::string_view reason);
-    // Requests a snapshot of the endpoint list, whatever the mode.
+    // Requests a snapshot of the endpoint list, also if updates are pushed.
     void refresh_endpoints(Nanos now);
 
     membership::Membership& membership() { return membership_; }
@@ -65,8 +65,8 @@
     DiscoveryClient* discovery_ = nullptr;
     ControllerTimer<&MembershipController::on_membership_deadline> membership_timer_;
     ControllerTimer<&MembershipController::on_planner_view_due> planner_view_timer_;
-    bool planner_view_changed_ = false;  // since the planner was last told that its view is complete
-    bool planner_started_ = false;       // at the first endpoint update
+    bool planner_view_changed_ = false;  // since the latest planner::Planner::on_watch_event_done()
+    bool planner_started_ = false;       // by the first endpoint update
     bool discovery_failing_ = false;
 };
 
--- a/src/server/message_writer.h
+++ b/src/server/message_writer.h
@@ -10,7 +10,7 @@
 template <class Message>
 class MessageWriter {
 public:
-    // Drops the message where there is no stream.
+    // Drops the message if `stream` is null.
     void send(net::Stream* stream, const Message& message) {
         if (!stream) return;
         frame_.clear();
@@ -22,7 +22,7 @@
     std::string frame_;
 };
 
-// Fills in a Hello, with which both ends of a stream begin.
+// Fills in the Hello that this placer sends first on every stream.
 template <class Hello>
 void introduce(Hello& hello, const PlacerIdentity& identity) {
     hello.set_version(kProtocolVersion);
@@ -30,7 +30,7 @@
     hello.set_incarnation(identity.incarnation);
 }
 
-// The error for a peer that speaks another version.
+// The text of the Error for a peer with another protocol version.
 inline std::string unsupported_version(std::uint32_t version) {
     return "version " + std::to_string(version) + " is not spoken here, only " +
            std::to_string(kProtocolVersion);
--- a/src/server/outcome_text.h
+++ b/src/server/outcome_text.h
@@ -1,4 +1,4 @@
-// How an attempt's outcome and the worker's reason for it are told to clients.
+// The texts for an attempt's outcome and the worker's reason, for clients and the log.
 #pragma once
 #include <string_view>
 
--- a/src/server/placer_server.h
+++ b/src/server/placer_server.h
@@ -1,17 +1,17 @@
 // The server of the placer's own protocol. It serves clients, connects to workers and the discovery service,
-// writes to the ledger before it sends, carries out what the planner decides, and gives every task its one
-// final answer. It chooses no worker.
+// records each attempt in the ledger before sending it, executes the planner's decisions, and sends exactly
+// one final answer for every task. It never chooses a worker itself.
 //
-// PlacerServer only puts together the classes that do the work:
-//   ClientEndpoint, ClientConnection    the clients' streams and the checks of their requests
+// PlacerServer owns and connects the classes that do the work:
+//   ClientEndpoint, ClientConnection    the clients' streams, and validation of their requests
 //   TaskController, TaskAnswers         tasks: admission, answers, answer deadlines
-//   AttemptController                   attempts: what the planner decides, what workers report, time-outs
+//   AttemptController                   attempts: the planner's decisions, the workers' reports, deadlines
 //   WorkerEndpoint, WorkerPeer          the workers' streams and messages
-//   MembershipController                what is known of the workers, to the ledger and the planner
+//   MembershipController                workers' states, forwarded to the ledger and the planner
 //   DiscoveryClient                     the stream of the discovery service
 //   SlowStartController                 admission tokens of workers in slow start
-//   TaskRecovery                        running tasks that clients hand over
-//   PlannerRounds, ServerTimers         when the planner runs, and deadlines
+//   TaskRecovery                        adoption of running tasks that clients hand over
+//   PlannerRounds, ServerTimers         scheduling of the planner's rounds, and timers
 //   DrainController                     the graceful shutdown
 #pragma once
 #include <cstddef>
@@ -37,10 +37,12 @@
 struct PlacerServerOptions {
     PlacerIdentity identity;
     std::vector<std::string> queue_groups;  // their names, in the order of the ledger's groups
-    std::size_t worker_kinds = 0;           // how many are configured
+    std::size_t worker_kinds = 0;           // the number of configured worker kinds
     WorkerEndpointOptions workers;
-    bool report_is_free = false;  // what workers report as free means the same as the endpoint list's amounts
-    Nanos slow_start_time = 0;    // how long after its start a worker is treated as warming up
+    // Workers' load reports give free amounts in the same sense as the endpoint list, so they can replace
+    // them.
+    bool report_is_free = false;
+    Nanos slow_start_time = 0;  // how long after its start a worker is in slow start
 };
 
 class PlacerServer final : public planner::PlannerHandler, private RoundHandler {
@@ -49,13 +51,13 @@
     PlacerServer(net::EventLoop&, const log::Logger&, ledger::Ledger&, admission::AdmissionController&,
                  const PlacerServerOptions&);
 
-    // Before start(). The planner is not owned and outlives the server.
+    // Call before start(). The planner is not owned and must outlive the server.
     void set_planner(planner::Planner& planner) { context_.planner = &planner; }
     // Listens for clients at the address and connects to the discovery service.
     [[nodiscard]] tl::expected<void, net::ListenError> start(const std::string& listen_address,
                                                              const DiscoveryOptions&);
     std::string address() const { return clients_ ? clients_->address() : ""; }
-    // Admits nothing more, gives every answer that is owed, and then calls `done`.
+    // Stops admitting tasks, waits until every waiting task has its answer, and then calls `done`.
     void drain(std::function<void()> done);
 
     // ---- planner::PlannerHandler: the planner's decisions
@@ -83,8 +85,9 @@
     void run_round(Nanos now) override;
     void after_round(Nanos now) override;
 
-    // Destroyed from the last to the first: streams before the tasks and workers that they serve, and all of
-    // them before the timers. The parts refer to each other and use each other only once all are there.
+    // Destroyed in reverse order: streams before the tasks and workers that they use, and all of them before
+    // the timers in context_. The members hold references to each other, also to members declared later, and
+    // must not use them during construction.
     ServerContext context_;
     const std::size_t worker_kinds_;
     SlowStartController slow_start_;
@@ -96,8 +99,8 @@
     TaskController task_controller_;
     TaskRecovery recovery_;
     DrainController drain_;
-    std::unique_ptr<DiscoveryClient> discovery_;  // from start() on
-    std::unique_ptr<ClientEndpoint> clients_;     // from start() on
+    std::unique_ptr<DiscoveryClient> discovery_;  // set by start()
+    std::unique_ptr<ClientEndpoint> clients_;     // set by start()
 };
 
 }  // namespace whinpost::server
--- a/src/server/planner_rounds.cpp
+++ b/src/server/planner_rounds.cpp
@@ -5,18 +5,20 @@
 namespace whinpost::server {
 
 namespace {
-// Rounds are at least this far apart. What arrives in between is decided together: at the pace of a flood the
-// cost of a round is shared, at that of a trickle nothing waits longer than this.
+// The minimum time between rounds. Events that arrive in between are handled in one round, which shares its
+// cost under high load; under low load nothing waits longer than this.
 constexpr Nanos kRoundPace = 1 * kMillisecond;
 
-// Where a long queue finds no capacity, a round takes long for nothing. The next one then starts only after
-// so many times its duration, so that clients and workers have three quarters of the time; within the
-// scheduler's own gap between two attempts of one task. A round that starts attempts is not delayed: it would
-// only find more to do (measured: the 99th percentile of the time to place at 10,000 tasks a second went from
-// 2 to 57 ms). Starting an attempt takes some 10 us: a round that takes ten times that for each is idle.
+// A round over a long queue without capacity takes long and places nothing. The next one then starts only
+// after kIdlePaceFactor times its duration, so that three quarters of the time remain for clients and
+// workers, but within kMaxPace, which is below the scheduler's gap between two attempts of one task. A round
+// counts as idle if it takes over kTimePerAttempt, ten times the usual cost, for each attempt started. Others
+// are not delayed: delaying them raised the 99th percentile of the time to place at 10,000 tasks a second
+// from 2 to 57 ms.
 constexpr Nanos kIdlePaceFactor = 4, kMaxPace = 40 * kMillisecond, kTimePerAttempt = 100 * kMicrosecond;
 
-// Rounds are at most this far apart: a wake-up that the planner asked for behind an earlier one is met by it.
+// The maximum time between rounds. Only the planner's earliest wake-up is stored; a later one that it
+// replaces is covered by this.
 constexpr Nanos kMaxRoundInterval = 250 * kMillisecond;
 }  // namespace
 
--- a/src/server/planner_rounds.h
+++ b/src/server/planner_rounds.h
@@ -1,5 +1,6 @@
-// When the planner's rounds run: paced so that what arrives in between is decided together, and so that a
-// planner that finds no capacity leaves most of the time to clients and workers.
+// Schedules the planner's rounds. They are paced so that events that arrive close together are handled in one
+// round, and so that rounds that find no capacity leave most of the time to the clients' and workers'
+// messages.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -15,7 +16,7 @@
 public:
     virtual ~RoundHandler() = default;
     virtual void run_round(Nanos now) = 0;
-    // After the calls that the round deferred.
+    // Called after the calls that the round deferred have run.
     virtual void after_round(Nanos now) = 0;
 };
 
@@ -23,13 +24,13 @@
 public:
     PlannerRounds(net::EventLoop&, RoundHandler&);
 
-    // Runs a round as soon as the pace allows.
+    // Schedules a round as soon as the pace allows.
     void schedule_round() { schedule_round_at(loop_.now()); }
-    // The planner asks for a round at that time, or earlier.
+    // The planner requests a round at `at`; an earlier request keeps its time.
     void wake_at(Nanos at);
-    // Runs the call before the next round, or after the one that is under way: never within the planner.
+    // Runs the call before the next round, or right after the current one, so never during a planner call.
     void defer(std::function<void()> call);
-    // An attempt was started in this round, which is what a round may take its time for.
+    // Counts an attempt that was started in this round; a round that starts attempts does not delay the next.
     void on_attempt_started() { ++attempts_started_; }
 
 private:
@@ -41,9 +42,9 @@
     std::unique_ptr<net::Timer> timer_;
     planner::DeferredCalls deferred_calls_;
     Nanos next_round_at_ = 0;  // 0: none is scheduled
-    Nanos wake_at_ = 0;        // 0: the planner asks for none
+    Nanos wake_at_ = 0;        // 0: the planner has requested none
     Nanos last_round_at_ = 0;
-    Nanos pace_ = 0;                      // from one round to the next, at least
+    Nanos pace_ = 0;                      // the minimum time between the starts of two rounds
     std::uint64_t attempts_started_ = 0;  // in this round
 };
 
--- a/src/server/request_check.cpp
+++ b/src/server/request_check.cpp
@@ -10,7 +10,7 @@
 namespace whinpost::server {
 
 namespace {
-// Of cores or memory. More is a mistake, and below it sums stay exact enough.
+// The maximum of cores or memory. A larger amount is an input error; up to this, sums are exact enough.
 constexpr double kMaxAmount = 1e9;
 constexpr Nanos kMaxTimeLeft = Nanos{24} * 3600 * kSecond;
 
--- a/src/server/request_check.h
+++ b/src/server/request_check.h
@@ -1,4 +1,4 @@
-// What clients and workers send, checked and converted to the plain types of the scheduler.
+// Validates what clients and workers send and converts it to the scheduler's types.
 #pragma once
 #include <string>
 #include <string_view>
@@ -27,17 +27,17 @@
     };
     Kind kind;
 };
-// The text that the client is sent; it names the field.
+// The text of the Error for the client; it names the field.
 std::string_view to_string(const RequestError&);
 
-// Checks each field. `queue_groups`: the names of the configured groups.
+// Checks each field; the error is the first one found. `queue_groups`: the names of the configured groups.
 [[nodiscard]] tl::expected<void, RequestError> check_request(const v1::SubmitTask&,
                                                              const std::vector<std::string>& queue_groups);
 
-// The request as the scheduler and the ledger take it. Only for a message that was checked.
+// Converts a request for the scheduler and the ledger. The message must have passed check_request().
 ResourceRequest resource_request(const v1::SubmitTask&, const std::vector<std::string>& queue_groups);
 
-// A number that is not finite counts as absent.
+// Converts a load report. A number that is not finite counts as absent.
 LoadReport load_report(const v1::LoadReport&);
 
 }  // namespace whinpost::server
--- a/src/server/server_context.h
+++ b/src/server/server_context.h
@@ -1,5 +1,5 @@
-// What the parts of the placer's server share: the event loop, the ledger, admission control, the planner,
-// and the two ways in which calls are put off (timers and rounds).
+// State shared by the classes of the placer's server: the event loop, the ledger, admission control, the
+// planner, timers, rounds and statistics.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,14 +15,14 @@
 
 namespace whinpost::server {
 
-// The version of all three protocols. A peer that speaks another one is rejected with an error.
+// The version of all three protocols. A peer with another version is sent an Error and disconnected.
 constexpr std::uint32_t kProtocolVersion = 1;
 
-// The longest name of a task, a service, a client or a worker, in bytes.
+// The maximum length of the name of a task, a service, a client or a worker, in bytes.
 constexpr std::size_t kMaxNameLength = 256;
 
-// How this placer introduces itself to its peers. The incarnation is another one at each start; the seed
-// determines all random choices.
+// This placer's identity in its Hello messages. The incarnation differs at each start; the seed determines
+// all random choices and is not sent.
 struct PlacerIdentity {
     std::string name;
     std::uint64_t incarnation = 1;
@@ -31,9 +31,9 @@
 
 // Counters for operators and tests.
 struct ServerStatistics {
-    std::uint64_t planner_faults = 0;        // decisions that could not be carried out
-    std::uint64_t protocol_errors = 0;       // peers that broke the protocol
-    std::uint64_t admission_rejections = 0;  // tasks and clients
+    std::uint64_t planner_faults = 0;        // planner decisions that could not be executed
+    std::uint64_t protocol_errors = 0;       // protocol violations by peers
+    std::uint64_t admission_rejections = 0;  // rejected tasks and clients
     std::uint64_t late_accepts_reported = 0;
     std::uint64_t cancellations_sent = 0;
     std::uint64_t health_checks = 0;
@@ -42,7 +42,8 @@
     std::uint64_t slow_clients_evicted = 0;
 };
 
-// The members with references outlive the server. `planner` is set before the first peer is served.
+// The objects behind the references outlive the server. `planner` must be set before the first peer is
+// served.
 struct ServerContext {
     ServerContext(net::EventLoop& event_loop, const log::Logger& logger, PlacerIdentity placer,
                   ledger::Ledger& attempt_ledger, admission::AdmissionController& admission_controller,
@@ -62,7 +63,7 @@
 
     Nanos now() const { return loop.now(); }
 
-    // Counts and logs a decision of the planner that can't be carried out.
+    // Counts and logs a decision of the planner that can't be executed.
     void report_planner_fault(std::string_view decision, planner::TaskNumber task, std::string_view reason) {
         ++statistics.planner_faults;
         log(log::Level::warning, "planner_fault",
--- a/src/server/server_timers.h
+++ b/src/server/server_timers.h
@@ -1,4 +1,4 @@
-// The server's timing wheel, driven by one timer of the event loop.
+// The server's timer wheel, driven by one timer of the event loop.
 #pragma once
 #include <memory>
 
@@ -11,7 +11,7 @@
 public:
     explicit ServerTimers(net::EventLoop&);
 
-    // Arms the timer, or moves it. A deadline that has passed is due at the next pass of the event loop.
+    // Arms the timer, or moves its deadline. A deadline in the past fires at the next pass of the event loop.
     void arm(timer_wheel::Timer&, Nanos deadline);
 
 private:
--- a/src/server/slow_start_controller.h
+++ b/src/server/slow_start_controller.h
@@ -1,5 +1,5 @@
-// The placer's admission tokens for workers in slow start: requests go to the workers, and what the workers
-// grant goes to the planner and the ledger.
+// The placer's admission tokens for workers in slow start: sends RequestTokens to the workers, and forwards
+// the granted tokens to the planner and the ledger.
 #pragma once
 #include "server/server_context.h"
 #include "slow_start/token_client.h"
@@ -8,11 +8,11 @@
 
 class SlowStartController final : private slow_start::TokenClientHandler {
 public:
-    // `slow_start_time`: how long after its start a worker is treated as warming up.
+    // `slow_start_time`: how long after its start a worker is in slow start.
     SlowStartController(ServerContext& context, Nanos slow_start_time)
         : context_(context), tokens_(*this, slow_start_time) {}
 
-    // How many attempts may be sent to the worker now, for the planner and the ledger.
+    // Updates the number of attempts that may be sent to the worker, in the planner and the ledger.
     void update_tokens(Nanos now, slow_start::WarmingWorker&);
 
     slow_start::TokenClient& tokens() { return tokens_; }
--- a/src/server/task_answers.cpp
+++ b/src/server/task_answers.cpp
@@ -10,8 +10,8 @@
 namespace {
 using log::Level;
 
-// An attempt that was given up is remembered for so long, longer than any worker's queue of requests and
-// starts, so that its late acceptance is still known for what it is.
+// How long an attempt that was given up is kept, so that a late AttemptAccepted for it is still recognized.
+// Longer than an attempt can wait in a worker's queues.
 constexpr Nanos kRetention = 30 * kSecond;
 
 v1::TaskEnded::Outcome wire_outcome(const InFlightTask& task, AttemptOutcome outcome, OutcomeReason reason) {
@@ -120,7 +120,7 @@
     const bool is_settled = !may_be_accepted_late || record.answer == ledger::Answer::placed;
     if (task.client && !task.late_attempt && is_settled) task.client->open_tasks.erase(task.client_task_id);
     if (task.retention.armed()) return;
-    // Also a task that ended well is kept to the end of this pass: calls on it may be under way.
+    // Any other task is kept for a moment too, since its own code may be calling.
     context_.timers.arm(task.retention, context_.now() + (may_be_accepted_late ? kRetention : kMillisecond));
 }
 
--- a/src/server/task_answers.h
+++ b/src/server/task_answers.h
@@ -1,4 +1,5 @@
-// Gives each client its answers, and forgets a task once nothing more can come of it.
+// Sends clients the answers and events of their tasks, and destroys a task once no message about it can
+// arrive.
 #pragma once
 #include <cstdint>
 #include <string_view>
@@ -13,23 +14,24 @@
 public:
     TaskAnswers(ServerContext& context, TaskTable& tasks) : context_(context), tasks_(tasks) {}
 
-    // The final answer of a task that was not placed: rejected, to be retried after `retry_after`, or failed.
-    // Does nothing if the task has its answer already.
+    // Sends the final answer for a task that was not placed: TaskRejected, with `retry_after`, or TaskFailed.
+    // Does nothing if the task already has its answer.
     void send_answer(InFlightTask&, ledger::Answer, Nanos retry_after, std::string_view reason);
     void send_placed(InFlightTask&, const ledger::Attempt&);
     void send_running(InFlightTask&);
-    // The end of an attempt that was placed.
+    // Sends TaskEnded for an attempt that was placed.
     void send_ended(InFlightTask&, AttemptOutcome, OutcomeReason);
-    // Where the late attempt of a failed task is (task.late_attempt).
+    // Sends TaskFound with the worker of task.late_attempt. Only for a task that was answered with
+    // TaskFailed.
     void send_late_attempt(InFlightTask&);
-    // Of a task handed over whose worker is gone.
+    // Sends TaskEnded with LOST for a task that was handed over and whose worker is gone.
     void send_lost(ClientConnection&, std::uint64_t client_task_id);
 
-    // The task no longer counts among those that wait for an answer.
+    // Removes the task from admission control's count of tasks that wait for an answer.
     void stop_counting_as_waiting(InFlightTask&);
-    // Schedules the end of a closed task; does nothing for any other.
+    // Schedules the destruction of a closed task; does nothing for any other task.
     void retire_if_closed(InFlightTask&);
-    // Forgets the task and destroys it.
+    // Destroys the task and its record in the ledger.
     void erase(InFlightTask&);
 
 private:
--- a/src/server/task_controller.cpp
+++ b/src/server/task_controller.cpp
@@ -11,16 +11,16 @@
 namespace {
 using log::Level;
 
-// An answer takes a while to reach the client, so it is sent this long before the client gives up: a fiftieth
-// of the time that is left, and no less than covers a busy event loop and a network within one site.
+// How long before the client's deadline the answer is sent, so that it arrives in time: the minimum covers a
+// busy event loop and the network within one site, and a fiftieth of the time left is added.
 constexpr Nanos kMinAnswerMargin = 20 * kMillisecond;
 constexpr Nanos kAnswerMarginDivisor = 50;
 Nanos answer_margin(Nanos time_left) {
     return std::min(time_left / 2, kMinAnswerMargin + time_left / kAnswerMarginDivisor);
 }
 
-// A client that was rejected at admission is asked to stay away for a moment, so that a flood does not come
-// back at once. Below the second or so that clients wait of their own accord.
+// The retry_after of a rejection at admission, so that rejected tasks are not resubmitted at once. Below the
+// delay of about a second that clients use on their own.
 constexpr Nanos kAdmissionRetryAfter = 500 * kMillisecond;
 
 constexpr const char* kUnknownTask = "no such task";
@@ -121,7 +121,8 @@
 void TaskController::reject(planner::TaskNumber number, Nanos retry_after) {
     InFlightTask* task = tasks_.find(number);
     if (!task) return context_.report_planner_fault("reject", number, kUnknownTask);
-    // The decision may have crossed with a cancellation, an acceptance or the answer deadline.
+    // The planner may have decided before it was notified of a cancellation, an acceptance or the answer
+    // deadline.
     if (task->record->answer != ledger::Answer::none) return;
     if (!context_.ledger.may_reject(*task->record))
         return context_.report_planner_fault("reject", number, "an attempt may have run");
@@ -135,8 +136,9 @@
     answers_.send_answer(*task, ledger::Answer::failed, 0, reason_or(*task, "no launch was answered"));
 }
 
-// The client is about to give up. The planner is heard first: told that the time of the attempt in flight is
-// up, it may answer. If it does not, the ledger knows which answer is truthful.
+// The client's deadline is near. The attempt in flight is ended first, to which the planner may respond with
+// an answer. If it does not, the ledger determines the answer: rejected if no attempt can have run, else
+// failed.
 void TaskController::on_answer_deadline(InFlightTask& task) {
     const planner::TaskNumber number = task.record->number;
     if (task.record->answer != ledger::Answer::none) return;
--- a/src/server/task_controller.h
+++ b/src/server/task_controller.h
@@ -1,4 +1,4 @@
-// Takes tasks from clients, gives them to the planner, and sees to it that each gets its answer in time.
+// Admits tasks from clients, submits them to the planner, and answers each task by its deadline.
 #pragma once
 #include <string>
 #include <vector>
@@ -15,19 +15,20 @@
 
 class TaskController final : private TaskDeadlineHandler {
 public:
-    // `queue_groups`: their names, in the order of the ledger's groups.
+    // `queue_groups`: the names of the queue groups, in the order of the ledger's.
     TaskController(ServerContext&, TaskTable&, TaskAnswers&, AttemptController&, slow_start::TokenClient&,
                    std::vector<std::string> queue_groups);
 
-    // ---- requests of clients, which were checked
-    // Admits the task and hands it to the planner, or rejects it at once.
+    // ---- requests of clients, which must have passed check_request()
+    // Admits the task and submits it to the planner, or rejects it at once.
     void submit(ClientConnection&, const v1::SubmitTask&);
-    // A task that runs on the worker already, started by another placer.
+    // Adopts a task that already runs on the worker, started by another placer or by an earlier incarnation
+    // of this one.
     void adopt(ClientConnection&, const v1::SubmitTask&, WorkerPeer&);
-    // A task that waits leaves the planner at once; what may be at a worker is cancelled there.
+    // Removes the task from the planner; an attempt that may be at a worker is cancelled there.
     void cancel(InFlightTask&);
-    // Placed tasks run on: their client hands them over to a placer when it is back. Those that wait are
-    // cancelled.
+    // Cancels the client's tasks that wait for an answer. Placed tasks keep running: the client hands them
+    // over to a placer when it reconnects.
     void on_client_disconnected(ClientConnection&);
 
     // ---- decisions of the planner
--- a/src/server/task_recovery.cpp
+++ b/src/server/task_recovery.cpp
@@ -17,7 +17,7 @@
     const std::uint64_t id = request.submit().id();
     WorkerPeer* peer = workers_.find(request.worker());
     if (peer && peer->entry.listed.is_known) {
-        // Gone by the endpoint list, and it can't be reached to say otherwise: its client is to submit anew.
+        // The endpoint list omits the worker and it is unreachable: the client has to submit the task again.
         const bool is_gone = !peer->record.is_listed && peer->entry.state == membership::WorkerState::gone;
         if (is_gone) answers_.send_lost(client, id);
         else tasks_.adopt(client, request.submit(), *peer);
--- a/src/server/task_recovery.h
+++ b/src/server/task_recovery.h
@@ -1,5 +1,5 @@
-// Tasks that clients hand over after this placer's start or another's end: they run on workers already. A
-// task is adopted as soon as its worker is known, and reported lost once the worker is known to be gone.
+// Running tasks that clients hand over to this placer after it has started or another placer has ended. A
+// task is adopted as soon as its worker is known, and reported as lost once the worker is known to be gone.
 #pragma once
 #include "proto/client.pb.h"
 #include "recovery/recovery_queue.h"
@@ -9,21 +9,21 @@
 
 class MembershipController;
 
-// A task whose worker is not known yet. Owned by its client's connection.
+// A task that was handed over and whose worker is not known yet. Owned by its client's connection.
 struct PendingAdoption {
     ClientConnection& client;
     v1::HandOverTask request;
-    recovery::PendingRecovery* recovery;  // the queue's
-    bool is_cancelled = false;            // by its client: cancelled as soon as its worker is known
+    recovery::PendingRecovery* recovery;  // not owned: owned by the RecoveryQueue
+    bool is_cancelled = false;            // by its client; CancelAttempt is sent once the worker is known
 };
 
 class TaskRecovery final : private recovery::RecoveryHandler {
 public:
     TaskRecovery(ServerContext&, TaskController&, TaskAnswers&, WorkerEndpoint&, MembershipController&);
 
-    // Of a request that was checked.
+    // Adopts the task, reports it as lost, or queues it. The request must have passed check_request().
     void hand_over(ClientConnection&, const v1::HandOverTask&);
-    // The client has gone: what it handed over and is not adopted yet is dropped.
+    // Drops the client's tasks that were handed over and are not adopted yet.
     void on_client_disconnected(ClientConnection&);
 
     recovery::RecoveryQueue& queue() { return queue_; }
--- a/src/server/task_table.cpp
+++ b/src/server/task_table.cpp
@@ -19,7 +19,7 @@
     std::vector<InFlightTask*> tasks;
     for (const auto& [number, task] : tasks_)
         if (task->client == &client) tasks.push_back(task.get());
-    // The hash order must not decide in which order they are answered.
+    // The callers' order of answers must not depend on the hash order.
     std::sort(tasks.begin(), tasks.end(), [](const InFlightTask* first, const InFlightTask* second) {
         return first->record->number < second->record->number;
     });
--- a/src/server/task_table.h
+++ b/src/server/task_table.h
@@ -1,4 +1,4 @@
-// The tasks that the server holds, and their attempts, by the ledger's numbers.
+// The tasks that the server holds and their attempts, indexed by the ledger's numbers.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -16,11 +16,11 @@
     InFlightTask* find(planner::TaskNumber);
     // The tasks of one connected client, in the order in which they were created.
     std::vector<InFlightTask*> tasks_of(const ClientConnection&);
-    // Destroys the task and forgets its attempts.
+    // Destroys the task and removes its attempts from the table.
     void erase(InFlightTask&);
 
     void add_attempt(ledger::Attempt&);
-    // Null once the attempt's task was erased.
+    // Null if the number is unknown or the attempt's task was erased.
     ledger::Attempt* find_attempt(std::uint64_t number);
 
     std::size_t size() const { return tasks_.size(); }
--- a/src/server/worker_endpoint.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -22,7 +22,7 @@
 
 WorkerPeer& WorkerEndpoint::find_or_add(std::string_view name) {
     if (WorkerPeer* peer = find(name)) return *peer;
-    // Another jitter for each connection and each placer, and the same one for the same seed.
+    // The jitter differs for each worker and placer seed, and is reproducible.
     const std::uint64_t seed = (context.identity.seed ^ stable_hash(name)) * kSeedMultiplier;
     peers_.push_back(std::make_unique<WorkerPeer>(*this, context.ledger.add_worker(name),
                                                   membership.find_or_add(name), seed));
@@ -64,7 +64,8 @@
 
 void WorkerEndpoint::send_keepalive(WorkerConnection& connection) {
     v1::ToWorker message;
-    message.mutable_health_check()->set_id(0);  // none of the planner's: the reply is only a sign of life
+    message.mutable_health_check()->set_id(
+        0);  // 0: not from the planner; the reply only shows that the worker is alive
     peer_of(connection).send(message);
 }
 
@@ -101,7 +102,7 @@
     context.timers.arm(peer_of(connection).timer, std::max(at, context.now()));
 }
 
-// A worker that closes within the greeting is as unreachable as one that can't be dialled.
+// A connection that closes before the greeting is complete counts as a failed dial.
 void WorkerEndpoint::on_disconnected(Nanos now, WorkerConnection& connection, bool was_up) {
     WorkerPeer& peer = peer_of(connection);
     if (was_up) membership.on_disconnected(now, peer.entry);
--- a/src/server/worker_endpoint.h
+++ b/src/server/worker_endpoint.h
@@ -1,4 +1,5 @@
-// All workers, by name and by number, and what their connections ask of the network and the server.
+// All workers, indexed by name and by number, and the handler of their connections: dials, sends messages and
+// forwards events to the server.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -41,7 +42,7 @@
     void wake_at(worker_connection::WorkerConnection&, Nanos at) override;
     void on_disconnected(Nanos now, worker_connection::WorkerConnection&, bool was_up) override;
 
-    // For the peers.
+    // Used by the peers.
     ServerContext& context;
     TaskTable& tasks;
     AttemptController& attempts;
--- a/src/server/worker_peer.cpp
+++ b/src/server/worker_peer.cpp
@@ -11,7 +11,8 @@
 using log::Level;
 using worker_connection::ConnectionState;
 
-constexpr std::size_t kMaxMessageSize = 1 << 20;  // a greeting names every attempt that the worker holds
+constexpr std::size_t kMaxMessageSize = 1
+                                        << 20;  // in bytes; WorkerState names every attempt the worker holds
 constexpr std::uint32_t kMaxTokensGranted = 1'000'000;
 }  // namespace
 
@@ -69,7 +70,7 @@
 std::size_t WorkerPeer::on_received(std::string_view bytes) {
     bool too_long = false;
     connection.on_data(endpoint.context.now());
-    // A message may close the stream, or replace it by another one.
+    // Handling a message may close the stream, or replace it by another one.
     net::Stream* const current = stream.get();
     const std::size_t consumed = net::decode_frames(
         bytes, kMaxMessageSize, too_long,
@@ -94,7 +95,7 @@
     if (message.of_case() != v1::FromWorker::kHello) return reject("the first message must be a hello");
     const v1::Hello& hello = message.hello();
     if (hello.version() != kProtocolVersion) return reject(unsupported_version(hello.version()));
-    // Another worker may be at the address now: what is meant for one is not told to the other.
+    // Another worker may use the address now; it must not receive this worker's messages.
     if (hello.name() != record.name) {
         endpoint.membership.on_name_mismatch();
         return reject("hello.name: not the node that the list has at this address");
@@ -105,7 +106,7 @@
     return true;
 }
 
-// The second half of the greeting: what the worker holds and how it is.
+// WorkerState completes the greeting: the attempts that the worker holds, and its load and drain state.
 bool WorkerPeer::on_state(const v1::WorkerState& state) {
     ServerContext& context = endpoint.context;
     const Nanos now = context.now();
@@ -124,7 +125,8 @@
     endpoint.attempts.resend_cancellations(*this);
     endpoint.tokens.on_greeting(now, warming, state.issues_tokens());
     for (const v1::HeldAttempt& held : state.attempts()) {
-        // One that is unknown is of long ago, or another worker's: it is the worker's to clean up.
+        // An unknown attempt is ignored: it is forgotten here or another worker's, and this worker cleans it
+        // up.
         ledger::Attempt* attempt = find_attempt(held.attempt());
         if (!attempt) continue;
         if (held.accepted()) endpoint.attempts.on_accepted(*attempt);
@@ -141,8 +143,8 @@
     return attempt && attempt->worker == &record ? attempt : nullptr;
 }
 
-// Calls `handle` with the attempt that a message names. One that is forgotten by now is ignored; one that was
-// never sent to this worker is an error.
+// Calls `handle` with the attempt that a message names. Ignores an attempt that was erased since; rejects the
+// message if the attempt was never sent to this worker.
 template <class Handle>
 bool WorkerPeer::with_attempt(std::uint64_t attempt_number, Handle handle) {
     ledger::Attempt* attempt = find_attempt(attempt_number);
@@ -180,7 +182,7 @@
                 attempts.on_usage(attempt, message.usage());
             });
         case v1::FromWorker::kHealthCheckReply:
-            // 0: not one of the planner's health checks, only a sign of life.
+            // 0: the reply to a keepalive, not to a health check of the planner.
             if (message.health_check_reply().id() != 0) on_load_report(message.health_check_reply().report());
             return true;
         case v1::FromWorker::kTokensGranted:
@@ -196,7 +198,7 @@
             log_reported_error(message);
             return true;
         case v1::FromWorker::OF_NOT_SET:
-            return true;  // of a newer version: ignored
+            return true;  // a message of a newer version: ignored
     }
     return true;
 }
--- a/src/server/worker_peer.h
+++ b/src/server/worker_peer.h
@@ -1,5 +1,5 @@
-// One worker: its stream and messages, with its records in the ledger, in the membership, in slow start and
-// as a connection.
+// One worker: reads and writes its stream, and holds its records in the ledger, the membership and slow start
+// and its connection state.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -19,13 +19,14 @@
 
 class WorkerPeer final : public net::StreamHandler {
 public:
-    // `seed`: of the jitter between dials.
+    // `seed`: for the jitter of the backoff between dials.
     WorkerPeer(WorkerEndpoint&, ledger::WorkerRecord&, membership::WorkerEntry&, std::uint64_t seed);
     void on_connected() override;
     std::size_t on_received(std::string_view) override;
     void on_drained() override;
     void on_closed(net::CloseReason) override;
-    // Drops the message while the worker is not connected: after it has greeted, it is told all that matters.
+    // Drops the message while the worker is not connected: the state that matters is sent again after its
+    // next greeting.
     void send(const v1::ToWorker&);
 
     struct ConnectionTimer final : timer_wheel::Timer {
@@ -37,7 +38,7 @@
     WorkerEndpoint& endpoint;
     ledger::WorkerRecord& record;
     membership::WorkerEntry& entry;
-    const planner::WorkerNumber number;  // the entry's
+    const planner::WorkerNumber number;  // equal to entry.number
     std::unique_ptr<net::Stream> stream;
     ConnectionTimer timer;
     worker_connection::WorkerConnection connection;
@@ -53,12 +54,12 @@
     ledger::Attempt* find_attempt(std::uint64_t number);
     void on_load_report(const v1::LoadReport&);
     void log_reported_error(const v1::FromWorker&);
-    // Sends one error and closes. False, to be returned by the message's handler.
+    // Sends an Error and closes the stream. Always false, which the message's handler returns.
     bool reject(const std::string& reason);
 
     MessageWriter<v1::ToWorker> writer_;
-    bool hello_received_ = false;    // on the present stream
-    std::uint64_t incarnation_ = 0;  // by that hello
+    bool hello_received_ = false;    // on the current stream
+    std::uint64_t incarnation_ = 0;  // from that Hello
 };
 
 }  // namespace whinpost::server
