--- a/src/server/in_flight_task.h
+++ b/src/server/in_flight_task.h
@@ -40,7 +40,7 @@
     bool counted_as_waiting = true;  // admission control counts the task as waiting for an answer
     bool is_migrating = false;
     bool is_cancelled = false;  // by a CancelTask from its client, or by the client's disconnection
-    int attempts_decided = 0;   // the planner's place() calls, including those that the ledger refused
+    int attempts_decided = 0;   // as the planner counts them, including those that the ledger refused
     std::string last_failure;   // why the latest attempt failed; sent to the client as the reason
     // An attempt that was accepted after its deadline, of a task that must not run twice. The client is sent
     // TaskFound with its worker.
--- a/src/server/planner_rounds.cpp
+++ b/src/server/planner_rounds.cpp
@@ -12,13 +12,13 @@
 // A round over a long queue without capacity takes long and places nothing. The next one then starts only
 // after kIdlePaceFactor times its duration, so that three quarters of the time remain for clients and
 // workers, but within kMaxPace, which is below the scheduler's gap between two attempts of one task. A round
-// counts as idle if it takes over kTimePerAttempt, ten times the usual cost, for each attempt started. Others
-// are not delayed: delaying them raised the 99th percentile of the time to place at 10,000 tasks a second
-// from 2 to 57 ms.
+// counts as idle if it takes over kTimePerAttempt, ten times the usual 10 us, for each attempt started.
+// Others are not delayed: delaying them raised the 99th percentile of the time to place at 10,000 tasks a
+// second from 2 to 57 ms.
 constexpr Nanos kIdlePaceFactor = 4, kMaxPace = 40 * kMillisecond, kTimePerAttempt = 100 * kMicrosecond;
 
-// The maximum time between rounds. Only the planner's earliest wake-up is stored; a later one that it
-// replaces is covered by this.
+// The maximum time between rounds. Only the planner's earliest wake-up is stored; later ones are
+// covered by this.
 constexpr Nanos kMaxRoundInterval = 250 * kMillisecond;
 }  // namespace
 
--- a/tests/request_check_test.cpp
+++ b/tests/request_check_test.cpp
@@ -1,4 +1,4 @@
-// The checks of what clients and the discovery service send, before any of it is used.
+// Validation of clients' requests, endpoint updates and load reports.
 #include "server/request_check.h"
 
 #include <catch2/catch.hpp>
@@ -36,7 +36,7 @@
 }
 }  // namespace
 
-TEST_CASE("a request is rejected by the first field that is out of range, and the error names it") {
+TEST_CASE("a request with a field out of range is rejected with an error that names the field") {
     struct Row {
         std::function<void(v1::SubmitTask&)> change;
         RequestError::Kind kind;
@@ -69,7 +69,7 @@
     }
 }
 
-TEST_CASE("a checked request keeps its amounts, and names its queue group by index") {
+TEST_CASE("resource_request keeps the amounts and converts the queue group's name to its index") {
     v1::SubmitTask message = valid_request();
     message.set_cores(2);
     message.set_memory(3);
@@ -82,7 +82,7 @@
     CHECK(request.is_retry);
 }
 
-TEST_CASE("a number of a load report that is not finite counts as absent") {
+TEST_CASE("a number in a load report that is not finite counts as absent") {
     v1::LoadReport message;
     message.set_free_cores(kInfinity);
     message.set_free_memory(4);
@@ -94,7 +94,7 @@
 }
 
 TEST_CASE(
-    "an endpoint is rejected by the first field that is out of range; one that is gone needs no address") {
+    "an endpoint with a field out of range is rejected with that error; one that is gone needs no address") {
     struct Row {
         std::function<void(v1::Endpoint&)> change;
         EndpointError::Kind kind;
--- a/tests/server_attempts_test.cpp
+++ b/tests/server_attempts_test.cpp
@@ -1,5 +1,5 @@
-// Attempts: late and repeated acceptances, deadlines, cancellations. In virtual time, each fault caused on
-// purpose.
+// Attempts: late and repeated acceptances, deadlines and cancellations. Runs in virtual time with injected
+// faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
@@ -7,8 +7,8 @@
 using namespace whinpost;
 
 TEST_CASE(
-    "an acceptance after the deadline: the copy is cancelled where that does no harm, else its client learns "
-    "of it") {
+    "an attempt accepted after its deadline is cancelled if its task is idempotent, else the client is sent "
+    "TaskFound") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -30,7 +30,8 @@
 }
 
 TEST_CASE(
-    "an acceptance sent twice, and one of an attempt that was given up for another, place the task once") {
+    "a repeated AttemptAccepted and one for an attempt that was given up do not place the task a second "
+    "time") {
     ServerRig rig;
     FakeWorker &worker_a = rig.add_worker("a"), &worker_b = rig.add_worker("b");
     rig.publish({rig.endpoint("a"), rig.endpoint("b")});
@@ -38,7 +39,7 @@
     rig.submit(client, rig.request(1, "free", 10 * kSecond));
     FakeWorker& first = worker_a.attempts().empty() ? worker_b : worker_a;
     FakeWorker& second = worker_a.attempts().empty() ? worker_a : worker_b;
-    // The scheduler gives up the silent attempt and tries the other worker.
+    // The first worker does not answer: the scheduler gives up the attempt and tries the other worker.
     for (int i = 0; i < 300 && second.attempts().empty(); ++i) rig.run(10 * kMillisecond);
     REQUIRE(second.attempts().size() == 1);
     second.accept(second.attempts()[0].attempt());
@@ -51,7 +52,7 @@
     CHECK(second.connection().count(&v1::ToWorker::has_cancel_attempt) == 0);
 }
 
-TEST_CASE("an attempt carries the time after which it must not begin, by the worker's own clock") {
+TEST_CASE("StartAttempt carries the time after which the attempt must not begin, on the worker's own clock") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     worker.clock = 77 * kSecond;
@@ -61,12 +62,12 @@
     TestClient& client = rig.connect_client();
     rig.submit(client, rig.request(1, "once", 2 * kSecond));
     REQUIRE(worker.attempts().size() == 1);
-    // The deadline, less what the answer needs: a little under two seconds after the request, and never later
-    // by the worker's clock than by the placer's own.
+    // not_after is the deadline less the answer margin: a little under 2 s after the request, and never later
+    // on the worker's clock than on the placer's.
     const Nanos at = worker.attempts()[0].not_after();
     CHECK(at > 78 * kSecond);
     CHECK(at < 77 * kSecond + (rig.network.now() - greeted) + 2 * kSecond + 100 * kMillisecond);
-    // A message of the worker sets its clock anew; one without a clock removes it.
+    // A later AttemptsRead replaces the worker's clock; one with clock 0 removes it.
     v1::FromWorker message;
     message.mutable_attempts_read()->set_attempts(1);
     message.mutable_attempts_read()->set_clock(5 * kSecond);
@@ -82,7 +83,9 @@
     CHECK(worker.attempts().at(2).not_after() == 0);
 }
 
-TEST_CASE("a task cancelled while its worker is disconnected is cancelled there when the worker is back") {
+TEST_CASE(
+    "CancelAttempt for a task cancelled while its worker was disconnected is sent when the worker "
+    "reconnects") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -92,7 +95,7 @@
     worker.accept(attempt);
     rig.run(100 * kMillisecond);
     worker.held_attempts = {attempt};
-    worker.connection().stream.reset();  // the connection breaks; the worker lives
+    worker.connection().stream.reset();  // the connection closes, but the worker keeps running
     rig.run(10 * kMillisecond);
     v1::FromClient cancel;
     cancel.mutable_cancel()->set_id(1);
--- a/tests/server_clients_test.cpp
+++ b/tests/server_clients_test.cpp
@@ -1,11 +1,11 @@
-// Clients that disconnect, hang or flood the placer. In virtual time, each fault caused on purpose.
+// Clients that disconnect, hang or flood the placer. Runs in virtual time with injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a client that disconnects with two hundred tasks waiting leaves nothing behind") {
+TEST_CASE("when a client disconnects with 200 waiting tasks, all of them are removed") {
     ServerRig rig;
     TestClient &client = rig.connect_client();
     for (std::uint64_t i = 1; i <= 200; ++i) {
@@ -23,7 +23,7 @@
     CHECK(rig.placer->planner.open_tasks() == 0);
 }
 
-TEST_CASE("an incomplete message, and a client that never reads, delay nobody else") {
+TEST_CASE("a client that sends an incomplete message or never reads does not delay others") {
     ServerRig rig;
     FakeWorker &worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -44,7 +44,9 @@
     CHECK(worker.connection().stream);
 }
 
-TEST_CASE("a flood is rejected at once with the limit's name, and other clients are served") {
+TEST_CASE(
+    "tasks beyond the admission limit are rejected at once with the limit's name, and other clients are "
+    "served") {
     ServerRig rig("[intake]\nwaiting = 100\nwaiting_an_owner = 1000\n");
     TestClient &flood = rig.connect_client("flood"), &other = rig.connect_client("other");
     for (std::uint64_t i = 1; i <= 500; ++i) {
@@ -60,7 +62,9 @@
     CHECK(other.count(&v1::ToClient::has_received) >= 16);
 }
 
-TEST_CASE("a client that never greets is told so and makes room after 5 s, one that has greeted stays") {
+TEST_CASE(
+    "a client that sends no Hello is sent an Error and closed after 5 s, one that has sent it stays "
+    "connected") {
     ServerRig rig;
     TestClient &silent = rig.connect_client("silent", false), &greeted = rig.connect_client("greeted");
     rig.run(4900 * kMillisecond);
--- a/tests/server_connections_test.cpp
+++ b/tests/server_connections_test.cpp
@@ -1,11 +1,14 @@
-// Workers that break off, die, hang or are somebody else. In virtual time, each fault caused on purpose.
+// Workers that disconnect, crash, hang or have another name than listed. Runs in virtual time with injected
+// faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a worker disconnected in between accepts when it is back, and the task counts as placed there") {
+TEST_CASE(
+    "an attempt that a worker reports as accepted in its next greeting, after a disconnection, is placed "
+    "there") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -15,15 +18,15 @@
     worker.held_attempts = {worker.attempts()[0].attempt()};
     worker.connection().stream->abort();
     worker.connection().stream.reset();
-    rig.run(2 * kSecond);  // it is dialled again and greets with what it holds
+    rig.run(2 * kSecond);  // the worker is dialled again and names the attempt in its greeting
     CHECK(worker.connections.size() == 2);
     CHECK(client.count(&v1::ToClient::has_placed) == 1);
     CHECK(worker.attempts().size() == 1);
 }
 
 TEST_CASE(
-    "an attempt that the worker says it never received is sent again, even of a task that must not run "
-    "twice") {
+    "an attempt that the worker does not name in its next greeting is replaced by another, also for a task "
+    "that must not run twice") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -42,15 +45,15 @@
 }
 
 TEST_CASE(
-    "a worker killed with thirty attempts in flight: idempotent tasks go elsewhere, the rest is answered "
-    "honestly") {
+    "when a worker is killed with attempts in flight, each of 30 tasks is answered, and side-effecting tasks "
+    "that were sent to it are not sent to another") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
     TestClient& client = rig.connect_client();
     for (std::uint64_t i = 1; i <= 30; ++i) {
         rig.submit(client, rig.request(i, i % 3 == 0 ? "once" : i % 3 == 1 ? "free" : "marked", 8 * kSecond));
-        rig.run(400 * kMillisecond);  // beyond what the scheduler lets wait at one worker
+        rig.run(400 * kMillisecond);  // longer than the scheduler lets an attempt wait at one worker
     }
     const std::size_t sent = worker.attempts().size();
     REQUIRE(sent >= 8);
@@ -68,7 +71,7 @@
         answered = attempts.size();
     }
     CHECK(final_answers(client) == 30);
-    // The side-effecting ones that had been sent are never sent again.
+    // Side-effecting tasks that were sent to the killed worker are never sent again.
     std::vector<std::string> at_worker;
     for (const v1::StartAttempt& attempt : worker.attempts())
         if (attempt.queue_group() == 2) at_worker.push_back(attempt.task());
@@ -78,8 +81,8 @@
 }
 
 TEST_CASE(
-    "the task of a worker that dies between acceptance and start is lost once another incarnation greets, "
-    "and not before") {
+    "a task whose worker is killed between acceptance and start is reported as lost when a new incarnation "
+    "greets, and not before") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -89,7 +92,7 @@
     rig.run(100 * kMillisecond);
     rig.kill_worker(worker);
     rig.run(5 * kSecond);
-    CHECK(client.count(&v1::ToClient::has_ended) == 0);  // disconnected is not dead
+    CHECK(client.count(&v1::ToClient::has_ended) == 0);  // a disconnected worker may still run the task
     worker.incarnation = 2;
     rig.start_worker(worker);
     rig.run(10 * kSecond);
@@ -97,7 +100,8 @@
     CHECK(client.messages(&v1::ToClient::has_ended)[0].ended().outcome() == v1::TaskEnded::LOST);
 }
 
-TEST_CASE("a worker that accepts the connection and never reads costs its tasks a moment, not their chance") {
+TEST_CASE(
+    "tasks for a worker that accepts the connection and never reads are placed on another within seconds") {
     ServerRig rig;
     rig.add_worker("mute", true);
     rig.publish({rig.endpoint("mute")});
@@ -107,15 +111,14 @@
     rig.publish({rig.endpoint("mute"), rig.endpoint("good")});
     rig.run(3 * kSecond);
     REQUIRE(good.attempts().size() ==
-            1);  // side-effecting: only because the first attempt is proven never to have been sent
+            1);  // allowed for a side-effecting task, since the first attempt was provably never sent
     good.accept(good.attempts()[0].attempt());
     rig.run(kSecond);
     CHECK(client.count(&v1::ToClient::has_placed) == 1);
 }
 
 TEST_CASE(
-    "a worker that greets with another name than the endpoint list has for its address is rejected with an "
-    "error") {
+    "a worker whose Hello has another name than the endpoint list gives for its address is sent an Error") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     worker.name = "imposter";
@@ -127,7 +130,7 @@
           0);
 }
 
-TEST_CASE("a placer without file descriptors keeps what it has and dials again") {
+TEST_CASE("a placer that has run out of file descriptors keeps its connections and dials again later") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
--- a/tests/server_discovery_test.cpp
+++ b/tests/server_discovery_test.cpp
@@ -1,5 +1,5 @@
-// Endpoint lists that are late, stale, wrong or not to be had; drains. In virtual time, each fault caused on
-// purpose.
+// Endpoint lists that are late, stale, wrong or unavailable, and drains of workers. Runs in virtual time with
+// injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
@@ -7,8 +7,8 @@
 using namespace whinpost;
 
 TEST_CASE(
-    "a stale endpoint list is ignored; of two entries for one worker the more careful counts; a snapshot "
-    "without workers leaves tasks running") {
+    "a stale endpoint list is ignored; of two entries for one worker the draining one counts; a snapshot "
+    "without workers leaves running tasks alone") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -39,15 +39,14 @@
     CHECK(client.count(&v1::ToClient::has_ended) == 1);
 }
 
-TEST_CASE(
-    "a drain with attempts on their way: none is read after the grace period, whatever stalls the worker") {
+TEST_CASE("a drained worker reads no attempt that was still in transit at the end of the grace period") {
     ServerRig rig("[links]\ndrain_grace_ms = 1000\nsilent_after_ms = 60000\n");
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
     TestClient& client = rig.connect_client();
     rig.run(100 * kMillisecond);
     rig.network.slow("n", 300 * kMillisecond);
-    rig.network.cut("10.0.0.1", "n", true);  // what is sent stays on the way
+    rig.network.cut("10.0.0.1", "n", true);  // sent bytes are held in transit
     for (std::uint64_t i = 1; i <= 5; ++i) rig.submit(client, rig.request(i, "free", 8 * kSecond));
     CHECK(worker.attempts().empty());
     rig.publish({rig.endpoint("n", 0, 0, v1::Endpoint::DRAINING)}, false);
@@ -58,7 +57,7 @@
     CHECK(worker.attempts().empty());
 }
 
-TEST_CASE("an endpoint list that must be polled is polled, and polled again when that fails") {
+TEST_CASE("in on_request mode the endpoint list is polled, and polled again after a failure") {
     ServerRig rig;
     rig.kill_placer();
     rig.config.replace(rig.config.find("address = \"10.0.0.9:1\""), 22,
@@ -73,13 +72,15 @@
     failed.mutable_failed()->set_text("too busy");
     rig.discovery_streams.back()->send(failed);
     rig.run(5 * kSecond);
-    std::size_t watches = 0;  // the connection of a request without a response is closed
+    std::size_t watches = 0;  // over all connections: one is closed if a request gets no response
     for (const auto& stream : rig.discovery_streams) watches += stream->count(&v1::ToDiscovery::has_watch);
     CHECK(watches >= 3);
     CHECK(worker.connections.size() == 1);
 }
 
-TEST_CASE("a snapshot that omits all connected workers is requested again, and placements go on meanwhile") {
+TEST_CASE(
+    "after a snapshot that omits all connected workers, another is requested and placements continue "
+    "meanwhile") {
     ServerRig rig;
     std::vector<v1::Endpoint> all;
     for (const char* name : {"a", "b", "c"}) {
@@ -98,7 +99,7 @@
     };
     rig.submit(client, rig.request(1));
     CHECK(attempts() == 1);
-    // Nothing better arrives: within the grace of one second it counts.
+    // No other snapshot arrives: after the drain grace of 1 s at the latest, the omission takes effect.
     rig.run(kSecond);
     rig.submit(client, rig.request(2));
     CHECK(attempts() == 1);
@@ -107,8 +108,9 @@
     CHECK(attempts() >= 2);
 }
 
-TEST_CASE("a drain that a worker announces while a poll has failed does not end the polling") {
-    // The planner takes what the server reports of one worker for an endpoint update, and would poll no more.
+TEST_CASE("a Draining message from a worker after a failed poll does not stop the polling") {
+    // The server reports the drain to the planner by the calls of an endpoint update. The planner would take
+    // it for the response to its poll, and stop polling.
     ServerRig rig;
     rig.kill_placer();
     rig.config.replace(rig.config.find("address = \"10.0.0.9:1\""), 22,
@@ -135,7 +137,8 @@
     CHECK(requests() > before);
 }
 
-TEST_CASE("an endpoint list that is an hour old names workers that are gone: no attempt is sent to them") {
+TEST_CASE(
+    "no attempt is sent to workers that only an hour-old endpoint list names and that can't be reached") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("there");
     v1::FromDiscovery message;
--- a/tests/server_drain_test.cpp
+++ b/tests/server_drain_test.cpp
@@ -1,11 +1,11 @@
-// The graceful shutdown of the server. In virtual time, each fault caused on purpose.
+// The graceful shutdown of the server. Runs in virtual time with injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a draining placer admits nothing more, answers what waits, and then reports that it is done") {
+TEST_CASE("a draining placer rejects new tasks, answers the waiting ones, and then calls back") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -23,7 +23,7 @@
     CHECK(final_answers(client) == 2);
 }
 
-TEST_CASE("a client that reads nothing does not hold up the shutdown of the placer for good") {
+TEST_CASE("a client that never reads delays the shutdown of the placer by 3 s at most") {
     ServerRig rig;
     TestClient& deaf = rig.connect_client("deaf");
     deaf.stream->set_reading(false);
@@ -32,7 +32,7 @@
         *message.mutable_submit() = rig.request(id, "free", kSecond);
         deaf.send(message);
     }
-    rig.run(2 * kSecond);  // each has its answer, and most of these wait to be sent
+    rig.run(2 * kSecond);  // each task has its answer, and most answers are unsent
     bool done = false;
     rig.placer->server.drain([&done] { done = true; });
     rig.run(kSecond);
--- a/tests/server_planner_rounds_test.cpp
+++ b/tests/server_planner_rounds_test.cpp
@@ -1,4 +1,4 @@
-// When the planner's rounds run, and the timers of the server, in virtual time.
+// The scheduling of the planner's rounds, and the server's timers, in virtual time.
 #include <catch2/catch.hpp>
 #include <vector>
 
@@ -35,7 +35,8 @@
 };
 }  // namespace
 
-TEST_CASE("what is scheduled within one pace is decided in one round, and idle rounds follow at intervals") {
+TEST_CASE(
+    "rounds scheduled within one pace are merged into one, and without events a round runs every 250 ms") {
     TestRounds test;
     for (int i = 0; i < 10; ++i) test.rounds.schedule_round();
     test.run_for(kMillisecond);
@@ -50,7 +51,7 @@
     CHECK(test.handler.completed == 6);
 }
 
-TEST_CASE("a wake-up that the planner asks for is met in time, also behind an earlier round") {
+TEST_CASE("a round runs at the time of the planner's wake-up, also if another round ran before it") {
     TestRounds test;
     const Nanos wake_at = test.network.now() + 100 * kMillisecond;
     test.rounds.wake_at(wake_at);
@@ -62,7 +63,7 @@
     CHECK(test.handler.rounds[1] == wake_at);
 }
 
-TEST_CASE("a call deferred within a round runs after the planner, and one deferred before it first") {
+TEST_CASE("a call deferred before a round runs ahead of the planner, one deferred within it afterwards") {
     TestRounds test;
     std::vector<int> order;
     test.handler.in_round = [&] {
@@ -77,7 +78,7 @@
     CHECK(order == std::vector<int>{1, 2, 3});
 }
 
-TEST_CASE("timers of the server fire at their deadlines, in whatever order they were armed") {
+TEST_CASE("the server's timers fire at their deadlines, whatever the order in which they were armed") {
     TestRounds test;
     server::ServerTimers timers(test.process);
     RecordedTimer early, late, disarmed;
--- a/tests/server_planner_test.cpp
+++ b/tests/server_planner_test.cpp
@@ -1,5 +1,5 @@
-// The server beside a planner that decides nothing, or what it must not. In virtual time, each fault caused
-// on purpose.
+// The server with a planner that makes no decisions or invalid ones. Runs in virtual time with injected
+// faults.
 #include <catch2/catch.hpp>
 
 #include "support/quiet_planner.h"
@@ -7,7 +7,9 @@
 
 using namespace whinpost;
 
-TEST_CASE("with a planner that decides nothing every task is answered by the ledger in time, and honestly") {
+TEST_CASE(
+    "with a planner that never answers, a task is rejected before its deadline if it was not sent, else "
+    "failed") {
     ServerRig rig;
     QuietPlanner silent;
     rig.placer->server.set_planner(silent);
@@ -21,13 +23,13 @@
     REQUIRE(worker.attempts().size() == 1);
     const Nanos begun = rig.network.now();
     while (final_answers(client) < 2 && rig.network.now() < begun + 5 * kSecond) rig.run(kMillisecond);
-    CHECK(rig.network.now() - begun < 2 * kSecond);  // before its client gives up
+    CHECK(rig.network.now() - begun < 2 * kSecond);  // before the client's deadline
     REQUIRE(client.count(&v1::ToClient::has_rejected) == 1);
     CHECK(client.messages(&v1::ToClient::has_rejected)[0].rejected().id() == 1);
     CHECK(client.count(&v1::ToClient::has_failed) == 1);
     CHECK(rig.placer->ledger->statistics().answered_by_deadline == 2);
 
-    SECTION("and a decision that breaks a rule is refused, and counted") {
+    SECTION("invalid decisions of the planner are refused and counted") {
         rig.submit(client, rig.request(3, "once"));
         const auto task = silent.submitted.at(2);
         rig.placer->server.place(task, 0, 60 * kSecond);
--- a/tests/server_protocol_test.cpp
+++ b/tests/server_protocol_test.cpp
@@ -1,11 +1,12 @@
-// Peers that break the protocol. In virtual time, each fault caused on purpose.
+// Peers that violate the protocol. Runs in virtual time with injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a peer that breaks the protocol gets one error and is closed; the others notice nothing") {
+TEST_CASE(
+    "a peer that violates the protocol is sent one Error and closed; other connections are not affected") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -48,20 +49,20 @@
         CHECK(bad.is_closed);
     }
     CHECK_FALSE(good.is_closed);
-    SECTION("a worker that names an attempt it was never sent is closed, and dialled again") {
+    SECTION("a worker that accepts an attempt it was never sent is closed and dialled again") {
         worker.accept(987654321);
         rig.run(kSecond);
         REQUIRE(worker.connections.size() == 2);
         CHECK(worker.connections[0]->count(&v1::ToWorker::has_error) == 1);
         CHECK(rig.placer->server.connection("n")->state() == worker_connection::ConnectionState::up);
     }
-    SECTION("an update with a field out of range is rejected as a whole, and the present view is kept") {
+    SECTION("an endpoint update with one field out of range is rejected as a whole") {
         v1::Endpoint wrong = rig.endpoint("m");
         wrong.set_kind(7);
         rig.publish({rig.endpoint("n", 0, 0, v1::Endpoint::DRAINING), wrong}, false);
         CHECK(rig.discovery_streams[0]->count(&v1::ToDiscovery::has_error) == 1);
         CHECK_FALSE(rig.placer->ledger->find_worker("n")->is_draining());
         rig.run(kSecond);
-        CHECK(rig.discovery_streams.size() == 2);  // it is connected again
+        CHECK(rig.discovery_streams.size() == 2);  // the placer has reconnected
     }
 }
--- a/tests/server_recovery_test.cpp
+++ b/tests/server_recovery_test.cpp
@@ -1,11 +1,11 @@
-// Running tasks that clients hand over to a placer. In virtual time, each fault caused on purpose.
+// Running tasks that clients hand over to a placer. Runs in virtual time with injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a placer killed with attempts in flight learns from clients what runs, and adopts it") {
+TEST_CASE("a placer that was killed and restarted adopts the running tasks that its clients hand over") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
@@ -31,9 +31,9 @@
     rig.run(kSecond);
     REQUIRE(worker.connection().count(&v1::ToWorker::has_adopt_attempt) == 1);
     CHECK(again.count(&v1::ToClient::has_ended) ==
-          0);  // no endpoint list is young enough to say that it is lost
+          0);  // no endpoint list that is newer than the handover omits the worker yet
     rig.publish({rig.endpoint("n")});
-    CHECK(again.count(&v1::ToClient::has_ended) == 1);  // the one on a worker that no list names
+    CHECK(again.count(&v1::ToClient::has_ended) == 1);  // the task on the worker that no list names
     worker.end_attempt(
         worker.connection().messages(&v1::ToWorker::has_adopt_attempt)[0].adopt_attempt().attempt(),
         v1::AttemptEnded::COMPLETED);
@@ -43,8 +43,8 @@
 }
 
 TEST_CASE(
-    "a task handed over before its worker is known waits for the endpoint list, and is never reported lost "
-    "while it runs") {
+    "a task handed over before its worker is known waits for the endpoint list, and is reported lost only "
+    "when a newer list omits the worker") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     TestClient& client = rig.connect_client();
@@ -67,25 +67,26 @@
     *same.mutable_submit() = rig.request(1);
     rig.publish({rig.endpoint("n")});
     rig.run(200 * kMillisecond);
-    // Its worker was asked for both; the cancelled one is cancelled there, and a young list omits the third.
+    // Both tasks on "n" are adopted and the cancelled one is cancelled there. The third is lost, since a list
+    // newer than its handover omits its worker.
     CHECK(worker.connection().count(&v1::ToWorker::has_adopt_attempt) >= 1);
     CHECK(worker.connection().count(&v1::ToWorker::has_cancel_attempt) == 1);
     REQUIRE(client.count(&v1::ToClient::has_ended) == 1);
     CHECK(client.messages(&v1::ToClient::has_ended)[0].ended().id() == 3);
     CHECK(client.messages(&v1::ToClient::has_ended)[0].ended().outcome() == v1::TaskEnded::LOST);
-    // One more that no list names yet: a snapshot is requested.
+    // Another task on a worker that no list names yet: a snapshot is requested.
     const std::size_t requests = rig.discovery_streams.back()->count(&v1::ToDiscovery::has_fetch_snapshot);
     hand_over(4, "new");
     rig.run(kSecond);
     CHECK(rig.discovery_streams.back()->count(&v1::ToDiscovery::has_fetch_snapshot) > requests);
     CHECK(client.count(&v1::ToClient::has_ended) == 1);
-    // It is dropped with its client.
+    // The task is dropped when its client disconnects.
     client.stream.reset();
     rig.run(100 * kMillisecond);
     CHECK(rig.placer->server.recovery_queue().size() == 0);
 }
 
-TEST_CASE("a task that is handed over twice ends for the first client, and runs on for the second") {
+TEST_CASE("a task handed over by two clients ends for the first and keeps running for the second") {
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
--- a/tests/server_slow_start_test.cpp
+++ b/tests/server_slow_start_test.cpp
@@ -1,11 +1,13 @@
-// Workers in slow start, as the server sees them. In virtual time, each fault caused on purpose.
+// The server and workers in slow start. Runs in virtual time with injected faults.
 #include <catch2/catch.hpp>
 
 #include "support/server_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a restarted worker is in slow start by its own report before the endpoint list knows") {
+TEST_CASE(
+    "a restarted worker is treated as in slow start from its greeting on, before the endpoint list reports "
+    "it") {
     ServerRig rig(
         "[cold]\nfrom = 0.2\nwarm_after_ms = 10000\nmultiple = 2\nwindow_ms = 1000\nalways_borne = 4\n");
     FakeWorker& worker = rig.add_worker("n");
@@ -20,7 +22,7 @@
     TestClient& client = rig.connect_client();
     for (std::uint64_t id = 1; id <= 30; ++id)
         rig.submit(client, rig.request(id, "free", 800 * kMillisecond));
-    // 1.5 s have passed: four in each second and a half, at the very most.
+    // 1.5 s have passed: at most two windows of 1 s with 4 attempts each.
     CHECK(worker.attempts().size() - before <= 8);
     CHECK(worker.attempts().size() > before);
 }
--- a/tests/server_task_table_test.cpp
+++ b/tests/server_task_table_test.cpp
@@ -1,4 +1,4 @@
-// The tasks that the server holds, and their attempts, by number.
+// The table of the server's tasks and attempts, indexed by number.
 #include <catch2/catch.hpp>
 
 #include "server/task_table.h"
@@ -28,9 +28,9 @@
 };
 }  // namespace
 
-TEST_CASE("a client's tasks are given in the order in which they were created, without those of others") {
+TEST_CASE("tasks_of returns a client's tasks in the order of creation, without those of others") {
     TestTasks test;
-    // Only compared, never used.
+    // These pointers are only compared, never dereferenced.
     auto* const one = reinterpret_cast<server::ClientConnection*>(0x100);
     auto* const other = reinterpret_cast<server::ClientConnection*>(0x200);
     std::vector<server::InFlightTask*> expected;
@@ -42,7 +42,7 @@
     CHECK(test.table.tasks_of(*one) == expected);
 }
 
-TEST_CASE("an erased task is not found any more, nor are its attempts") {
+TEST_CASE("an erased task and its attempts are no longer found") {
     TestTasks test;
     server::InFlightTask& task = test.add(nullptr);
     const std::uint64_t number = task.record->number;
--- a/tests/support/quiet_planner.h
+++ b/tests/support/quiet_planner.h
@@ -1,4 +1,4 @@
-// A planner that decides nothing, to derive from.
+// A planner that makes no decisions; tests use it directly or as a base class.
 #pragma once
 #include <vector>
 
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -1,5 +1,4 @@
-// One placer in virtual time among clients, workers and a discovery service that send just what a test has
-// them send.
+// One placer in virtual time with clients, workers and a discovery service that are controlled by the test.
 #pragma once
 #include <memory>
 #include <string>
@@ -13,7 +12,7 @@
 
 namespace whinpost {
 
-// One end of a stream, driven by the test. What it receives is kept.
+// One end of a stream, controlled by the test. It stores the messages that it receives.
 template <class In, class Out>
 struct TestPeer : net::StreamHandler {
     std::size_t on_received(std::string_view bytes) override {
@@ -35,7 +34,7 @@
         net::encode_frame(frame, message);
         if (stream) stream->write(frame);
     }
-    // The received messages of one kind, in order.
+    // The received messages for which `has` is true, in order.
     template <class Has>
     std::vector<In> messages(Has has) const {
         std::vector<In> out;
@@ -63,14 +62,14 @@
     hello.set_incarnation(incarnation);
 }
 
-// One worker, at all its connections and incarnations.
+// One worker with all its connections and incarnations.
 struct FakeWorker {
     std::string name;
     std::uint64_t incarnation = 1;
     Nanos uptime = 0, clock = 0;
     bool is_silent = false;
     simulation::SimulatedProcess* process = nullptr;
-    std::vector<std::unique_ptr<WorkerStream>> connections;  // the last is the present one
+    std::vector<std::unique_ptr<WorkerStream>> connections;  // the last is the current one
     std::vector<std::uint64_t> held_attempts;
     std::unique_ptr<net::Listener> listener;
 
@@ -82,7 +81,7 @@
                 if (message.has_start_attempt()) out.push_back(message.start_attempt());
         return out;
     }
-    // Both halves of the greeting: who it is, and what it holds.
+    // Sends the worker's greeting: Hello, and WorkerState with the attempts that it holds.
     void greet() {
         v1::FromWorker message;
         introduce(*message.mutable_hello(), name, incarnation);
@@ -112,7 +111,7 @@
     }
 };
 
-// One placer of its own program, with its peers, in one simulated network.
+// One placer as it is embedded in the program, with its peers, in one simulated network.
 struct ServerRig {
     explicit ServerRig(const std::string& more_config = "", std::uint64_t seed = 1) : network(seed) {
         discovery_process = &network.process("list");
@@ -200,7 +199,7 @@
         run(5 * kMillisecond);
     }
 
-    // ---- workers: they greet at once, unless `is_silent`
+    // ---- workers: they greet when dialled, unless `is_silent`; then they never read or write
     FakeWorker& add_worker(const std::string& name, bool is_silent = false) {
         workers.push_back(std::make_unique<FakeWorker>());
         FakeWorker& worker = *workers.back();
@@ -221,7 +220,7 @@
         };
         worker.listener = worker.process->listen(worker.name + ":1", on_connection).value();
     }
-    // As by kill -9: another incarnation may be started under its name.
+    // Ends the worker's process without any message, as kill -9 does. start_worker() can restart it.
     void kill_worker(FakeWorker& worker) {
         for (const auto& connection : worker.connections) connection->stream.reset();
         worker.listener.reset();
@@ -272,7 +271,7 @@
     std::unique_ptr<apps::EmbeddedPlacer> placer;
 };
 
-// The final answers that a client received.
+// The number of final answers that a client has received.
 inline std::size_t final_answers(const TestClient& client) {
     return client.count(&v1::ToClient::has_placed) + client.count(&v1::ToClient::has_rejected) +
            client.count(&v1::ToClient::has_failed);
