--- a/src/server/client_connection.cpp
+++ b/src/server/client_connection.cpp
@@ -114,7 +114,7 @@
     name_ = hello.name();
     share.emplace(context.admission);
     v1::ToClient reply;
-    introduce(*reply.mutable_hello(), context.identity);
+    fill_hello(*reply.mutable_hello(), context.identity);
     send(reply);
     context.log(Level::info, "client_connected", {{"client", name_}, {"peer", stream_->peer()}});
     return true;
--- a/src/server/discovery_client.cpp
+++ b/src/server/discovery_client.cpp
@@ -34,7 +34,7 @@
 
 void DiscoveryClient::on_connected() {
     v1::ToDiscovery message;
-    introduce(*message.mutable_hello(), context_.identity);
+    fill_hello(*message.mutable_hello(), context_.identity);
     send(message);
 }
 
--- a/src/server/message_writer.h
+++ b/src/server/message_writer.h
@@ -24,7 +24,7 @@
 
 // Fills in the Hello that this placer sends first on every stream.
 template <class Hello>
-void introduce(Hello& hello, const PlacerIdentity& identity) {
+void fill_hello(Hello& hello, const PlacerIdentity& identity) {
     hello.set_version(kProtocolVersion);
     hello.set_name(identity.name);
     hello.set_incarnation(identity.incarnation);
--- a/src/server/worker_peer.cpp
+++ b/src/server/worker_peer.cpp
@@ -33,7 +33,7 @@
 void WorkerPeer::on_connected() {
     connection.on_connected(endpoint.context.now());
     v1::ToWorker message;
-    introduce(*message.mutable_hello(), endpoint.context.identity);
+    fill_hello(*message.mutable_hello(), endpoint.context.identity);
     send(message);
     hello_received_ = false;
     incarnation_ = 0;
