--- a/src/server/attempt_controller.cpp
+++ b/src/server/attempt_controller.cpp
@@ -221,7 +221,7 @@
     });
 }
 
-void AttemptController::supersede(WorkerPeer& peer, std::string_view task_key) {
+void AttemptController::end_earlier_attempts(WorkerPeer& peer, std::string_view task_key) {
     for (ledger::Attempt* earlier : peer.connection.running_attempts_of(task_key))
         end_attempt(*earlier, AttemptOutcome::reset, OutcomeReason::unspecified, {});
 }
--- a/src/server/attempt_controller.h
+++ b/src/server/attempt_controller.h
@@ -47,7 +47,7 @@
     void defer_end(std::uint64_t attempt, AttemptOutcome);
     // Ends the earlier attempts of a task that is adopted again: its worker reports the task only under the
     // attempt number of the latest adoption.
-    void supersede(WorkerPeer&, std::string_view task_key);
+    void end_earlier_attempts(WorkerPeer&, std::string_view task_key);
     // Ends the attempt in flight as timed out, or as not sent, unless it was accepted.
     void on_deadline(InFlightTask&);
     // For a task that its client cancels: withdraws the attempt in flight if it was not sent, else sends
--- a/src/server/task_controller.cpp
+++ b/src/server/task_controller.cpp
@@ -25,7 +25,7 @@
 
 constexpr const char* kUnknownTask = "no such task";
 
-std::string_view reason_or(const InFlightTask& task, std::string_view otherwise) {
+std::string_view last_failure_or(const InFlightTask& task, std::string_view otherwise) {
     return task.last_failure.empty() ? otherwise : std::string_view(task.last_failure);
 }
 }  // namespace
@@ -82,7 +82,7 @@
     const Nanos now = context_.now();
     const ResourceRequest request = resource_request(message, queue_groups_);
     const std::uint64_t service = stable_hash(message.service());
-    attempts_.supersede(peer, message.task());
+    attempts_.end_earlier_attempts(peer, message.task());
     ledger::TaskRecord& record =
         context_.ledger.adopt_task(now, message.task(), service, request, peer.record);
     InFlightTask& task = add_task(client, message, record);
@@ -126,14 +126,15 @@
     if (task->record->answer != ledger::Answer::none) return;
     if (!context_.ledger.may_reject(*task->record))
         return context_.report_planner_fault("reject", number, "an attempt may have run");
-    answers_.send_answer(*task, ledger::Answer::rejected, retry_after, reason_or(*task, "no node has room"));
+    answers_.send_answer(*task, ledger::Answer::rejected, retry_after,
+                         last_failure_or(*task, "no node has room"));
 }
 
 void TaskController::fail(planner::TaskNumber number) {
     InFlightTask* task = tasks_.find(number);
     if (!task) return context_.report_planner_fault("fail", number, kUnknownTask);
     if (task->record->answer != ledger::Answer::none) return;
-    answers_.send_answer(*task, ledger::Answer::failed, 0, reason_or(*task, "no launch was answered"));
+    answers_.send_answer(*task, ledger::Answer::failed, 0, last_failure_or(*task, "no launch was answered"));
 }
 
 // The client's deadline is near. The attempt in flight is ended first, to which the planner may respond with
@@ -148,7 +149,7 @@
     ++context_.ledger.statistics().answered_by_deadline;
     context_.planner->cancel(context_.now(), number);
     answers_.send_answer(*still_held, context_.ledger.honest_answer(*still_held->record), 0,
-                         reason_or(*still_held, "no node in time"));
+                         last_failure_or(*still_held, "no node in time"));
     context_.rounds.schedule_round();
 }
 
