--- a/tests/server_attempts_test.cpp
+++ b/tests/server_attempts_test.cpp
@@ -23,9 +23,9 @@
     worker.accept(worker.attempts()[0].attempt());
     rig.run(kSecond);
     CHECK(final_answers(client) == 1);
-    const bool harmless = group == std::string("free");
-    CHECK(client.count(&v1::ToClient::has_found) == (harmless ? 0 : 1));
-    CHECK((worker.connection().count(&v1::ToWorker::has_cancel_attempt) > 0) == harmless);
+    const bool is_idempotent = group == std::string("free");
+    CHECK(client.count(&v1::ToClient::has_found) == (is_idempotent ? 0 : 1));
+    CHECK((worker.connection().count(&v1::ToWorker::has_cancel_attempt) > 0) == is_idempotent);
     CHECK((group != std::string("once") || worker.attempts().size() == 1));
 }
 
--- a/tests/server_clients_test.cpp
+++ b/tests/server_clients_test.cpp
@@ -27,20 +27,20 @@
     ServerRig rig;
     FakeWorker &worker = rig.add_worker("n");
     rig.publish({rig.endpoint("n")});
-    TestClient &half = rig.connect_client("half"), &deaf = rig.connect_client("deaf"),
-               &good = rig.connect_client("good");
-    half.stream->write(std::string("\0\0\1\0\x12\x05", 6));
-    deaf.stream->set_reading(false);
+    TestClient &incomplete = rig.connect_client("incomplete"),
+               &not_reading = rig.connect_client("not_reading"), &good = rig.connect_client("good");
+    incomplete.stream->write(std::string("\0\0\1\0\x12\x05", 6));
+    not_reading.stream->set_reading(false);
     for (std::uint64_t i = 1; i <= 6000; ++i) {
         v1::FromClient message;
         *message.mutable_submit() = rig.request(i, "free", kSecond);
-        deaf.send(message);
+        not_reading.send(message);
     }
     rig.run(kSecond);
     rig.submit(good, rig.request(1));
     rig.run(kSecond);
     CHECK(good.count(&v1::ToClient::has_received) == 1);
-    CHECK_FALSE(half.is_closed);
+    CHECK_FALSE(incomplete.is_closed);
     CHECK(worker.connection().stream);
 }
 
@@ -48,16 +48,17 @@
     "tasks beyond the admission limit are rejected at once with the limit's name, and other clients are "
     "served") {
     ServerRig rig("[intake]\nwaiting = 100\nwaiting_an_owner = 1000\n");
-    TestClient &flood = rig.connect_client("flood"), &other = rig.connect_client("other");
+    TestClient &flooding = rig.connect_client("flooding"), &other = rig.connect_client("other");
     for (std::uint64_t i = 1; i <= 500; ++i) {
         v1::FromClient message;
         *message.mutable_submit() = rig.request(i, i % 2 ? "free" : "once", 60 * kSecond);
-        flood.send(message);
+        flooding.send(message);
     }
     rig.run(100 * kMillisecond);
-    CHECK(flood.count(&v1::ToClient::has_received) + flood.count(&v1::ToClient::has_rejected) == 500);
-    CHECK(flood.count(&v1::ToClient::has_received) < 80);
-    CHECK(flood.messages(&v1::ToClient::has_rejected).back().rejected().reason().find("intake.waiting") == 0);
+    CHECK(flooding.count(&v1::ToClient::has_received) + flooding.count(&v1::ToClient::has_rejected) == 500);
+    CHECK(flooding.count(&v1::ToClient::has_received) < 80);
+    CHECK(flooding.messages(&v1::ToClient::has_rejected).back().rejected().reason().find("intake.waiting") ==
+          0);
     for (std::uint64_t i = 1; i <= 20; ++i) rig.submit(other, rig.request(i, "free", 60 * kSecond));
     CHECK(other.count(&v1::ToClient::has_received) >= 16);
 }
--- a/tests/server_drain_test.cpp
+++ b/tests/server_drain_test.cpp
@@ -25,12 +25,12 @@
 
 TEST_CASE("a client that never reads delays the shutdown of the placer by 3 s at most") {
     ServerRig rig;
-    TestClient& deaf = rig.connect_client("deaf");
-    deaf.stream->set_reading(false);
+    TestClient& not_reading = rig.connect_client("not_reading");
+    not_reading.stream->set_reading(false);
     for (std::uint64_t id = 1; id <= 20'000; ++id) {
         v1::FromClient message;
         *message.mutable_submit() = rig.request(id, "free", kSecond);
-        deaf.send(message);
+        not_reading.send(message);
     }
     rig.run(2 * kSecond);  // each task has its answer, and most answers are unsent
     bool done = false;
--- a/tests/server_planner_test.cpp
+++ b/tests/server_planner_test.cpp
@@ -21,9 +21,9 @@
     rig.placer->server.place(silent.submitted.at(1), 0, 60 * kSecond);
     rig.run(100 * kMillisecond);
     REQUIRE(worker.attempts().size() == 1);
-    const Nanos begun = rig.network.now();
-    while (final_answers(client) < 2 && rig.network.now() < begun + 5 * kSecond) rig.run(kMillisecond);
-    CHECK(rig.network.now() - begun < 2 * kSecond);  // before the client's deadline
+    const Nanos start = rig.network.now();
+    while (final_answers(client) < 2 && rig.network.now() < start + 5 * kSecond) rig.run(kMillisecond);
+    CHECK(rig.network.now() - start < 2 * kSecond);  // before the client's deadline
     REQUIRE(client.count(&v1::ToClient::has_rejected) == 1);
     CHECK(client.messages(&v1::ToClient::has_rejected)[0].rejected().id() == 1);
     CHECK(client.count(&v1::ToClient::has_failed) == 1);
--- a/tests/server_recovery_test.cpp
+++ b/tests/server_recovery_test.cpp
@@ -48,10 +48,10 @@
     ServerRig rig;
     FakeWorker& worker = rig.add_worker("n");
     TestClient& client = rig.connect_client();
-    const auto hand_over = [&](std::uint64_t id, const std::string& node) {
+    const auto hand_over = [&](std::uint64_t id, const std::string& worker_name) {
         v1::FromClient message;
         *message.mutable_hand_over()->mutable_submit() = rig.request(id, "once");
-        message.mutable_hand_over()->set_worker(node);
+        message.mutable_hand_over()->set_worker(worker_name);
         client.send(message);
     };
     hand_over(1, "n");
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -172,14 +172,14 @@
         network.kill(*placer_process);
         placer.reset();
     }
-    void run(Nanos by) { network.run_until(network.now() + by); }
+    void run(Nanos duration) { network.run_until(network.now() + duration); }
 
     // ---- the discovery service
-    v1::Endpoint endpoint(const std::string& node, int zone = 0, int cell = 0,
+    v1::Endpoint endpoint(const std::string& worker_name, int zone = 0, int cell = 0,
                           v1::Endpoint::Phase phase = v1::Endpoint::SERVING, Nanos uptime = 0) const {
         v1::Endpoint endpoint;
-        endpoint.set_worker(node);
-        endpoint.set_address(node + ":1");
+        endpoint.set_worker(worker_name);
+        endpoint.set_address(worker_name + ":1");
         endpoint.set_zone(static_cast<std::uint32_t>(zone));
         endpoint.set_cell(static_cast<std::uint32_t>(cell));
         endpoint.set_free_cores(16);
@@ -189,11 +189,11 @@
         return endpoint;
     }
     void publish(const std::vector<v1::Endpoint>& endpoints, bool is_snapshot = true,
-                 std::uint64_t number = 0) {
+                 std::uint64_t explicit_sequence = 0) {
         if (discovery_streams.empty()) run(10 * kMillisecond);
         v1::FromDiscovery message;
         message.mutable_update()->set_is_snapshot(is_snapshot);
-        message.mutable_update()->set_sequence(number ? number : ++sequence);
+        message.mutable_update()->set_sequence(explicit_sequence ? explicit_sequence : ++sequence);
         for (const v1::Endpoint& endpoint : endpoints) *message.mutable_update()->add_endpoints() = endpoint;
         discovery_streams.back()->send(message);
         run(5 * kMillisecond);
