--- a/src/server/attempt_controller.cpp
+++ b/src/server/attempt_controller.cpp
@@ -175,7 +175,7 @@
     const ledger::TaskRecord& record = *attempt.task;
     InFlightTask& task = *tasks_.find(record.number);
     if (!context_.ledger.on_ended(now, attempt, outcome)) {
-        // The attempt had ended before for the ledger; a late copy of it has now ended too.
+        // The ledger has already recorded the attempt's end; a copy that was accepted late has now ended.
         if (task.late_attempt == &attempt) task.late_attempt = nullptr;
         return;
     }
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -59,7 +59,7 @@
 void PlacerServer::check_health(planner::WorkerNumber worker) {
     if (worker >= workers_.size()) return context_.report_planner_fault("check_health", 0, "no such worker");
     WorkerPeer& peer = workers_.at(worker);
-    // No health check is sent then: without a reply, the planner treats the worker as silent.
+    // Nothing is sent while disconnected: without a reply, the planner treats the worker as silent.
     if (peer.connection.state() != worker_connection::ConnectionState::up) return;
     v1::ToWorker message;
     message.mutable_health_check()->set_id(++context_.statistics.health_checks);
--- a/src/server/planner_rounds.cpp
+++ b/src/server/planner_rounds.cpp
@@ -17,8 +17,8 @@
 // second from 2 to 57 ms.
 constexpr Nanos kIdlePaceFactor = 4, kMaxPace = 40 * kMillisecond, kTimePerAttempt = 100 * kMicrosecond;
 
-// The maximum time between rounds. Only the planner's earliest wake-up is stored; later ones are
-// covered by this.
+// The maximum time between rounds. Only the planner's earliest wake-up is stored; later ones are covered by
+// this.
 constexpr Nanos kMaxRoundInterval = 250 * kMillisecond;
 }  // namespace
 
--- a/src/server/worker_endpoint.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -64,8 +64,8 @@
 
 void WorkerEndpoint::send_keepalive(WorkerConnection& connection) {
     v1::ToWorker message;
-    message.mutable_health_check()->set_id(
-        0);  // 0: not from the planner; the reply only shows that the worker is alive
+    // 0: not a health check of the planner; the reply only shows that the worker is alive.
+    message.mutable_health_check()->set_id(0);
     peer_of(connection).send(message);
 }
 
--- a/src/server/worker_peer.cpp
+++ b/src/server/worker_peer.cpp
@@ -11,8 +11,8 @@
 using log::Level;
 using worker_connection::ConnectionState;
 
-constexpr std::size_t kMaxMessageSize = 1
-                                        << 20;  // in bytes; WorkerState names every attempt the worker holds
+// In bytes. WorkerState names every attempt that the worker holds.
+constexpr std::size_t kMaxMessageSize = 1 << 20;
 constexpr std::uint32_t kMaxTokensGranted = 1'000'000;
 }  // namespace
 
@@ -125,7 +125,7 @@
     endpoint.attempts.resend_cancellations(*this);
     endpoint.tokens.on_greeting(now, warming, state.issues_tokens());
     for (const v1::HeldAttempt& held : state.attempts()) {
-        // An unknown attempt is ignored: it is forgotten here or another worker's, and this worker cleans it
+        // Unknown attempts are ignored: they were erased here or are another worker's. The worker cleans them
         // up.
         ledger::Attempt* attempt = find_attempt(held.attempt());
         if (!attempt) continue;
