--- a/src/server/task_controller.cpp
+++ b/src/server/task_controller.cpp
@@ -11,21 +11,21 @@
 namespace {
 using log::Level;
 
-// An answer takes a while to reach the client, so it is sent this long before the client gives up: a fiftieth
-// of the time that is left, and no less than covers a busy event loop and a network within one site.
+// How long before the client's deadline the answer is sent, so that it arrives in time: the minimum covers a
+// busy event loop and the network within one site, and a fiftieth of the time left is added.
 constexpr Nanos kMinAnswerMargin = 20 * kMillisecond;
 constexpr Nanos kAnswerMarginDivisor = 50;
 Nanos answer_margin(Nanos time_left) {
     return std::min(time_left / 2, kMinAnswerMargin + time_left / kAnswerMarginDivisor);
 }
 
-// A client that was rejected at admission is asked to stay away for a moment, so that a flood does not come
-// back at once. Below the second or so that clients wait of their own accord.
+// The retry_after of a rejection at admission, so that rejected tasks are not resubmitted at once. Below the
+// delay of about a second that clients use on their own.
 constexpr Nanos kAdmissionRetryAfter = 500 * kMillisecond;
 
 constexpr const char* kUnknownTask = "no such task";
 
-std::string_view reason_or(const InFlightTask& task, std::string_view otherwise) {
+std::string_view last_failure_or(const InFlightTask& task, std::string_view otherwise) {
     return task.last_failure.empty() ? otherwise : std::string_view(task.last_failure);
 }
 }  // namespace
@@ -82,7 +82,7 @@
     const Nanos now = context_.now();
     const ResourceRequest request = resource_request(message, queue_groups_);
     const std::uint64_t service = stable_hash(message.service());
-    attempts_.supersede(peer, message.task());
+    attempts_.end_earlier_attempts(peer, message.task());
     ledger::TaskRecord& record =
         context_.ledger.adopt_task(now, message.task(), service, request, peer.record);
     InFlightTask& task = add_task(client, message, record);
@@ -121,22 +121,25 @@
 void TaskController::reject(planner::TaskNumber number, Nanos retry_after) {
     InFlightTask* task = tasks_.find(number);
     if (!task) return context_.report_planner_fault("reject", number, kUnknownTask);
-    // The decision may have crossed with a cancellation, an acceptance or the answer deadline.
+    // The planner may have decided before it was notified of a cancellation, an acceptance or the answer
+    // deadline.
     if (task->record->answer != ledger::Answer::none) return;
     if (!context_.ledger.may_reject(*task->record))
         return context_.report_planner_fault("reject", number, "an attempt may have run");
-    answers_.send_answer(*task, ledger::Answer::rejected, retry_after, reason_or(*task, "no node has room"));
+    answers_.send_answer(*task, ledger::Answer::rejected, retry_after,
+                         last_failure_or(*task, "no node has room"));
 }
 
 void TaskController::fail(planner::TaskNumber number) {
     InFlightTask* task = tasks_.find(number);
     if (!task) return context_.report_planner_fault("fail", number, kUnknownTask);
     if (task->record->answer != ledger::Answer::none) return;
-    answers_.send_answer(*task, ledger::Answer::failed, 0, reason_or(*task, "no launch was answered"));
+    answers_.send_answer(*task, ledger::Answer::failed, 0, last_failure_or(*task, "no launch was answered"));
 }
 
-// The client is about to give up. The planner is heard first: told that the time of the attempt in flight is
-// up, it may answer. If it does not, the ledger knows which answer is truthful.
+// The client's deadline is near. The attempt in flight is ended first, to which the planner may respond with
+// an answer. If it does not, the ledger determines the answer: rejected if no attempt can have run, else
+// failed.
 void TaskController::on_answer_deadline(InFlightTask& task) {
     const planner::TaskNumber number = task.record->number;
     if (task.record->answer != ledger::Answer::none) return;
@@ -146,7 +149,7 @@
     ++context_.ledger.statistics().answered_by_deadline;
     context_.planner->cancel(context_.now(), number);
     answers_.send_answer(*still_held, context_.ledger.honest_answer(*still_held->record), 0,
-                         reason_or(*still_held, "no node in time"));
+                         last_failure_or(*still_held, "no node in time"));
     context_.rounds.schedule_round();
 }
 
