--- a/src/ledger/ledger.cpp
+++ b/src/ledger/ledger.cpp
@@ -11,31 +11,31 @@
         case Refusal::none:
             return "allowed";
         case Refusal::answered:
-            return "the client has its final answer";
+            return "the client already has its final answer";
         case Refusal::accepted:
-            return "a worker has accepted it";
+            return "a worker has accepted the task";
         case Refusal::attempt_in_flight:
-            return "an attempt is in flight";
+            return "an earlier attempt is still in flight";
         case Refusal::too_many_attempts:
-            return "no attempt is left";
+            return "the task has used all of its attempts";
         case Refusal::too_late:
             return "the client's deadline has passed";
         case Refusal::unknown_worker:
-            return "the worker is in no endpoint list";
+            return "the worker is not in the endpoint list";
         case Refusal::draining:
             return "the worker is draining";
         case Refusal::wrong_kind:
-            return "the worker is of another kind";
+            return "the queue group requires another worker kind";
         case Refusal::may_have_run:
-            return "an earlier attempt may have run";
+            return "side-effecting task: an earlier attempt may have run";
         case Refusal::outside_deduplication_domain:
-            return "the worker would not drop the repeat";
+            return "keyed task: the worker is outside the deduplication domain";
         case Refusal::past_deduplication_window:
-            return "repeats are remembered no longer";
+            return "keyed task: the deduplication window has passed";
         case Refusal::spread:
-            return "the failure domain has its maximum of the service";
+            return "the failure domain holds the maximum number of the service's tasks";
         case Refusal::no_admission_token:
-            return "the worker is in slow start and no token is left";
+            return "the worker is in slow start and no admission token is left";
     }
     return "unknown";
 }
@@ -46,7 +46,8 @@
            outcome == AttemptOutcome::not_sent;
 }
 
-// Workers may have forgotten the first attempt that may have run, and would take its repeat for new.
+// Whether the workers may have forgotten `first`, the first attempt that may have run. They would then accept
+// a repeat of it as a new task.
 bool past_deduplication_window(Nanos now, const TaskRecord& task, const Attempt& first) {
     return now - first.sent_at >= task.queue_group->deduplication_window;
 }
@@ -88,9 +89,9 @@
     return it == workers_.end() ? nullptr : &it->second;
 }
 
-// An endpoint list may revoke a drain that an endpoint list announced (a drain that was called off); a drain
-// that the worker announced itself is revoked by the worker alone. So a list that was requested before the
-// drain and arrives after it does not make the worker eligible again.
+// An endpoint list may revoke a drain that an earlier endpoint list announced (the drain was cancelled). A
+// drain that the worker itself announced can be revoked only by the worker, so that a list requested before
+// the drain and received after it does not make the worker eligible again.
 void Ledger::on_endpoint(Nanos now, WorkerRecord& worker, const EndpointState& entry) {
     if (worker.is_listed && entry.started_at > worker.endpoint.started_at) on_restarted(now, worker);
     worker.endpoint = entry;
@@ -159,7 +160,7 @@
     tasks_.erase(task.number);
 }
 
-// ---------------------------------------------------------------- the rules
+// ---------------------------------------------------------------- placement rules
 
 const Attempt* Ledger::first_possible_run(const TaskRecord& task) const {
     for (const Attempt& attempt : task.attempts)
@@ -229,8 +230,8 @@
     if (!in_slow_start(now, worker)) return Refusal::none;
     if (worker.admission_tokens >= 0)
         return worker.admission_tokens == 0 ? Refusal::no_admission_token : Refusal::none;
-    // The worker issues no tokens. Placers exchange no messages, so that the sum of their attempts stays
-    // bounded only because each keeps to the same division of the worker's capacity.
+    // The worker issues no tokens. Placers exchange no messages: the sum of their attempts stays bounded only
+    // because every placer uses the same division of the worker's capacity.
     std::int64_t sent_in_window = 0;
     for (const Nanos sent_at : worker.slow_start_sends) sent_in_window += same_window(sent_at, now);
     return sent_in_window >= Scheduler::slow_start_tokens(slow_start_, worker.name_hash, now)
@@ -249,8 +250,9 @@
 tl::expected<Attempt*, Refusal> Ledger::start_attempt(Nanos now, TaskRecord& task, WorkerRecord& worker,
                                                       Nanos time_out) {
     Refusal refusal = check_attempt(now, task, worker);
-    // Pointers to attempts are held outside, so the space that create_task() reserved is never outgrown. Only
-    // a test's ledger, whose check allows more attempts than are configured, gets here with it used up.
+    // Callers keep pointers to attempts, so the vector must not grow beyond the capacity that create_task()
+    // reserved. Only a ledger in a test, whose check_attempt() allows more attempts than are configured, can
+    // reach that capacity here.
     if (refusal == Refusal::none && task.attempts.size() == task.attempts.capacity())
         refusal = Refusal::too_many_attempts;
     if (refusal != Refusal::none) {
@@ -287,8 +289,8 @@
            !slow_start_window_passed(now, attempt);
 }
 
-// Guards against a repeat that was allowed, waited for its connection, and would reach its worker after the
-// time for which repeats are dropped there.
+// Guards against a repeat that check_attempt() allowed, that then waited for its connection, and that would
+// reach its worker after the deduplication window.
 bool Ledger::repeat_expired(Nanos now, const Attempt& attempt) const {
     const TaskRecord& task = *attempt.task;
     if (task.queue_group->effect != Effect::keyed) return false;
@@ -296,19 +298,20 @@
     return first && first != &attempt && past_deduplication_window(now, task, *first);
 }
 
-// Guards against a worker in slow start that is sent more than it can take: by an attempt that waited for its
-// connection into a later window than the one whose token it used, or that was meant for the worker before
-// its restart and used none.
+// Guards against sending a worker in slow start more attempts than its capacity. An attempt that waited for
+// its connection may leave in a later window than the one whose token it used; an attempt recorded before the
+// worker's restart used no token at all.
 bool Ledger::slow_start_window_passed(Nanos now, const Attempt& attempt) const {
     const WorkerRecord& worker = *attempt.worker;
     if (!in_slow_start(now, worker) || worker.admission_tokens >= 0) return false;
     return !same_window(attempt.sent_at, now) || attempt.sent_at < worker.endpoint.started_at;
 }
 
-// ---------------------------------------------------------------- the course of an attempt
+// ---------------------------------------------------------------- attempt events
 
-// An acceptance counts only while the attempt is the one in flight and the client waits. A later one is of a
-// copy that nobody waits for: the caller cancels it or tells the client where it is.
+// An acceptance counts only while the attempt is in flight and the client has no answer. Otherwise the worker
+// has accepted a copy that no client waits for: the caller cancels it or tells the client on which worker it
+// is.
 bool Ledger::on_accepted(Nanos, Attempt& attempt) {
     if (attempt.accepted) return false;
     TaskRecord& task = *attempt.task;
@@ -331,8 +334,8 @@
     return true;
 }
 
-// Counts the task among those of its service in the worker's failure domain, where a spread is configured;
-// release_task() takes it out again.
+// Adds the task to the count of its service's tasks on the worker if the queue group has a spread domain;
+// release_task() subtracts it.
 void Ledger::count_task(const TaskRecord& task, WorkerRecord& worker) {
     if (task.queue_group->spread_domain == FailureDomain::none) return;
     auto& workers = spread_counts_[task.service];
@@ -367,7 +370,7 @@
     if (task.in_flight == &attempt) task.in_flight = nullptr;
     if (task.accepted_attempt == &attempt) {
         task.accepted_attempt = nullptr;
-        task.closed = true;  // the end of a placed task closes it
+        task.closed = true;  // a placed task is closed once its accepted attempt has ended
     }
     if (task.answer == Answer::rejected || task.answer == Answer::failed || task.answer == Answer::cancelled)
         task.closed = true;
@@ -376,7 +379,7 @@
 
 // ---------------------------------------------------------------- answers
 
-// A rejection tells the client that a retry is harmless.
+// A rejection tells the client that it may safely submit the task again.
 bool Ledger::may_reject(const TaskRecord& task) const {
     if (task.queue_group->effect == Effect::idempotent) return true;
     if (task.in_flight) return false;
--- a/src/ledger/task_liveness.cpp
+++ b/src/ledger/task_liveness.cpp
@@ -32,7 +32,7 @@
     may_be_replaced_ = false;
 }
 
-// The first interruption counts: the task may be over since then.
+// The first interruption counts: the task may have ended at that time.
 void TaskLiveness::on_interrupted(Nanos now) {
     if (doubt_ != Doubt::none) return;
     doubt_ = Doubt::interrupted;
@@ -53,8 +53,9 @@
     if (doubt_ == Doubt::interrupted && since_ >= since) on_worker_message();
 }
 
-// Guards against ending a task that runs because its worker cannot be heard just then: its client is known to
-// report what is true, and nothing is known against it.
+// Guards against ending a task that runs while no message from its worker arrives. If an earlier report of
+// the client was confirmed and the worker has sent nothing since the doubt began, the report has the longer
+// timeout.
 TaskLiveness::Verdict TaskLiveness::check(Nanos now, const Evidence& evidence) {
     const Nanos doubted_for = now - since_;
     const bool is_believed = !evidence.worker_heard && evidence.client_trusted;
--- a/src/ledger/task_liveness.h
+++ b/src/ledger/task_liveness.h
@@ -1,9 +1,9 @@
-// Whether a task that counts as running really runs, as far as its worker has shown it. It decides when a
-// doubt has lasted for too long; it reads no clock and does no I/O.
+// Tracks whether a task that is recorded as running is known to run, and decides when a doubt about it has
+// lasted too long. It reads no clock and does no I/O.
 //
-// A worker says something of a task when it accepts it, when it is handed to another placer, when its use
-// changes, and when it ends. Between these it may be silent for as long as the task runs, so silence alone is
-// no doubt.
+// A worker sends messages about a task when it accepts it, when another placer adopts it, when its usage
+// changes, and when it ends. Between these it may send nothing for as long as the task runs, so silence alone
+// raises no doubt.
 #pragma once
 #include <string_view>
 
@@ -11,66 +11,67 @@
 
 namespace whinpost::ledger {
 
-// Why a running task is taken to be over without its worker's word.
+// Why a running task is taken to have ended without a message from its worker.
 enum class TaskLossReason {
-    worker_restarted,  // the endpoint list names a later start of the worker
-    worker_refused,    // no process listens at the worker's address
-    worker_left,       // it is no longer listed, and has had its time to say the ends of its tasks
-    worker_silent,     // neither a message nor a connection for long
-    unconfirmed,       // a client reported it, and its worker says nothing of it
-    interrupted,       // its worker's connections broke, and nothing shows that the same process is back
-    superseded,        // its client has reported it under another id, and its worker knows it by that one
+    worker_restarted,  // the endpoint list reports a later start of the worker
+    worker_refused,    // connections to the worker's address are refused
+    worker_left,    // no longer in the endpoint list, and its time to report the ends of its tasks has passed
+    worker_silent,  // no message and no connection for too long
+    unconfirmed,    // a client reported the task, and its worker did not confirm it
+    interrupted,    // the worker's connections broke, and nothing shows that the same process still runs
+    superseded,     // the client reported the task under another id, which the worker confirmed
 };
 std::string_view to_string(TaskLossReason);
 
 class TaskLiveness {
 public:
-    // Clients are owed a word 3 s after they connect. Workers speak within some 20 ms of a report (measured
-    // on loopback); the rest is for dials that come up late.
+    // How long a worker may take to confirm a task that a client reported. Clients must have an answer 3 s
+    // after they connect. Workers answer a report within about 20 ms; the rest allows for slow dials.
     static constexpr Nanos kConfirmationTimeout = 2500 * kMillisecond;
-    // After so long a watch on the endpoint list that is up and not silent has told a restart.
+    // Within this time a working watch on the endpoint list has reported a restart.
     static constexpr Nanos kListDelay = 4 * kSecond;
-    // What is over is to be released 8 s after its end at the latest.
+    // How long an interrupted task is kept. The release must be sent at most 8 s after the end of the task.
     static constexpr Nanos kInterruptionTimeout = 7500 * kMillisecond;
 
-    // A client reports the task: nothing shows yet that it runs.
+    // A client reported the task, and its worker has not confirmed it yet.
     void on_reported(Nanos now);
-    // The worker has accepted it, or said something of it.
+    // The worker has accepted the task or sent a message about it.
     void on_worker_message();
     // The last connection to the worker broke: its process may have died, and the task with it.
     void on_interrupted(Nanos now);
-    // The connection on which the worker spoke of it is silent since then, and the worker answers on a newer
-    // one: another process may have taken the place of the one that ran it. The list may tell that too late.
+    // No data has arrived since `since` on the connection that carried the worker's messages about the task,
+    // while the worker answers on a newer one: another process may have replaced the one that ran the task.
+    // The endpoint list may report the restart too late.
     void on_silenced(Nanos since);
-    // No process listened at the worker's address since. So the process that ran the task is gone, unless the
-    // refusal was not the worker's own.
+    // A dial to the worker's address was refused since. The process that ran the task is gone, unless
+    // something other than the worker's host refused the dial.
     void on_dial_refused();
-    // The worker's process has shown that it is the one that ran at `since`.
+    // A message has shown that the worker's current process already ran at `since`.
     void on_process_confirmed(Nanos since);
 
     bool in_doubt() const { return doubt_ != Doubt::none; }
     bool is_confirmed() const { return doubt_ != Doubt::unconfirmed; }
     Nanos doubted_since() const { return since_; }  // valid while in doubt
 
-    // What is known when a doubt is judged.
+    // What check() bases its verdict on.
     struct Evidence {
-        // The watch on the endpoint list is up and not silent now. At any moment from kListDelay on that ends
-        // the doubt after an interruption, unless a dial was refused.
+        // The watch on the endpoint list is up and receives data. From kListDelay after an interruption on,
+        // this ends the doubt, unless a dial was refused or the process may have been replaced.
         bool list_is_current = false;
-        // The worker has said anything, of whatever task, since the doubt began. One that cannot be heard
+        // The worker has sent a message about any task since the doubt began. If none arrives from it, it
         // cannot confirm a report either.
         bool worker_heard = true;
-        // The client has reported another task that was confirmed.
+        // The worker of another task that the client reported has confirmed that task.
         bool client_trusted = false;
     };
     enum class Verdict { keep, unconfirmed, interrupted };
-    // To be asked from time to time.
+    // Must be called periodically.
     Verdict check(Nanos now, const Evidence&);
 
 private:
     enum class Doubt { none, unconfirmed, interrupted };
     Doubt doubt_ = Doubt::none;
-    bool may_be_replaced_ = false;  // the process; that the list tells no restart is no proof then
+    bool may_be_replaced_ = false;  // the worker's process; list_is_current then does not end the doubt
     Nanos since_ = 0;
 };
 
--- a/src/ledger/worker_reachability.h
+++ b/src/ledger/worker_reachability.h
@@ -1,9 +1,9 @@
-// Whether a worker's word on what runs there can reach this placer on the connections that it has. It decides
-// when another one is to be opened; it reads no clock and does no I/O.
+// Tracks whether a worker's messages about its tasks can reach this placer on the existing connections, and
+// decides when to open another one. It reads no clock and does no I/O.
 //
-// A worker says the end of a task on the connection of its attempt, or where that is gone on any, and says it
-// again on the next connection that is opened. So where a word may be lost, a new connection brings it. Each
-// connection's silence is its own: what is heard on another one says nothing of it.
+// A worker reports the end of a task on the connection of its attempt, or on any connection if that one is
+// closed, and repeats it on the next connection that is opened. So a new connection recovers a message that
+// may be lost. Data that arrives on one connection does not show that another one works.
 #pragma once
 #include <optional>
 #include <vector>
@@ -14,25 +14,26 @@
 
 class WorkerReachability {
 public:
-    // A task that runs may be silent for as long as it likes, so silence is no fault: it only calls for a new
-    // connection, which comes up if the worker is there. What is over is to be released within 8 s of its
-    // end; that leaves time for two of them.
+    // A connection without data for this long is silent. A worker may send nothing while its tasks run, so
+    // silence is no error: it only causes a new connection to be opened. A release must be sent within 8 s of
+    // the end of its task, which leaves time for two new connections.
     static constexpr Nanos kSilent = 3500 * kMillisecond;
-    // Something that wants an answer was written so long ago, with not a byte since: the connection is mute.
-    // It carries nothing new, and another one is to bring what it may hold.
+    // A connection is mute if a message that requires an answer was written this long ago and no byte has
+    // arrived since. No new task is sent on it, and another connection must recover the messages that it may
+    // hold.
     static constexpr Nanos kMute = kSecond;
-    // So long without a word on connections as old as the tasks, and they are asked. A health check has its
-    // price, and workers say something of most tasks more often; an answer comes in time for kMute and the
-    // verdict.
+    // After this long without data, connections that are at least this old are sent a health check. Workers
+    // send messages about most tasks more often, so few health checks are sent; the answer still arrives in
+    // time for kMute and for the decision about the tasks.
     static constexpr Nanos kAskAfter = 6 * kSecond;
 
     void on_connected(Nanos now) {
         connected_at_ = now;
         word_may_be_lost_ = false;
     }
-    // A connection was reset, or a dial had no answer, while tasks ran.
+    // A connection was reset, or a dial timed out, while tasks ran: a message from the worker may be lost.
     void on_word_may_be_lost() { word_may_be_lost_ = true; }
-    // `waits_on_silent_connection`: the end of a task is to be expected on a connection that is silent.
+    // `waits_on_silent_connection`: the worker would report the end of a task on a silent connection.
     bool needs_connection(Nanos now, bool waits_on_silent_connection) const {
         return word_may_be_lost_ || (waits_on_silent_connection && now - connected_at_ > kSilent);
     }
@@ -41,17 +42,17 @@
         return last_received_at < written_at && now - written_at >= kMute;
     }
 
-    // What is known of one of a worker's connections.
+    // The state of one connection to a worker.
     struct ConnectionState {
-        Nanos up_since = 0, heard_at = 0;  // heard_at: when the last byte came; up_since if none did
+        Nanos up_since = 0, heard_at = 0;  // heard_at: when the last byte arrived; up_since if none has
         bool is_mute = false;
-        Nanos asked_at = 0;      // by a health check that has no answer; 0: by none
-        Nanos answered_ask = 0;  // when the latest health check was sent that was answered; 0: none was
+        Nanos asked_at = 0;      // when the unanswered health check was sent; 0: none is pending
+        Nanos answered_ask = 0;  // when the last answered health check was sent; 0: none
     };
     static bool is_old(Nanos now, const ConnectionState& connection) {
         return !connection.is_mute && now - connection.up_since >= kAskAfter;
     }
-    // There are old connections, and none of them was heard for long.
+    // There are old connections, and no data has arrived on any of them for kAskAfter.
     static bool is_process_in_question(Nanos now, const std::vector<ConnectionState>& connections) {
         bool any_old = false;
         for (const ConnectionState& connection : connections) {
@@ -61,9 +62,10 @@
         }
         return any_old;
     }
-    // Since when the process that spoke on a mute connection may be gone, though the machine answers: a
-    // health check sent later is answered on a connection that was opened since, and nothing is heard on any
-    // that was open while the mute one spoke. A worker that is slow answers neither.
+    // Since when the process behind a mute connection may have been replaced; nullopt if nothing suggests it.
+    // It may if a health check sent after that of the mute connection was answered on a newer connection, and
+    // no connection that was open at the time of the mute one's last data has received anything since. A slow
+    // worker would answer on neither.
     static std::optional<Nanos> may_be_replaced_since(const ConnectionState& mute,
                                                       const std::vector<ConnectionState>& connections);
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -7,36 +7,36 @@
 
 namespace {
 
-// Endpoint lists ordinarily arrive seconds late; one that is older than several times that is stale.
+// Endpoint lists are usually some seconds old when they arrive; a list is stale if it is several times older.
 constexpr Nanos kStaleAfter = 10 * kSecond;
 
-// How far apart two reports of one start may be: they come over a network that delays them differently, and
-// from clocks that need not agree.
+// Two reported start times within this tolerance are one start: the reports are delayed differently on the
+// network and come from clocks that may differ.
 constexpr Nanos kSameStartTolerance = 500 * kMillisecond;
 
-// A snapshot that omits so large a share of the known workers, and no fewer of them than this, is doubted
-// while they are connected. A zone of three may go in one moment, and half of all workers may be removed on
-// purpose; if more than half still answer, the discovery service has rather lost its own view.
+// A snapshot is doubted if it omits more than this share of the known workers, and at least this many, and
+// most of the omitted ones are connected. One of three zones may fail at once, and half of the workers may be
+// removed on purpose; beyond that, the discovery service has more likely lost part of its data.
 constexpr double kDoubtfulShare = 0.5;
 constexpr std::size_t kMinDoubtfulWorkers = 3;
-// The part of the drain grace that a doubt may use up. The rest is for attempts that the connections still
-// have to withdraw.
+// The part of the drain grace for which a snapshot may be doubted. The connections need the rest of it to
+// withdraw attempts.
 constexpr Nanos kDoubtGraceDivisor = 2;  // one half
 
-// From so many restarts within a minute on a worker is flapping, and is held off, at first for so long. Two
-// may be a repair, three are a pattern. The time doubles with each further restart, up to about the time over
-// which restarts are counted.
+// A worker with this many restarts within a minute is flapping and gets no new tasks for the hold time. Two
+// restarts may be a repair; three indicate a fault. The hold time doubles with each further restart, up to
+// about the time over which restarts are counted.
 constexpr double kMinFlappingRestarts = 3;
 constexpr Nanos kInitialHold = 5 * kSecond, kMaxHold = 60 * kSecond;
-constexpr Nanos kRestartBucket = 5 * kSecond;  // twelve of these buckets are a minute
+constexpr Nanos kRestartBucket = 5 * kSecond;  // WorkerEntry::restarts_ has 12 buckets, one minute in all
 
-// The amounts of a stale list are corrected by load reports this often at most: the reports themselves are
-// some hundred milliseconds late.
+// The shortest time between two corrections of a stale list by load reports. The reports themselves are some
+// hundred milliseconds late.
 constexpr Nanos kCorrectionInterval = 1 * kSecond;
 
 bool takes_no_tasks(WorkerState state) { return state != WorkerState::serving; }
 
-// The later of two reported starts of one worker; 0 is long ago.
+// The later of two reported start times of one worker; 0 is a start long ago.
 Nanos later_start(Nanos first, Nanos second) { return std::max(first, second); }
 
 bool is_same(const EndpointState& first, const EndpointState& second) {
@@ -109,7 +109,7 @@
     if (const Nanos next = wheel_.next_deadline()) handler_.wake_at(next);
 }
 
-// ---------------------------------------------------------------- the state that follows
+// ---------------------------------------------------------------- state evaluation
 
 WorkerState Membership::evaluate_state(Nanos now, const WorkerEntry& worker) const {
     if (!worker.listed.is_known) return WorkerState::unknown;
@@ -152,8 +152,8 @@
     return endpoint;
 }
 
-// The state is always computed anew from what was reported: that costs little, and no order of events can
-// leave it half updated.
+// Computes the whole state from the stored reports after each event. That costs little, and no order of
+// events can leave the state partly updated.
 void Membership::update_worker(Nanos now, WorkerEntry& worker) {
     const WorkerState state = evaluate_state(now, worker);
     const EndpointState endpoint = effective_endpoint(now, worker);
@@ -194,7 +194,7 @@
         return merge_duplicate(worker, listed, address);
     }
     worker.latest_update_ = update_number_;
-    // Rule 1. A view that was cached somewhere for an hour says nothing of what a newer one has named.
+    // Rule 1. A cached, older list must not replace the entry of a newer one.
     if (worker.listed.is_known && update_as_of_ < worker.listed.as_of) {
         ++statistics_.stale_entries;
         return;
@@ -203,7 +203,7 @@
     const bool is_later_start = listed.started_at && worker.listed.endpoint.started_at &&
                                 listed.started_at > worker.listed.endpoint.started_at + kSameStartTolerance;
     EndpointState endpoint = listed;
-    // One start, reported twice with ages that the network distorted.
+    // The same start, reported again with an uptime that the network delayed.
     if (endpoint.started_at && worker.listed.endpoint.started_at &&
         std::abs(endpoint.started_at - worker.listed.endpoint.started_at) < kSameStartTolerance)
         endpoint.started_at = worker.listed.endpoint.started_at;
@@ -215,7 +215,7 @@
     const bool has_moved = !address.empty() && address != worker.address;
     if (has_moved) worker.address = address;
     updated_workers_.push_back(&worker);
-    // Rule 5. The worker has moved: the list knows a later incarnation than the one that greeted here.
+    // Rule 5. The worker has moved: the list reports a later incarnation than the connected one.
     if (has_moved && worker.connection.is_up && is_later_start &&
         endpoint.started_at > worker.reported.started_at + kSameStartTolerance)
         handler_.on_address_changed(now, worker);
@@ -227,8 +227,7 @@
     if (!address.empty() && address != worker.address) {
         if (!worker.connection.is_up && other.started_at > endpoint.started_at) worker.address = address;
     }
-    endpoint.phase =
-        std::max(endpoint.phase, other.phase);  // serving, draining, gone: the later the more careful
+    endpoint.phase = std::max(endpoint.phase, other.phase);  // ordered: serving, draining, gone
     endpoint.free_cores = std::min(endpoint.free_cores, other.free_cores);
     endpoint.free_memory = std::min(endpoint.free_memory, other.free_memory);
     endpoint.started_at = later_start(endpoint.started_at, other.started_at);
@@ -249,7 +248,7 @@
     if (!update_is_snapshot_) return;
     const SnapshotGaps gaps = find_snapshot_gaps();
     if (is_doubtful(gaps) && (!doubt_until_ || now < doubt_until_)) return doubt_snapshot(now, gaps);
-    if (doubt_until_) {  // the workers are named again, all or nearly all
+    if (doubt_until_) {  // this snapshot lists the workers again, or the doubt has timed out
         doubt_until_ = 0;
         doubt_timer_.disarm();
     }
@@ -295,8 +294,7 @@
     statistics_.confirmed_snapshots += any_omitted;
 }
 
-// ---------------------------------------------------------------- the worker itself, and the connection to
-// it
+// ---------------------------------------------------------------- worker reports and connection events
 
 void Membership::on_restart(Nanos now, WorkerEntry& worker) {
     ++statistics_.restarts;
@@ -320,7 +318,8 @@
     if (!worker.reported.started_at ||
         std::abs(started_at - worker.reported.started_at) >= kSameStartTolerance)
         worker.reported.started_at = started_at;
-    // The list has reported this very start: one number for it, or the planner would take it for a restart.
+    // If the list reported the same start, use its value: the planner would take a different one for a
+    // restart.
     if (worker.reported.started_at && worker.listed.endpoint.started_at &&
         std::abs(worker.reported.started_at - worker.listed.endpoint.started_at) < kSameStartTolerance)
         worker.reported.started_at = worker.listed.endpoint.started_at;
@@ -367,34 +366,35 @@
 
 void Membership::on_name_mismatch() { ++statistics_.name_mismatches; }
 
-// ---------------------------------------------------------------- for operators
+// ---------------------------------------------------------------- diagnostics
 
 std::string Membership::explain(Nanos now, const WorkerEntry& worker) const {
     std::string out(to_string(worker.state));
     const auto add = [&out](const std::string& remark) { out += "; " + remark; };
     if (worker.listed.is_known) {
         const char* phase = worker.listed.is_omitted                                  ? "omits it"
-                            : worker.listed.endpoint.phase == EndpointPhase::gone     ? "calls it gone"
-                            : worker.listed.endpoint.phase == EndpointPhase::draining ? "says that it drains"
-                                                                                      : "says that it serves";
-        add(std::string("the list ") + phase + ", as of " + seconds(now - worker.listed.as_of) + " ago");
+                            : worker.listed.endpoint.phase == EndpointPhase::gone     ? "has it as gone"
+                            : worker.listed.endpoint.phase == EndpointPhase::draining ? "has it as draining"
+                                                                                      : "has it as serving";
+        add(std::string("the endpoint list ") + phase + ", as of " + seconds(now - worker.listed.as_of) +
+            " ago");
     } else {
-        add("no list has named it");
+        add("no endpoint list has named it");
     }
-    if (worker.is_doubtfully_omitted_) add("a snapshot that omits it is doubted");
+    if (worker.is_doubtfully_omitted_) add("a snapshot that omits it is in doubt");
     if (worker.reported.greeted_at)
-        add("it greeted " + seconds(now - worker.reported.greeted_at) + " ago" +
+        add("last greeting " + seconds(now - worker.reported.greeted_at) + " ago" +
             (worker.reported.started_at
-                 ? ", then up for " + seconds(worker.reported.greeted_at - worker.reported.started_at)
+                 ? ", with an uptime of " + seconds(worker.reported.greeted_at - worker.reported.started_at)
                  : ""));
-    if (worker.reported.is_draining) add("it says that it drains");
+    if (worker.reported.is_draining) add("it announced a drain");
     if (worker.connection.is_up) add("connected");
     else if (worker.connection.failed_dials)
-        add(std::to_string(worker.connection.failed_dials) + " dials in a row have failed");
+        add(std::to_string(worker.connection.failed_dials) + " consecutive failed dials");
     else if (worker.connection.was_ever_up)
-        add("its connection broke " + seconds(now - worker.connection.changed_at) + " ago");
+        add("disconnected " + seconds(now - worker.connection.changed_at) + " ago");
     if (now < worker.hold_until_)
-        add("it restarted too often: held off for " + seconds(worker.hold_until_ - now) + " more");
+        add("too many restarts: no new tasks for " + seconds(worker.hold_until_ - now) + " more");
     return out;
 }
 
