--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -23,8 +23,8 @@
 }
 
 namespace {
-// The rate is counted over ten buckets of a tenth of a second: fine enough that a burst at a second's edge is
-// not counted half, and few enough to walk.
+// The rate is counted over ten buckets of 100 ms, so that a burst across the boundary of two seconds counts
+// in full.
 constexpr Nanos kBucket = 100 * kMillisecond;
 constexpr std::int64_t kBuckets = 10;
 }  // namespace
@@ -43,7 +43,8 @@
         groups_.push_back(std::make_unique<ShareHolder>(groups_waiting_));
 }
 
-// Once for each bucket: what was admitted a second ago no longer counts, also for clients that are idle now.
+// Subtracts the tasks admitted a second ago or earlier from all clients' rates, idle ones included. Runs once
+// per bucket.
 void AdmissionController::expire_rates(Nanos now) {
     if (now / kBucket == bucket_) return;
     bucket_ = now / kBucket;
@@ -60,7 +61,8 @@
     if (client.waiting_.held() >= limits_.max_waiting_per_client) return AdmissionLimit::client_waiting;
     const ShareHolder& queue_group = *groups_[static_cast<std::size_t>(group)];
     if (groups_waiting_.held() >= groups_waiting_.capacity()) return AdmissionLimit::waiting;
-    // A client or a queue group below its guarantee is admitted; others share what both kinds leave over.
+    // A task is admitted if its client or its queue group is below its guarantee. Others share the capacity
+    // that no guarantee reserves.
     if (!client.waiting_.is_below_guarantee() && !queue_group.is_below_guarantee()) {
         const std::int64_t reserved = groups_waiting_.reserved() + clients_waiting_.reserved();
         if (groups_waiting_.held() + reserved >= groups_waiting_.capacity())
--- a/src/admission/fair_shares.cpp
+++ b/src/admission/fair_shares.cpp
@@ -18,7 +18,7 @@
 bool ShareHolder::is_below_guarantee() const { return held_ < shares_.guaranteed_; }
 
 bool ShareHolder::fits() const {
-    // A member that has just joined when all is taken waits until something is given back.
+    // A member that joins while the whole capacity is in use waits until some of it is released.
     if (shares_.held_ >= shares_.capacity_) return false;
     if (is_below_guarantee()) return true;
     return shares_.held_ + shares_.reserved_ < shares_.capacity_;
--- a/src/admission/fair_shares.h
+++ b/src/admission/fair_shares.h
@@ -1,6 +1,6 @@
-// A capacity shared by members without waste: what a member has not used of its guaranteed share stays free
-// for it, and everything else goes to whoever comes first. With g guaranteed to each of n members (n * g at
-// most the capacity), a flood from one leaves each other member its g at any moment. No I/O.
+// A capacity shared by members. The unused part of each member's guaranteed share stays reserved for it; the
+// rest is first come, first served. With g guaranteed to each of n members (n * g is at most the capacity), a
+// burst from one member leaves g to each other member at any time. No I/O.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -9,7 +9,7 @@
 
 class FairShares;
 
-// A member. Joins when created and leaves when destroyed, with all that it holds.
+// A member. It joins on construction; its destruction releases what it holds.
 class ShareHolder {
 public:
     explicit ShareHolder(FairShares&);
@@ -17,7 +17,7 @@
     ShareHolder(const ShareHolder&) = delete;
     ShareHolder& operator=(const ShareHolder&) = delete;
 
-    bool fits() const;  // one more
+    bool fits() const;  // whether one more may be added
     bool is_below_guarantee() const;
     void add();
     void remove(std::int64_t count = 1);
@@ -32,15 +32,14 @@
 
 class FairShares {
 public:
-    // `guaranteed_part` of the capacity, in [0, 1], is guaranteed in equal parts; the rest is first come,
-    // first served.
+    // `guaranteed_part`, in [0, 1], of the capacity is guaranteed to the members in equal shares.
     FairShares(std::int64_t capacity, double guaranteed_part)
         : capacity_(capacity), guaranteed_part_(guaranteed_part) {}
 
     std::int64_t held() const { return held_; }
     std::int64_t capacity() const { return capacity_; }
     std::int64_t guaranteed() const { return guaranteed_; }  // to each member
-    std::int64_t reserved() const { return reserved_; }      // of the guarantees, not used yet
+    std::int64_t reserved() const { return reserved_; }      // the unused part of all guarantees
     std::size_t members() const { return members_.size(); }
 
 private:
@@ -48,7 +47,7 @@
     std::int64_t unused(const ShareHolder& member) const {
         return member.held_ < guaranteed_ ? guaranteed_ - member.held_ : 0;
     }
-    // Walks all members. Called when one joins or leaves, which is rare beside add() and remove().
+    // Visits all members. Called when one joins or leaves, which is rarer than add() and remove().
     void recompute();
 
     std::int64_t capacity_;
--- a/src/recovery/recovery_queue.cpp
+++ b/src/recovery/recovery_queue.cpp
@@ -6,11 +6,12 @@
 namespace whinpost::recovery {
 
 namespace {
-// Snapshots are requested while any task is pending: soon, since its client waits to hear of it, and then
-// ever more rarely, since the discovery service may be what is failing.
+// The delays between snapshot requests while any task is pending. The first is short, since the client waits
+// for an answer; they double, since the discovery service may be failing.
 constexpr Nanos kInitialBackoff = 500 * kMillisecond, kMaxBackoff = 8 * kSecond;
-// Snapshots that are always older than the client's report can't settle it. This long after the report they
-// count all the same: longer than any endpoint list in use is late, and short beside a task's run time.
+// A snapshot older than the client's report does not show that the worker is gone. If only such snapshots
+// arrive, they count once this time has passed since the report: longer than the age of any endpoint list in
+// use, and short compared with the run time of a task.
 constexpr Nanos kMaxWait = 60 * kSecond;
 }  // namespace
 
@@ -67,7 +68,7 @@
         const Nanos handed_over_at = it->second->handed_over_at;
         if (as_of > handed_over_at || now - handed_over_at >= kMaxWait) gone.push_back(it);
     }
-    // In the order in which the tasks were handed over, not by the workers' names.
+    // Handler calls follow the order in which the tasks were handed over, not the order of the worker names.
     std::stable_sort(gone.begin(), gone.end(), [](const auto& first, const auto& second) {
         return first->second->handed_over_at < second->second->handed_over_at;
     });
--- a/src/slow_start/token_client.cpp
+++ b/src/slow_start/token_client.cpp
@@ -5,18 +5,18 @@
 namespace whinpost::slow_start {
 
 namespace {
-// Tokens of one worker at a time, held and requested. A start on a worker that warms up takes long: more than
-// a few attempts at once wait there anyway, and no other placer can use what one holds.
+// The maximum number of tokens held and requested of one worker. Starts on a worker that warms up take long,
+// so more than a few concurrent attempts would only wait there, and no other placer can use a held token.
 constexpr int kMaxTokensPerWorker = 3;
-// A token that is not used within this time is returned: some rounds of the planner.
+// A token that is not used within this time, some rounds of the planner, is returned.
 constexpr Nanos kMaxIdle = 1000 * kMillisecond;
-// After that nothing is requested of the worker for a while, which doubles: what waits here can't go there,
-// or goes elsewhere.
+// After returning an unused token, the placer requests none from that worker for this time, which doubles:
+// its waiting tasks cannot go there or go elsewhere.
 constexpr Nanos kInitialBackoff = 500 * kMillisecond, kMaxBackoff = 8 * kSecond;
 
-// A busy placer requests ahead what it is likely to be granted within the time for which it may keep a token,
-// so that its tasks need not wait for one. Rounded down: of hundreds of placers most are idle, and one token
-// each kept in reserve would use up a worker's whole capacity.
+// The bucket of the counter of submitted tasks. From its rate a busy placer requests tokens ahead for the
+// tasks expected within kMaxIdle, so that they need not wait. The number is rounded down: most of hundreds of
+// placers are idle, and one spare token for each would use up a worker's whole capacity.
 constexpr Nanos kBucket = 100 * kMillisecond;
 }  // namespace
 
@@ -26,7 +26,7 @@
 WarmingWorker::WarmingWorker(TokenClient& client) : client_(client) {}
 WarmingWorker::~WarmingWorker() { std::erase(client_.candidates_, this); }
 
-// Adds the worker to the candidates, or removes it.
+// Adds the worker to the candidates or removes it, depending on may_request().
 void TokenClient::update_candidate(Nanos now, WarmingWorker& worker) {
     const auto at = std::find(candidates_.begin(), candidates_.end(), &worker);
     if (may_request(now, worker) == (at != candidates_.end())) return;
@@ -70,7 +70,7 @@
 }
 
 void TokenClient::on_granted(Nanos now, WarmingWorker& worker, std::uint64_t sequence, int tokens) {
-    // Granted before the worker read the latest request: it takes these back when it does.
+    // The grant answers an earlier request. The worker takes its tokens back when it reads the latest one.
     if (sequence != worker.sequence_ || tokens <= 0 || tokens > worker.requested_) {
         ++statistics_.stray_grants;
         return;
@@ -105,7 +105,7 @@
     if (!candidates_.empty()) request_more(now, needed);
 }
 
-// Returns what is held and was not used for a while, and what was requested while nothing waits any more.
+// Returns tokens that were held too long without use, and withdraws requests that are no longer needed.
 void TokenClient::return_unneeded(Nanos now, WarmingWorker& worker, std::size_t needed) {
     const bool is_idle = worker.held_ > 0 && now - worker.held_since_ >= kMaxIdle;
     if (is_idle) {
@@ -116,7 +116,7 @@
     if (is_idle || is_useless || (worker.requested_ > 0 && needed == 0)) update_request(now, worker, 0, 0);
 }
 
-// One more of each worker in turn, so that no worker is asked for all.
+// Requests one token per worker and round, so that the requests are spread over the workers.
 void TokenClient::request_more(Nanos now, std::size_t needed) {
     std::size_t sought = 0;
     for (const WarmingWorker* worker : candidates_)
--- a/src/slow_start/token_client.h
+++ b/src/slow_start/token_client.h
@@ -1,9 +1,9 @@
-// A placer's side of admission tokens: of which workers in slow start it requests tokens, how many, and when
-// it returns those that it does not use.
+// The placer's side of admission tokens: from which workers in slow start it requests tokens, how many, and
+// when it returns unused ones.
 //
-// Placers exchange no messages and know nothing of each other. Where a worker issues tokens, its capacity
-// goes to those placers that have something to place, instead of being divided among all that exist. Where it
-// issues none, nothing here acts. This package chooses no worker for a task. No I/O and no clock.
+// Placers exchange no messages. If a worker issues tokens, its capacity goes to the placers that have tasks
+// to place, instead of being divided among all placers. For workers that issue none, this module does
+// nothing. It chooses no worker for a task. No I/O and no clock.
 #pragma once
 #include <cstdint>
 #include <vector>
@@ -15,18 +15,19 @@
 
 class TokenClient;
 
-// One worker as far as its tokens go.
+// The token state of one worker.
 class WarmingWorker {
 public:
     explicit WarmingWorker(TokenClient&);
     ~WarmingWorker();
     WarmingWorker(const WarmingWorker&) = delete;
     WarmingWorker& operator=(const WarmingWorker&) = delete;
-    void* tag = nullptr;  // the caller's own
+    void* tag = nullptr;  // for use by the caller
     bool issues_tokens() const { return is_connected_ && issues_tokens_; }
-    // How many attempts may be sent to it now while it is in slow start; -1: as its capacity is divided among
-    // all placers. 0 before it has greeted, since it is not known yet whether it issues tokens: attempts that
-    // waited for its connection would come on top of those that it granted tokens for.
+    // How many attempts may be sent to the worker now while it is in slow start; -1: it issues no tokens, and
+    // its capacity is divided among all placers. 0 before its greeting, since it is not known yet whether it
+    // issues tokens: attempts that waited for its connection would exceed the number that it granted tokens
+    // for.
     int allowed_attempts() const { return !is_connected_ ? 0 : issues_tokens_ ? held_ : -1; }
     int held() const { return held_; }
     int requested() const { return requested_; }
@@ -43,9 +44,9 @@
 class TokenClientHandler {
 public:
     virtual ~TokenClientHandler() = default;
-    // Tells the worker how many tokens are held and how many more are wanted.
+    // Sends RequestTokens: how many tokens are held and how many more are wanted.
     virtual void send_request(WarmingWorker&, std::uint64_t sequence, int held, int wanted) = 0;
-    // held() has changed: for the planner and the ledger.
+    // held() or allowed_attempts() has changed; the planner and the ledger must be updated.
     virtual void on_tokens_changed(Nanos now, WarmingWorker&) = 0;
 };
 
@@ -56,22 +57,22 @@
 
 class TokenClient {
 public:
-    // `slow_start_time`: how long after its start a worker is treated as warming up.
+    // `slow_start_time`: how long a worker is in slow start after its start.
     TokenClient(TokenClientHandler&, Nanos slow_start_time);
 
     void on_greeting(Nanos now, WarmingWorker&, bool issues_tokens);
     void on_disconnected(Nanos now, WarmingWorker&);
-    // Whether it may be given tasks at all, and its start (0: long ago).
+    // `is_serving`: the worker may get tasks. `started_at`: 0 if long ago.
     void on_worker_changed(Nanos now, WarmingWorker&, bool is_serving, Nanos started_at);
     void on_granted(Nanos now, WarmingWorker&, std::uint64_t sequence, int tokens);
-    // An attempt is sent to it.
+    // Records that an attempt is sent to the worker.
     void use_token(Nanos now, WarmingWorker&);
-    // An attempt for which a token was used has never left: the worker is told what is held, and takes that
-    // token back.
+    // An attempt for which a token was used was not sent. Sends a new request, from whose number of held
+    // tokens the worker learns that the token is free again.
     void on_attempt_not_sent(WarmingWorker&);
     void on_task_submitted(Nanos now) { submissions_.add(now, 1); }
-    // After each round of the planner, with the tasks that wait without an attempt in flight: requests tokens
-    // for them, and returns tokens that are not needed.
+    // Must be called after each round of the planner, with the number of tasks that wait without an attempt
+    // in flight. Requests tokens for them and returns tokens that are not needed.
     void request_for(Nanos now, std::size_t waiting_tasks);
 
     const TokenClientStatistics& statistics() const { return statistics_; }
@@ -88,10 +89,10 @@
 
     TokenClientHandler& handler_;
     Nanos slow_start_time_;
-    // Workers of which tokens may be requested. Few are in slow start at one time, and each round walks them.
+    // Workers for which may_request() holds. Each round visits all of them; few are in slow start at a time.
     std::vector<WarmingWorker*> candidates_;
-    std::size_t next_candidate_ = 0;  // where the next request begins
-    SlidingCounter<10> submissions_;  // within a second
+    std::size_t next_candidate_ = 0;  // index of the worker that gets the next round's first request
+    SlidingCounter<10> submissions_;  // tasks submitted within the last second
     TokenClientStatistics statistics_;
 };
 
--- a/src/slow_start/token_issuer.cpp
+++ b/src/slow_start/token_issuer.cpp
@@ -6,7 +6,7 @@
 
 TokenHolder::TokenHolder(TokenIssuer& issuer) : issuer_(issuer) {}
 
-// With its connection all that it held is free again: nothing that was sent on it can arrive any more.
+// The connection has closed, so no attempt sent on it can arrive any more: all of its tokens are free again.
 TokenHolder::~TokenHolder() {
     issuer_.outstanding_ -= outstanding_;
     if (is_queued_) issuer_.queue_.remove(this);
@@ -23,7 +23,7 @@
 }
 
 void TokenIssuer::on_request(Nanos now, TokenHolder& holder, std::uint64_t sequence, int held, int wanted) {
-    // It can't hold more than was granted to it; what it claims beyond that is its own mistake.
+    // A placer cannot hold more tokens than it was granted; a higher number is an error of the placer.
     held = std::clamp(held, 0, holder.outstanding_);
     outstanding_ -= holder.outstanding_ - held;
     holder.outstanding_ = held;
--- a/src/worker_connection/dial_limiter.cpp
+++ b/src/worker_connection/dial_limiter.cpp
@@ -20,8 +20,8 @@
     return false;
 }
 
-// Only the first of the queue is woken, and it wakes the next: with ten thousand workers to dial, all that
-// wait would otherwise try again each time one permit is free.
+// Wakes only the first connection of the queue, which wakes the next when it dials. Otherwise, with ten
+// thousand workers to dial, every queued connection would retry whenever one permit is released.
 void DialLimiter::wake_first(Nanos now) {
     if (const Nanos at = next_dial_at(now); at && !queue_.empty())
         queue_.front()->handler_.wake_at(*queue_.front(), at);
--- a/src/worker_connection/dial_limiter.h
+++ b/src/worker_connection/dial_limiter.h
@@ -1,7 +1,8 @@
-// Limits how many connections are made at once and how many a second, first come first served.
+// Limits the number of concurrent dials and of dials per second. Connections over the limit queue in FIFO
+// order.
 //
-// After a network partition a hundred workers are not dialled in one moment, nor by each placer in the same
-// rhythm, since the backoffs are jittered. No I/O and no clock.
+// So after a network partition a placer does not dial all of its workers at once. Jittered backoffs keep
+// several placers from dialling in step. No I/O and no clock.
 #pragma once
 #include <deque>
 
@@ -17,12 +18,12 @@
         : max_concurrent_(max_concurrent), max_per_second_(max_per_second) {}
 
     // True: the connection may dial now and holds a permit until release(). False: it is queued, and is woken
-    // when its turn comes.
+    // when it may try again.
     [[nodiscard]] bool try_acquire(Nanos now, WorkerConnection&);
     void release(WorkerConnection&);
-    // The connection no longer waits for a permit.
+    // Removes the connection from the queue, if it is queued.
     void remove(WorkerConnection&);
-    // When the first of the queue may try again; 0: once a permit is released.
+    // When the first queued connection may try again; 0: when a permit is released.
     Nanos next_dial_at(Nanos now) const;
     bool is_first(const WorkerConnection& connection) const {
         return !queue_.empty() && queue_.front() == &connection;
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -21,19 +21,19 @@
 }
 
 namespace {
-// Attempts are written to the stream only while it holds fewer unsent bytes than this; the others stay where
-// they can be withdrawn when a drain is heard. A few dozen attempts: enough to fill a segment or two in one
-// write.
+// Attempts are written to the stream only while it holds fewer unsent bytes than this; the others stay in the
+// queue, where a drain can still withdraw them. Enough for a few dozen attempts, which fill one or two TCP
+// segments in one write.
 constexpr std::size_t kMaxUnsentBytes = 4 << 10;
-// So many attempts may be on their way to a worker that has not confirmed that it read them. Further ones
-// wait here: a worker that hangs gets no more than these when it goes on, and what waits here is proven
-// unsent if it is given up. A worker reads thousands a second: far more than are ever on their way to a
-// healthy one.
+// The maximum number of attempts written to a worker that has not confirmed reading them. Further attempts
+// stay queued: a worker that hangs receives at most this many when it resumes, and a queued attempt that is
+// given up is proven unsent. Healthy workers read thousands of attempts a second and do not reach the limit.
 constexpr std::size_t kMaxUnread = 64;
-// A connection that waits for a dial permit is woken by the one before it; this is only a fallback.
+// Fallback timer of a connection that waits for a dial permit; ordinarily the connection before it in the
+// queue wakes it.
 constexpr Nanos kQueuedWakeup = 60 * kSecond;
-// The part of the drain grace that is left unused: closing takes effect at once on this side, while the
-// worker's grace runs from the arrival of the last byte.
+// The connection is aborted a fourth of the drain grace before it ends. The abort takes effect at once on
+// this side, while the worker measures its grace from the arrival of the last byte.
 constexpr Nanos kGraceReserveDivisor = 4;
 }  // namespace
 
@@ -74,9 +74,8 @@
     handler_.dial(*this);
 }
 
-// An attempt for a worker that can't be reached fails at once: the planner knows better than a queue where
-// else the task could go. While a first connection is being made the attempt waits for it, until its own
-// deadline.
+// An attempt for an unreachable worker fails at once, so that the planner can choose another worker. While
+// the first connection is being made the attempt waits for it, until the attempt's deadline.
 void WorkerConnection::send(Nanos now, ledger::Attempt& attempt) {
     if (state_ == ConnectionState::idle) set_wanted(now, true);
     const bool is_unreachable = state_ == ConnectionState::waiting && backoff_ > 0;
@@ -142,8 +141,9 @@
     return true;
 }
 
-// Guards against an attempt that was given up while it lay in a buffer, and arrives at a worker that is
-// draining by then: it counts as on its way until the worker is known to have read it.
+// Guards against an attempt that is given up while it lies in a buffer and arrives at the worker after its
+// drain has begun. An ended attempt therefore keeps its entry in unread_ until the worker is known to have
+// read it.
 void WorkerConnection::on_attempt_ended(ledger::Attempt& attempt, bool by_worker) {
     remove_in_flight(attempt);
     if (!queue_.empty()) std::erase(queue_, &attempt);
@@ -153,7 +153,8 @@
     if (it == unread_.end()) return;
     it->attempt = nullptr;
     if (!by_worker) return;
-    // A worker that answers has read the attempt and all before it, also one that never confirms reads.
+    // An answer shows that the worker has read this attempt and all before it, even if it never confirms
+    // reads.
     mark_read(read_count_ + static_cast<std::uint64_t>(it - unread_.begin()) + 1);
 }
 
@@ -169,15 +170,15 @@
     state_since_ = last_data_at_ = now;
     keepalive_sent_at_ = 0;
     read_count_ = 0;
-    worker_clock_ = 0;  // another incarnation may count from elsewhere
+    worker_clock_ = 0;  // another incarnation may have another clock
     unread_.clear();
     schedule_wakeup(now);
 }
 
 void WorkerConnection::back_off(Nanos now) {
     backoff_ = backoff_ ? std::min(settings_.max_backoff, 2 * backoff_) : settings_.initial_backoff;
-    // Between a half and the whole of it, so that placers that lost a zone in one moment come back spread
-    // out.
+    // The delay is half of the backoff to all of it, so that placers that lost a zone at the same time do not
+    // reconnect in step.
     dial_at_ = now + backoff_ / 2 +
                static_cast<Nanos>(static_cast<double>(backoff_) * 0.5 * (jitter_() % 1024) / 1024);
     state_ = ConnectionState::waiting;
@@ -195,23 +196,22 @@
     if (state_ != ConnectionState::dialling) return;
     dial_limiter_.release(*this);
     ++statistics_.failed_dials;
-    if (!is_wanted_)
-        end_in_flight(now);  // gone by the endpoint list, and it can't be reached to say otherwise
+    if (!is_wanted_) end_in_flight(now);  // not in the endpoint list and unreachable: its attempts are lost
     back_off(now);
     end_queued(now, AttemptOutcome::connect_failed);
     schedule_wakeup(now);
     handler_.on_disconnected(now, *this, false);
 }
 
-// An attempt that was handed over only in part can't have been acted on. One that was handed over completely
-// stays in doubt.
+// `handed_over`: the number of bytes that were handed to the kernel. The worker cannot have acted on an
+// attempt that was handed over only in part; one that was handed over completely stays in doubt.
 void WorkerConnection::on_disconnected(Nanos now, std::uint64_t handed_over) {
     if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
     ++statistics_.disconnects;
     const bool was_up = state_ == ConnectionState::up;
     if (state_ == ConnectionState::up) disconnected_at_ = now;
-    // A worker that closes within the greeting is not healthy either: the backoff goes on growing. One that
-    // was up is tried again soon.
+    // The backoff keeps growing if the worker closes the connection before its greeting is complete. After a
+    // connection that was up, it starts again from its initial value.
     if (state_ == ConnectionState::up) backoff_ = 0;
     std::deque<WrittenAttempt> written;
     written.swap(unread_);
@@ -238,7 +238,7 @@
     keepalive_sent_at_ = 0;
 }
 
-// The worker has read so many of the attempts that were written on this connection.
+// The worker has read the first `count` attempts that were written on this connection.
 void WorkerConnection::mark_read(std::uint64_t count) {
     while (read_count_ < count && !unread_.empty()) {
         unread_.pop_front();
@@ -273,8 +273,8 @@
     state_ = ConnectionState::up;
     state_since_ = now;
     backoff_ = 0;
-    // The incarnation that held them is no more, wherever it ran: the same address and name may well be
-    // another machine now.
+    // The incarnation that held the attempts has ended. A worker with the same address and name may run on
+    // another machine.
     if (!is_same && !is_first) {
         end_in_flight(now);
     } else {
@@ -285,8 +285,9 @@
     schedule_wakeup(now);
 }
 
-// An attempt that was written to the worker and that it does not name was never accepted, provided that the
-// worker would still remember its end. One that was adopted may run there under another placer's number.
+// Ends the attempts in flight that the greeting does not name. Such an attempt was never accepted, provided
+// that the worker would still remember its end. An adopted attempt may run there under another placer's
+// number, so its adoption is sent again.
 void WorkerConnection::resolve_unnamed(Nanos now, const std::vector<std::uint64_t>& held_attempts,
                                        bool worker_remembers) {
     std::vector<ledger::Attempt*> unnamed;
@@ -306,9 +307,9 @@
     }
 }
 
-// Attempts that wait here are withdrawn at once. Those that the worker has not confirmed may lie in any
-// buffer on the way: unless it confirms them before the grace is over, the connection is aborted so that they
-// never arrive.
+// Queued attempts are withdrawn at once. Written attempts that the worker has not confirmed reading may lie
+// in any buffer on the way: unless it confirms them before drain_deadline_, the connection is aborted so that
+// they never arrive.
 void WorkerConnection::on_drain(Nanos now) {
     end_queued(now, AttemptOutcome::not_sent);
     if (state_ == ConnectionState::up && !unread_.empty() && !drain_deadline_)
@@ -348,8 +349,8 @@
             }
             break;
         case ConnectionState::greeting:
-            // Accepted by the kernel and never greeted: no attempt was handed over, so all that wait are
-            // proven unsent.
+            // The connection was accepted but the worker sent no greeting. No attempt has been written, so
+            // all queued ones are proven unsent.
             if (now - state_since_ >= settings_.greeting_timeout) {
                 handler_.close(*this, true);
                 ++statistics_.failed_dials;
