--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -8,16 +8,17 @@
 using namespace whinpost;
 using namespace whinpost::admission;
 
-TEST_CASE("one client's flood leaves the others their share, and takes what nobody needs") {
+TEST_CASE("a burst from one client leaves the other clients their shares, and may use the rest") {
     AdmissionController controller({1000, 1000, 1'000'000, 10}, 1);
     ClientShare flood(controller), quiet(controller);
     int taken = 0;
     while (controller.admit(0, flood, 0) == AdmissionLimit::none) ++taken;
-    CHECK(taken == 825);  // all but what is kept for the other owner
+    CHECK(taken == 825);  // all but the other client's guarantee
     int others = 0;
     while (controller.admit(0, quiet, 0) == AdmissionLimit::none) ++others;
     CHECK(others == 175);
-    // A third comes: the guarantees shrink; what is held stays held, and it gets its part as room comes.
+    // A third client connects and the guarantees shrink. It gets its share as waiting tasks of others are
+    // answered.
     ClientShare late(controller);
     CHECK(controller.admit(0, late, 0) == AdmissionLimit::waiting);
     for (int i = 0; i < 400; ++i) controller.on_answered(&flood, 0);
@@ -26,7 +27,7 @@
     CHECK(third >= 116);
 }
 
-TEST_CASE("the flood of one queue group leaves the others their share") {
+TEST_CASE("a burst in one queue group leaves the other groups their shares") {
     AdmissionController controller({1000, 1000, 1'000'000, 10}, 3);
     ClientShare a(controller);
     while (controller.admit(0, a, 0) == AdmissionLimit::none) {
@@ -36,7 +37,7 @@
     for (int i = 0; i < 116; ++i) REQUIRE(controller.admit(0, a, 2) == AdmissionLimit::none);
 }
 
-TEST_CASE("tasks a second are counted over a sliding second, also of clients that fell silent") {
+TEST_CASE("the rate is counted over a sliding second, also for clients that have become idle") {
     AdmissionController controller({1'000'000, 1'000'000, 100, 10}, 1);
     ClientShare a(controller), b(controller);
     Nanos now = 50 * kMillisecond;
@@ -52,7 +53,7 @@
     CHECK(controller.rejected(AdmissionLimit::client_rate) >= 3);
 }
 
-TEST_CASE("a client that disconnects frees what it held, and nothing is admitted once draining") {
+TEST_CASE("a disconnected client frees its share, and no task is admitted after the drain starts") {
     AdmissionController controller({10, 10, 1000, 10}, 1);
     {
         ClientShare a(controller);
@@ -67,7 +68,7 @@
 }
 
 TEST_CASE(
-    "on generated sequences a member below its guarantee always fits, and the capacity is never passed") {
+    "on generated sequences a member below its guarantee always fits, and the capacity is never exceeded") {
     const auto seed = GENERATE(take(60, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -76,7 +77,8 @@
     std::vector<std::unique_ptr<ShareHolder>> members;
     for (int step = 0; step < 3000; ++step) {
         if (members.empty() || roll(40) == 0) {
-            // One that joins a full house waits for room: the guarantee holds for those who were there.
+            // Members join only while nothing is held: one that joins later may have to wait for its
+            // guarantee.
             if (members.size() < 12 && shares.held() == 0)
                 members.push_back(std::make_unique<ShareHolder>(shares));
         }
--- a/tests/admission_token_test.cpp
+++ b/tests/admission_token_test.cpp
@@ -1,4 +1,5 @@
-// Turns of cold nodes: the giver's promise under any order of messages, and what placers do with them.
+// Tests of admission tokens for workers in slow start: the invariant of the issuing worker under any order of
+// messages, and the requests of placers.
 #include <catch2/catch.hpp>
 #include <deque>
 #include <map>
@@ -42,7 +43,7 @@
 }  // namespace
 
 TEST_CASE(
-    "a worker grants no more tokens than its capacity, one to each placer in turn, and the next after a "
+    "a worker grants no more tokens than its capacity, to each placer in turn, and further ones after the "
     "window") {
     RecordedGrants handler;
     TokenIssuer issuer(handler, kSecond);
@@ -53,21 +54,21 @@
     CHECK(handler.granted[&a] == 3);
     issuer.on_request(now, b, 1, 0, 2);
     CHECK(handler.granted[&b] == 0);
-    issuer.on_attempt(now, a);  // used: it counts for a window
+    issuer.on_attempt(now, a);  // the used token counts for one window
     CHECK(handler.granted[&b] == 0);
     CHECK(issuer.outstanding() == 2);
     issuer.run_timers(now += kSecond - 1);
     CHECK(handler.granted[&b] == 0);
     CHECK(handler.next_wakeup == 101 * kSecond);
     issuer.run_timers(now += 1);
-    // a was before b in line again after its third: one each.
+    // `a` queued again after its third token, before `b`: each has one more.
     CHECK(handler.granted[&a] + handler.granted[&b] == 4);
-    issuer.on_request(now, a, 2, 0, 0);  // gives all back
+    issuer.on_request(now, a, 2, 0, 0);  // returns all
     CHECK(handler.granted[&b] >= 1);
     CHECK(issuer.outstanding() <= 3);
 }
 
-TEST_CASE("a placer that no longer wants a token is passed over in the queue") {
+TEST_CASE("a placer that has withdrawn its request is skipped in the queue") {
     RecordedGrants handler;
     TokenIssuer issuer(handler, kSecond);
     TokenHolder a(issuer), b(issuer), c(issuer);
@@ -81,7 +82,7 @@
     CHECK(handler.granted[&c] == 1);
 }
 
-TEST_CASE("the tokens of a lost connection are free again; an attempt without a token counts all the same") {
+TEST_CASE("the tokens of a closed connection become free; an attempt without a token counts as well") {
     RecordedGrants handler;
     TokenIssuer issuer(handler, kSecond);
     TokenHolder a(issuer);
@@ -96,24 +97,22 @@
     issuer.run_timers(1);
     CHECK(handler.granted[&a] == 1);
     issuer.on_attempt(2, a);
-    issuer.on_attempt(3, a);  // never given: it leaves the less for others
+    issuer.on_attempt(3, a);  // sent without a token: reduces the free capacity
     CHECK(issuer.recent_attempts(4) == 2);
     issuer.on_request(4, a, 2, 0, 1);
     CHECK(handler.granted[&a] == 1);
-    issuer.on_request(5, a, 3, 7, 0);  // says that it holds what was never given
+    issuer.on_request(5, a, 3, 7, 0);  // claims to hold tokens that were never granted
     CHECK(issuer.outstanding() == 0);
 }
 
-TEST_CASE(
-    "a placer requests tokens when it has tasks to place, uses them, and returns those that it does not "
-    "use") {
+TEST_CASE("a placer requests tokens when it has tasks to place, uses them, and returns unused ones") {
     RecordedRequests handler;
     TokenClient client(handler, 10 * kSecond);
     WarmingWorker c(client);
     Nanos now = 100 * kSecond;
     client.on_greeting(now, c, true);
     client.request_for(now, 5);
-    CHECK(handler.asks == 0);  // not known to be cold
+    CHECK(handler.asks == 0);  // the worker is not known to be in slow start
     client.on_worker_changed(now, c, true, now - kSecond);
     client.request_for(now, 0);
     CHECK(handler.asks == 0);
@@ -129,21 +128,21 @@
     CHECK(client.statistics().returned == 1);
     const int before = handler.asks;
     client.request_for(now + 100 * kMillisecond, 2);
-    CHECK(handler.asks == before);  // it was not used: not at once again
+    CHECK(handler.asks == before);  // backing off after the unused token
     client.request_for(now + 600 * kMillisecond, 2);
     CHECK(handler.asks > before);
-    SECTION("it drains") {
+    SECTION("the worker drains") {
         client.on_worker_changed(now, c, false, now - kSecond);
         CHECK(handler.last_more == 0);
     }
-    SECTION("its slow start is over") {
+    SECTION("the worker's slow start has ended") {
         client.request_for(now + 20 * kSecond, 2);
         CHECK(handler.last_more == 0);
         CHECK(c.requested() == 0);
     }
     SECTION("a grant for an earlier request is ignored") {
         const std::uint64_t old = handler.number;
-        client.request_for(now + 700 * kMillisecond, 0);  // wants none any more
+        client.request_for(now + 700 * kMillisecond, 0);  // no longer wants any
         client.on_granted(now + 700 * kMillisecond, c, old, 1);
         CHECK(c.held() == 0);
         CHECK(client.statistics().stray_grants == 1);
@@ -156,15 +155,14 @@
     }
 }
 
-// Placers and one node with messages that take any time on the way, in order on each connection, and
-// connections that break with all that is on them. What arrives at the node within any window is never more
-// than it bears.
-TEST_CASE("a worker is sent no more than its capacity, however long messages are on the way") {
+// Several placers and one worker. Messages are delayed arbitrarily but stay in order on each connection, and
+// connections break with all messages on them. No window may have more arrivals than the worker's capacity.
+TEST_CASE("a worker receives no more attempts than its capacity, however long messages are delayed") {
     const unsigned seed = GENERATE(range(1u, 31u));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
 
-    struct Way {  // one connection
+    struct Way {  // a placer and its connection
         std::unique_ptr<TokenHolder> holder;
         RecordedRequests asks;
         std::unique_ptr<TokenClient> client;
@@ -263,5 +261,5 @@
         REQUIRE(out == issuer.outstanding());
         REQUIRE(out + static_cast<int>(arrived.size()) <= bears);
     }
-    CHECK(all > 20);  // and it is used
+    CHECK(all > 20);  // the capacity is also used
 }
--- a/tests/dial_limiter_test.cpp
+++ b/tests/dial_limiter_test.cpp
@@ -1,4 +1,4 @@
-// The limit of connections in the making, at once and within a second.
+// Tests of the limits on concurrent dials and on dials per second.
 #include "worker_connection/dial_limiter.h"
 
 #include <catch2/catch.hpp>
@@ -13,7 +13,7 @@
 using worker_connection::WorkerConnection;
 
 namespace {
-// Records who is woken; the connections are never dialled.
+// Records which connections are woken; none is dialled.
 struct RecordedWakeups final : worker_connection::ConnectionHandler {
     void dial(WorkerConnection&) override {}
     void close(WorkerConnection&, bool) override {}
@@ -46,13 +46,13 @@
 };
 }  // namespace
 
-TEST_CASE("a released permit goes to the first of the queue, and one that left the queue is passed over") {
+TEST_CASE("a released permit goes to the first queued connection, and a removed connection is skipped") {
     TestLimiter test(1, 100);
     WorkerConnection &first = test.add(), &second = test.add(), &third = test.add();
     REQUIRE(test.limiter.try_acquire(kSecond, first));
     CHECK_FALSE(test.limiter.try_acquire(kSecond, second));
     CHECK_FALSE(test.limiter.try_acquire(kSecond, third));
-    CHECK(test.limiter.next_dial_at(kSecond) == 0);  // once a permit is released
+    CHECK(test.limiter.next_dial_at(kSecond) == 0);  // when a permit is released
     test.limiter.remove(second);
     CHECK(test.limiter.is_first(third));
     test.handler.woken.clear();
@@ -63,8 +63,7 @@
     test.limiter.release(third);
 }
 
-TEST_CASE(
-    "no more than the limit is dialled within any second, and the next may try when the second is over") {
+TEST_CASE("at most max_per_second dials start within a second, and the next one may start when it is over") {
     TestLimiter test(100, 2);
     WorkerConnection &first = test.add(), &second = test.add(), &third = test.add();
     REQUIRE(test.limiter.try_acquire(10 * kSecond, first));
--- a/tests/ledger_test.cpp
+++ b/tests/ledger_test.cpp
@@ -1,5 +1,5 @@
-// The ledger beside a slow, plain model of the rules, on generated sequences: all effects, scopes, endings,
-// crossings.
+// Tests of the ledger, among them a comparison with a simple model of the placement rules on generated
+// sequences of events.
 #include "ledger/ledger.h"
 
 #include <catch2/catch.hpp>
@@ -16,7 +16,7 @@
 
 namespace {
 
-// The model keeps a history and derives everything from it anew each time.
+// The model stores the history of each task and evaluates every rule from it on each call.
 struct ModelAttempt {
     ledger::WorkerRecord* node;
     Nanos sent;
@@ -27,7 +27,7 @@
     std::uint64_t service;
     Nanos until;
     std::vector<ModelAttempt> attempts;
-    char answer = 0;  // p, d, k, w
+    char answer = 0;  // 0: none, p: placed, d: rejected, k: failed, w: cancelled
     bool is_over() const {
         for (const ModelAttempt& l : attempts)
             if (!l.ended) return false;
@@ -47,7 +47,7 @@
         if (p == FailureDomain::cell) return a.endpoint.cell == b.endpoint.cell;
         return p == FailureDomain::worker && &a == &b;
     }
-    // Dealt one by one: the k-th of the half goes to the placer whose place in the circle it falls to.
+    // Deals half of the guaranteed attempts one by one: the k-th goes to the placer whose rank it falls on.
     int tokens(const ledger::WorkerRecord& n, Nanos now, Nanos turn) const {
         if (now - turn * cold.window < std::min(50 * kMillisecond, cold.window / 8)) return 0;
         const int half = static_cast<int>(cold.guaranteed_attempts / 2);
@@ -70,7 +70,7 @@
             if (c.group->effect == Effect::keyed && (!same(*l.node, n, c.group->deduplicated_by) ||
                                                      now - l.sent >= c.group->deduplication_window))
                 return false;
-            break;  // the first that may have run sets scope and window
+            break;  // the first attempt that may have run determines domain and window
         }
         if (c.group->spread_domain != FailureDomain::none) {
             int there = 0;
@@ -121,7 +121,7 @@
 
 }  // namespace
 
-TEST_CASE("on generated sequences the ledger and a plain model allow the same and owe the same") {
+TEST_CASE("on generated sequences the ledger allows the same attempts and answers as a simple model") {
     const auto seed = GENERATE(take(80, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -168,7 +168,7 @@
             open.push_back(r.number);
             continue;
         }
-        if (what == 3) {  // the list, the node itself, or a restart
+        if (what == 3) {  // an endpoint list entry, a drain announcement, or a restart
             ledger::WorkerRecord& n = *nodes[static_cast<std::size_t>(roll(6))];
             const int how = roll(5);
             if (how == 0) {
@@ -209,7 +209,7 @@
             if (n.endpoint.started_at > 0 && now - n.endpoint.started_at < cold.warm_up_time)
                 plain.young[&n].push_back(now);
         } else if (what < 11 && !r.attempts.empty()) {
-            // Anything may be said of any launch, late, twice and crossing.
+            // Any event may arrive for any attempt, also late, twice or out of order.
             const auto i = static_cast<std::size_t>(roll(static_cast<int>(r.attempts.size())));
             ledger::Attempt& l = r.attempts[i];
             ModelAttempt& p = c.attempts[i];
@@ -247,8 +247,8 @@
 }
 
 TEST_CASE(
-    "an acceptance counts once, and not after the answer, after the attempt's end, or from an earlier "
-    "attempt") {
+    "an acceptance counts only once, and not after the final answer, after the attempt's end, or from an "
+    "earlier attempt") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
@@ -272,7 +272,7 @@
 }
 
 TEST_CASE(
-    "a drain that the worker announced holds against a list that says it serves, until the worker restarts") {
+    "a drain that the worker announced is not revoked by a list entry in phase serving, but by a restart") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
@@ -287,14 +287,14 @@
     CHECK(led.check_attempt(4, r, n) == Refusal::none);
 }
 
-TEST_CASE("an attempt recorded but not handed over is not sent once the drain is known or the answer given") {
+TEST_CASE("a recorded attempt may not be sent after its deadline, a known drain or the final answer") {
     ledger::Ledger led({group(Effect::idempotent)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(0, n, serving());
     ledger::TaskRecord& r = led.create_task(0, "c", 1, asking());
     ledger::Attempt* l = led.start_attempt(0, r, n, kSecond).value_or(nullptr);
     CHECK(led.may_still_send(0, *l));
-    CHECK_FALSE(led.may_still_send(kSecond, *l));  // its time is up
+    CHECK_FALSE(led.may_still_send(kSecond, *l));  // its deadline has passed
     led.on_drain_announced(1, n, true);
     CHECK_FALSE(led.may_still_send(2, *l));
     led.on_drain_announced(3, n, false);
@@ -303,7 +303,7 @@
     CHECK_FALSE(led.may_still_send(3, *l));
 }
 
-TEST_CASE("a repeat that waited for its connection past the window is not sent any more") {
+TEST_CASE("a repeat that waits for its connection beyond the deduplication window may not be sent") {
     ledger::Ledger led({group(Effect::keyed)}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
     led.on_endpoint(kSecond, n, serving());
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,5 +1,5 @@
-// Membership: what list, node and connection say, and what follows; beside a plain model that keeps all that
-// was ever said and works everything out from the start.
+// Tests of membership: the state that follows from the reports of the endpoint list, the worker and the
+// connection, among them a comparison with a simple model that evaluates the whole history of reports.
 #include "membership/membership.h"
 
 #include <catch2/catch.hpp>
@@ -73,10 +73,10 @@
     test.membership.on_drain_announced(test.now, test.membership.find_or_add("a"));
     CHECK(test.state_of("a") == WorkerState::draining);
     CHECK(test.handler.draining.contains("a"));
-    // The list was made before it knew: it opens nothing.
+    // A list that does not know of the drain does not revoke it.
     test.publish({{"a", test.at()}}, false);
     CHECK(test.state_of("a") == WorkerState::draining);
-    // A greeting of the same life that says nothing of a drain takes it back.
+    // A greeting of the same incarnation that reports no drain revokes it.
     test.greet("a");
     CHECK(test.state_of("a") == WorkerState::serving);
     CHECK(test.handler.draining.empty());
@@ -88,7 +88,7 @@
 }
 
 TEST_CASE(
-    "what a worker reported of itself ends with its incarnation, and it is in slow start by its own report "
+    "a worker's reports about itself expire with its incarnation, and its reported restart starts slow start "
     "at once") {
     TestMembership test;
     test.publish({{"a", test.at()}});
@@ -99,7 +99,7 @@
     test.greet("a", 2, 300 * kMillisecond);
     CHECK(test.state_of("a") == WorkerState::serving);
     CHECK(test.membership.find_or_add("a").effective_endpoint.started_at == test.now - 300 * kMillisecond);
-    // The list comes with the same start, told by another clock: it is one start, not a third life.
+    // The list reports the same start from another clock. It must not count as another restart.
     const Nanos before = test.membership.find_or_add("a").effective_endpoint.started_at;
     test.publish({{"a", test.at(EndpointPhase::serving, before + 200 * kMillisecond)}}, false);
     test.greet("a", 2, test.now - before + 100 * kMillisecond);
@@ -107,7 +107,7 @@
     CHECK(test.membership.statistics().restarts == 1);
 }
 
-TEST_CASE("a worker that the list calls gone gets nothing, and is lost only when it is unreachable as well") {
+TEST_CASE("a worker that the list reports as gone gets no tasks, and is lost only once it is unreachable") {
     TestMembership test;
     test.publish({{"a", test.at()}, {"b", test.at()}});
     test.greet("a");
@@ -117,16 +117,16 @@
     CHECK(test.handler.draining.contains("a"));
     test.membership.on_disconnected(test.now, test.membership.find_or_add("a"));
     CHECK(test.state_of("a") == WorkerState::gone);
-    test.greet("a");  // it is back: the list has the last word on new work
+    test.greet("a");  // reconnected: it gets no new tasks until the list names it
     CHECK(test.state_of("a") == WorkerState::delisted);
-    test.publish({{"b", test.at()}});  // a whole one that leaves it out
+    test.publish({{"b", test.at()}});  // a snapshot that omits it
     CHECK(test.state_of("a") == WorkerState::delisted);
     test.publish({{"a", test.at()}}, false);
     CHECK(test.state_of("a") == WorkerState::serving);
 }
 
 TEST_CASE(
-    "a snapshot that omits most connected workers is requested again, and counts within the drain grace") {
+    "a snapshot that omits most connected workers is doubted, and takes effect within the drain grace") {
     TestMembership test;
     std::vector<std::pair<std::string, EndpointState>> all;
     for (int i = 0; i < 9; ++i) all.emplace_back("n" + std::to_string(i), test.at());
@@ -136,7 +136,7 @@
     test.publish({});
     CHECK(test.handler.snapshots_needed == 1);
     CHECK(test.membership.count(WorkerState::serving) == 9);
-    SECTION("a better one arrives") {
+    SECTION("a complete snapshot arrives") {
         test.advance(50 * kMillisecond);
         test.publish(all);
         CHECK_FALSE(test.membership.has_doubtful_snapshot());
@@ -144,7 +144,7 @@
         CHECK(test.membership.count(WorkerState::serving) == 9);
         CHECK(test.membership.statistics().confirmed_snapshots == 0);
     }
-    SECTION("nothing better arrives") {
+    SECTION("no better snapshot arrives within half of the drain grace") {
         test.publish({});
         test.advance(kGrace / 2 - kMillisecond);
         CHECK(test.membership.count(WorkerState::serving) == 9);
@@ -154,7 +154,7 @@
         test.publish(all, false);
         CHECK(test.membership.count(WorkerState::serving) == 9);
     }
-    SECTION("one that names some of them ends the doubt for these") {
+    SECTION("an update that names some of them ends the doubt for these") {
         test.publish({{"n0", test.at()}, {"n1", test.at(EndpointPhase::draining)}}, false);
         test.advance(kGrace);
         CHECK(test.state_of("n0") == WorkerState::serving);
@@ -163,12 +163,12 @@
     }
 }
 
-TEST_CASE("a snapshot that omits workers that are not connected, or a few, counts at once") {
+TEST_CASE("a snapshot that omits only few workers, or unconnected ones, takes effect at once") {
     TestMembership test;
     std::vector<std::pair<std::string, EndpointState>> all;
     for (int i = 0; i < 9; ++i) all.emplace_back("n" + std::to_string(i), test.at());
     test.publish(all);
-    SECTION("a few") {
+    SECTION("fewer than half") {
         for (int i = 0; i < 9; ++i) test.greet("n" + std::to_string(i));
         all.resize(5);
         test.publish(all);
@@ -182,19 +182,19 @@
     CHECK(test.handler.snapshots_needed == 0);
 }
 
-TEST_CASE("an older list does not change what a newer one has named or omitted") {
+TEST_CASE("an older list does not change the entries and omissions of a newer one") {
     TestMembership test;
     test.publish({{"a", test.at()}});
     test.advance(kSecond);
     test.publish({{"a", test.at(EndpointPhase::draining)}, {"b", test.at()}}, false);
-    test.publish({{"a", test.at()}}, true, 3600 * kSecond);  // kept somewhere for an hour
+    test.publish({{"a", test.at()}}, true, 3600 * kSecond);  // cached for an hour
     CHECK(test.state_of("a") == WorkerState::draining);
     CHECK(test.state_of("b") == WorkerState::serving);
     CHECK(test.membership.statistics().stale_entries == 1);
 }
 
 TEST_CASE(
-    "with a list that is an hour old at the start a worker gets tasks once it greets, by its own amounts") {
+    "with an hour-old list at the start a worker gets tasks once it greets, and its load report counts") {
     TestMembership test;
     test.publish({{"a", test.at(EndpointPhase::serving, 0, 8)}, {"b", test.at()}}, true, 3600 * kSecond);
     CHECK(test.state_of("a") == WorkerState::unconfirmed);
@@ -205,17 +205,17 @@
     test.membership.on_dial_failed(test.now, test.membership.find_or_add("b"));
     CHECK(test.state_of("b") == WorkerState::unreachable);
     test.publish({{"a", test.at(EndpointPhase::serving, 0, 4)}},
-                 false);  // a fresh one stands for itself again
+                 false);  // a fresh list counts again
     CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 4);
 }
 
-TEST_CASE("the amounts of a stale list are corrected by load reports, once a second at most") {
+TEST_CASE("load reports correct the amounts of a stale list at most once a second") {
     TestMembership test;
     test.publish({{"a", test.at(EndpointPhase::serving, 0, 8)}});
     test.greet("a");
     test.advance(2 * kSecond);
     test.membership.on_load_report(test.now, test.membership.find_or_add("a"), free_of(2));
-    CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 8);  // the list is not old
+    CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 8);  // the list is not stale
     test.advance(20 * kSecond);
     test.membership.on_load_report(test.now, test.membership.find_or_add("a"), free_of(2));
     CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 2);
@@ -226,7 +226,7 @@
     CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 1);
 }
 
-TEST_CASE("what an earlier incarnation reported says nothing of the present one") {
+TEST_CASE("load reports of an earlier incarnation do not count for the current one") {
     TestMembership test;
     test.publish({{"a", test.at(EndpointPhase::serving, 0, 8)}}, true, 60 * kSecond);
     test.membership.on_greeting(test.now, test.membership.find_or_add("a"), 1, 0, false, free_of(1));
@@ -239,17 +239,17 @@
 TEST_CASE("an unreachable worker gets no new tasks until it greets") {
     TestMembership test;
     test.publish({{"a", test.at()}});
-    CHECK(test.state_of("a") == WorkerState::serving);  // not tried yet: work waits for its connection
+    CHECK(test.state_of("a") == WorkerState::serving);  // not dialled yet: attempts wait for the connection
     test.greet("a");
     test.membership.on_disconnected(test.now, test.membership.find_or_add("a"));
     CHECK(test.state_of("a") == WorkerState::unreachable);
     CHECK(test.handler.urgent_changes == 1);
-    CHECK(test.handler.draining.empty());  // nothing says that it drains
+    CHECK(test.handler.draining.empty());  // no source reports a drain
     test.greet("a");
     CHECK(test.state_of("a") == WorkerState::serving);
 }
 
-TEST_CASE("a worker that restarts again and again is held off, each time for longer") {
+TEST_CASE("a worker that restarts repeatedly gets no new tasks, for longer after each restart") {
     TestMembership test;
     test.publish({{"a", test.at()}});
     const auto snapshots_needed = [&](std::uint64_t life) {
@@ -257,7 +257,7 @@
         test.greet("a", life, 100 * kMillisecond);
     };
     for (std::uint64_t life = 1; life <= 3; ++life) snapshots_needed(life);
-    CHECK(test.state_of("a") == WorkerState::serving);  // two new lives
+    CHECK(test.state_of("a") == WorkerState::serving);  // two restarts
     snapshots_needed(4);
     CHECK(test.state_of("a") == WorkerState::flapping);
     test.advance(5 * kSecond + kMillisecond);
@@ -273,7 +273,7 @@
 }
 
 TEST_CASE(
-    "of two entries for one worker in one update the more careful counts, and the address where it greeted") {
+    "of two entries for a worker in an update the conservative values and the connected address count") {
     TestMembership test;
     test.publish({{"a", test.at()}});
     test.greet("a");
@@ -289,7 +289,7 @@
 }
 
 TEST_CASE(
-    "a later incarnation at another address is dialled there; the same one moves with its next connection") {
+    "a later incarnation at another address causes a reconnect; a new address of the same one does not") {
     TestMembership test;
     test.publish({{"a", test.at(EndpointPhase::serving, test.now - 100 * kSecond)}});
     test.greet("a", 1, 100 * kSecond);
@@ -306,11 +306,11 @@
     CHECK(test.membership.find_or_add("a").address == "a:3");
 }
 
-// ---------------------------------------------------------------- the plain model
+// ---------------------------------------------------------------- the model
 
 namespace {
 
-// Everything that was ever said of one node, in its order.
+// One report about a worker. The model keeps the whole history of them.
 struct Said {
     enum What { named, left_out, doubted, greeted, drain, broke, dial } what;
     Nanos at, as_of = 0, age = 0;
@@ -319,7 +319,7 @@
     bool drains = false;
 };
 
-// Straight from the rules: reads the whole history each time.
+// Evaluates the state from the whole history by the rules.
 WorkerState plainly(const std::vector<Said>& all, Nanos now) {
     const Said* list = nullptr;
     bool up = false, ever = false, failed = false, own_drain = false;
@@ -373,7 +373,7 @@
 
 }  // namespace
 
-TEST_CASE("membership and a plain model agree on generated histories") {
+TEST_CASE("membership agrees with a simple model on generated histories") {
     const unsigned seed = GENERATE(range(1u, 41u));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
@@ -387,7 +387,7 @@
     const auto name = [](std::size_t i) { return "n" + std::to_string(i); };
     for (std::size_t i = 0; i < said.size(); ++i) test.membership.find_or_add(name(i));
     for (int step = 0; step < 400; ++step) {
-        // Time passes, and with it a doubt.
+        // Advances the time; a doubt may time out.
         const Nanos by = roll(4) ? roll(900) * kMillisecond : roll(15) * kSecond;
         if (doubt_until && test.now + by >= doubt_until + Nanos{2} * kMillisecond) {
             test.advance(doubt_until + kMillisecond - test.now);
@@ -395,7 +395,7 @@
             doubted.clear();
             doubt_until = 0;
         } else if (doubt_until) {
-            // Not so near to its end that a millisecond of the wheel decides.
+            // Stay clear of the timeout by more than the resolution of the timer wheel, 1 ms.
             if (test.now + by < doubt_until - 2 * kMillisecond) test.advance(by);
         } else {
             test.advance(by);
@@ -404,7 +404,7 @@
         WorkerEntry& m = test.membership.find_or_add(name(i));
         switch (roll(8)) {
             case 0:
-            case 1: {  // some changes, or a view kept for a while
+            case 1: {  // an update with some entries, possibly old
                 const Nanos age = roll(3) ? 0 : roll(30) * kSecond;
                 test.membership.begin_update(test.now, age, false);
                 for (int k = roll(4); k >= 0; --k) {
@@ -426,7 +426,7 @@
                 test.membership.end_update(test.now);
                 break;
             }
-            case 2: {  // a whole list that names some
+            case 2: {  // a snapshot with some of the workers
                 std::vector<std::size_t> absent;
                 std::size_t stood = 0, alive = 0;
                 const int share = roll(5);
@@ -497,7 +497,7 @@
             REQUIRE(membership::to_string(test.membership.find_or_add(name(j)).state) ==
                     membership::to_string(plainly(said[j], test.now)));
             const WorkerState s = test.membership.find_or_add(name(j)).state;
-            // What drains was told as draining, and nothing that takes work was.
+            // on_drain_started() was called for exactly the workers that are draining or gone.
             REQUIRE(test.handler.draining.contains(name(j)) ==
                     (s == WorkerState::draining || s == WorkerState::delisted || s == WorkerState::gone));
         }
--- a/tests/recovery_queue_test.cpp
+++ b/tests/recovery_queue_test.cpp
@@ -1,5 +1,5 @@
-// Containers that run already, handed over before their node is known; beside a plain model of the same
-// rules.
+// Tests of the queue of running tasks that are handed over before their workers are known, among them a
+// comparison with a simple model.
 #include "recovery/recovery_queue.h"
 
 #include <catch2/catch.hpp>
@@ -19,14 +19,14 @@
     void on_worker_gone(Nanos, PendingRecovery& h) override { ended[*static_cast<int*>(h.tag)] = false; }
     void on_snapshot_needed(Nanos) override { ++asked; }
     void wake_at(Nanos at) override { next_run = at; }
-    std::map<int, bool> ended;  // by container: found?
+    std::map<int, bool> ended;  // by task: true if its worker became known, false if it is gone
     int asked = 0;
     Nanos next_run = 0;
 };
 
 }  // namespace
 
-TEST_CASE("a task handed over before any endpoint list waits for its worker, however long the list takes") {
+TEST_CASE("a task handed over before the first endpoint list is held until a list arrives") {
     RecordingHandler handler;
     RecoveryQueue queue(handler);
     int one = 1, two = 2;
@@ -34,7 +34,7 @@
     queue.add(kSecond, "b", &two);
     queue.run_timers(1000 * kSecond);
     CHECK(handler.ended.empty());
-    CHECK(handler.asked == 0);  // the first list comes of itself
+    CHECK(handler.asked == 0);  // the first list arrives without a request
     queue.on_worker_listed(1000 * kSecond, "a");
     queue.on_update(1000 * kSecond, 999 * kSecond, true);
     CHECK(handler.ended == std::map<int, bool>{{1, true}, {2, false}});
@@ -42,7 +42,7 @@
 }
 
 TEST_CASE(
-    "a list that is older than the client's report says nothing of its worker, and a younger one is "
+    "a snapshot older than the client's report does not end the wait for its worker, and a newer one is "
     "requested") {
     RecordingHandler handler;
     RecoveryQueue queue(handler);
@@ -52,31 +52,31 @@
     queue.add(t + kSecond, "a", &one);
     queue.run_timers(handler.next_run);
     CHECK(handler.asked == 1);
-    queue.on_update(t + 2 * kSecond, t, true);                 // an old view
-    queue.on_update(t + 2 * kSecond, t + 2 * kSecond, false);  // only changes
+    queue.on_update(t + 2 * kSecond, t, true);                 // older than the report
+    queue.on_update(t + 2 * kSecond, t + 2 * kSecond, false);  // not a snapshot
     CHECK(handler.ended.empty());
     queue.run_timers(handler.next_run);
     CHECK(handler.asked == 2);
-    SECTION("a younger one without it") {
+    SECTION("a newer snapshot omits the worker") {
         queue.on_update(t + 3 * kSecond, t + 3 * kSecond, true);
         CHECK(handler.ended == std::map<int, bool>{{1, false}});
         queue.run_timers(handler.next_run);
-        CHECK(handler.asked == 2);  // nothing waits: nothing is asked
+        CHECK(handler.asked == 2);  // no task is held, so none is requested
     }
-    SECTION("lists that are always old count in the end") {
+    SECTION("old snapshots count once the maximum wait has passed") {
         queue.on_update(t + 60 * kSecond, t, true);
         CHECK(handler.ended.empty());
         queue.on_update(t + 62 * kSecond, t, true);
         CHECK(handler.ended == std::map<int, bool>{{1, false}});
     }
-    SECTION("removed by its client") {
+    SECTION("a task is removed") {
         PendingRecovery& h = queue.add(t + 3 * kSecond, "a", &one);
         queue.remove(h);
         CHECK(queue.size() == 1);
     }
 }
 
-TEST_CASE("the recovery queue and a plain model agree on generated sequences") {
+TEST_CASE("the recovery queue agrees with a simple model on generated sequences") {
     const unsigned seed = GENERATE(range(1u, 31u));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -1,4 +1,5 @@
-// Workers in slow start: what all schedulers together send, beside a slow, plain count of what arrives.
+// Tests that all schedulers together send a worker in slow start no more attempts than its capacity, by a
+// simple count of the arrivals.
 #include <algorithm>
 #include <catch2/catch.hpp>
 #include <cmath>
@@ -18,17 +19,18 @@
 constexpr Nanos kWindow = kSecond;
 constexpr Nanos kStep = 20 * kMillisecond;
 constexpr Nanos kTurns = 4;
-constexpr Nanos kLongestWay = 40 * kMillisecond;  // of an attempt to its worker
+constexpr Nanos kLongestWay = 40 * kMillisecond;  // the longest network delay of an attempt
 constexpr Nanos kStart = 1000 * kSecond;
 const char* const kWorker = "s-1";
 
-// The most attempts that may arrive in one window at a worker that bears so many: the users' terms.
+// The maximum number of attempts that may arrive in one window at a worker with this capacity: the
+// requirement of the users.
 int most_in_window(int bearable) {
     const double root = std::sqrt(bearable);
     return static_cast<int>(bearable < 30 ? bearable + 3 * root + 3 : bearable + 2 * root + 2);
 }
 
-// One scheduler with its ledger, and attempts that wait for their connection.
+// One scheduler with its ledger, and its attempts that wait for their connection.
 struct Sender {
     Sender(SlowStartSettings settings, Nanos now)
         : slow_start(settings), rig({QueueGroup{}}, settings), ledger({QueueGroup{}}, {4, true}, settings),
@@ -44,7 +46,8 @@
     void submit(int count) {
         for (int i = 0; i < count; ++i) rig.submit(rig.scheduler.add_service(1), 0, 0.001);
     }
-    // Places tasks as far as the ledger allows it; each attempt leaves once its connection is up.
+    // Runs a round and records the attempts that the ledger allows; each is written once its connection is
+    // up.
     void run_round(Nanos now, const std::function<Nanos()>& connect_time) {
         rig.now = now;
         const std::size_t before = rig.decisions.size();
@@ -57,7 +60,7 @@
             else ended.push_back(rig.decisions[i].task);
         }
     }
-    // Writes what may still be written; gives back how many attempts left.
+    // Writes the attempts that may still be sent and returns their number.
     int write(Nanos now) {
         int sent = 0;
         std::erase_if(waiting, [&](const Waiting& attempt) {
@@ -68,7 +71,7 @@
             ended.push_back(attempt.task);
             return true;
         });
-        // The worker answers at once that it is done, so that the scheduler's own limits hold nothing back.
+        // Each attempt completes at once, so that the scheduler's own limits defer none.
         for (Task* task : std::exchange(ended, {}))
             task->on_attempt_ended(now, task->attempts - 1, AttemptOutcome::completed,
                                    OutcomeReason::unspecified, true, {});
@@ -89,7 +92,8 @@
 
 }  // namespace
 
-TEST_CASE("no window brings a worker in slow start more than it bears, from however many schedulers") {
+TEST_CASE(
+    "a worker in slow start gets no more attempts in a window than allowed, from any number of schedulers") {
     const int schedulers = GENERATE(1, 3, 16, 57, 114);
     const int bearable = GENERATE(2, 29, 44, 600);
     const bool late_connections = GENERATE(false, true), restarts = GENERATE(false, true);
@@ -101,10 +105,11 @@
             now);
     };
     std::vector<std::unique_ptr<Sender>> all;
-    for (int i = 0; i < schedulers; ++i) all.push_back(start(i, kStart - kWindow));  // in an earlier turn
+    for (int i = 0; i < schedulers; ++i) all.push_back(start(i, kStart - kWindow));  // in the window before
     std::vector<Nanos> arrived;
-    // Each scheduler's share, at the end of the first turn and at the start of all others: what must not come
-    // together are the first three of these, so the first two are slow on their way.
+    // Each scheduler submits its share at the end of the first window and at the start of each later one. The
+    // attempts of the first two times are delayed on the network, so that those of the first three could
+    // arrive together.
     const int share = bearable / 2 / schedulers + 1;
     for (Nanos now = kStart; now < kStart + kTurns * kWindow; now += kStep) {
         const bool first_turn = now < kStart + kWindow;
@@ -127,12 +132,11 @@
     INFO(schedulers << " schedulers, " << bearable << " bearable, " << arrived.size() << " arrived, most "
                     << most);
     CHECK(most <= most_in_window(bearable));
-    // It is used, too: without late connections most of the tokens are.
+    // The capacity is also used: without late connections most of the tokens are.
     if (!late_connections && !restarts) CHECK(static_cast<int>(arrived.size()) >= std::min(bearable / 2, 8));
 }
 
-TEST_CASE(
-    "an attempt that waited past the end of its turn, or for a worker before its restart, is not sent") {
+TEST_CASE("an attempt recorded in an earlier window, or before the worker's restart, may not be sent") {
     const SlowStartSettings slow_start{0.2, 60 * kSecond, 2, kWindow, 40, 1, 0};
     ledger::Ledger ledger({QueueGroup{}}, {4, true}, slow_start);
     ledger::WorkerRecord& worker_record = ledger.add_worker(kWorker);
@@ -152,11 +156,13 @@
 }
 
 TEST_CASE(
-    "the ledger alone holds all schedulers to what a worker in slow start bears, whatever planners ask") {
+    "the ledgers of all schedulers limit the attempts to a worker in slow start, whatever the planners "
+    "request") {
     const int schedulers = GENERATE(1, 3, 16, 57, 114);
     const int bearable = GENERATE(2, 9, 44, 600);
-    // Whether attempts are bound at the end of the first turn, where they wait up to a second for their
-    // connection, in the middle of the second and at the start of the others; or at the start of each.
+    // True: attempts are recorded at the end of the first window, where they wait up to a second for their
+    // connection, from the middle of the second window on, and at the start of the later ones. False: at the
+    // start of each window.
     const bool late_connections = GENERATE(false, true);
     std::ranlux24_base chance(7);
     std::vector<Nanos> sent;
--- a/tests/task_liveness_test.cpp
+++ b/tests/task_liveness_test.cpp
@@ -1,4 +1,4 @@
-// When a running task that its worker says nothing of is taken to be over.
+// Tests of the rules by which a running task is taken to have ended without a message from its worker.
 #include "ledger/task_liveness.h"
 
 #include <catch2/catch.hpp>
@@ -14,27 +14,28 @@
 
 }  // namespace
 
-TEST_CASE("a task that its worker accepted is kept for as long as nothing raises a doubt") {
+TEST_CASE("an accepted task is kept without time limit while it is not in doubt") {
     TaskLiveness liveness;
     CHECK_FALSE(liveness.in_doubt());
     CHECK(liveness.check(kStart + 3600 * kSecond, {.list_is_current = false}) == Verdict::keep);
 }
 
-TEST_CASE("a reported task that its worker does not confirm in time is over, whatever the list says") {
+TEST_CASE(
+    "a reported task that its worker does not confirm in time is unconfirmed, even if the list is current") {
     TaskLiveness liveness;
     liveness.on_reported(kStart);
     const bool list_is_current = GENERATE(true, false);
     CHECK_FALSE(liveness.is_confirmed());
     CHECK(liveness.check(kStart + TaskLiveness::kConfirmationTimeout - 1,
                          {.list_is_current = list_is_current}) == Verdict::keep);
-    liveness.on_interrupted(kStart + kSecond);  // the report's time goes on
-    liveness.on_process_confirmed(kStart);      // that the process lives says nothing of this task
+    liveness.on_interrupted(kStart + kSecond);  // does not restart the report's timeout
+    liveness.on_process_confirmed(kStart);      // a running process does not confirm this task
     CHECK(liveness.check(kStart + TaskLiveness::kConfirmationTimeout, {.list_is_current = list_is_current}) ==
           Verdict::unconfirmed);
 }
 
 TEST_CASE(
-    "after an interruption a task is kept where the worker speaks, or the list would have told a restart") {
+    "after an interruption a task is kept if the worker sends a message or a current list shows no restart") {
     TaskLiveness liveness;
     liveness.on_reported(kStart);
     liveness.on_worker_message();
@@ -43,32 +44,32 @@
     SECTION("the list is current") {
         CHECK(liveness.check(kEnd, {.list_is_current = true}) == Verdict::keep);
     }
-    SECTION("the worker has said something of the task") {
+    SECTION("the worker has sent a message about the task") {
         liveness.on_worker_message();
         CHECK(liveness.check(kEnd, {.list_is_current = false}) == Verdict::keep);
     }
-    SECTION("the worker has said something of a task that ran before the interruption") {
+    SECTION("the worker has sent a message about another task that ran before the interruption") {
         liveness.on_process_confirmed(kStart);
         CHECK(liveness.check(kEnd, {.list_is_current = false}) == Verdict::keep);
     }
     CHECK_FALSE(liveness.in_doubt());
 }
 
-TEST_CASE("after an interruption a task is over where nothing shows that it runs") {
+TEST_CASE("after an interruption a task ends with the timeout if nothing shows that it runs") {
     TaskLiveness liveness;
     liveness.on_interrupted(kStart);
-    liveness.on_interrupted(kStart + 5 * kSecond);  // it may be over since the first
+    liveness.on_interrupted(kStart + 5 * kSecond);  // the timeout runs from the first
     SECTION("the list is not current") {}
-    SECTION("only a later process has shown itself") { liveness.on_process_confirmed(kStart + 1); }
+    SECTION("only a process that started later is confirmed") { liveness.on_process_confirmed(kStart + 1); }
     CHECK(liveness.check(kStart + TaskLiveness::kListDelay - 1, {.list_is_current = true}) ==
-          Verdict::keep);  // too early to tell
+          Verdict::keep);  // the list may not report a restart yet
     CHECK(liveness.check(kEnd - 1, {.list_is_current = false}) == Verdict::keep);
     CHECK(liveness.check(kEnd, {.list_is_current = false}) == Verdict::interrupted);
 }
 
-TEST_CASE("a refused dial after an interruption outweighs a list that tells no restart") {
+TEST_CASE("after an interruption and a refused dial a current list does not keep the task") {
     TaskLiveness liveness;
-    liveness.on_dial_refused();  // nothing was in doubt
+    liveness.on_dial_refused();  // ignored: the task is not in doubt
     liveness.on_interrupted(kStart);
     const bool refused = GENERATE(false, true);
     if (refused) liveness.on_dial_refused();
@@ -76,7 +77,7 @@
           (refused ? Verdict::interrupted : Verdict::keep));
 }
 
-TEST_CASE("a list that is current at any moment in time is enough, though it is not at the last") {
+TEST_CASE("a list that is current at one check after the list delay ends the doubt for good") {
     TaskLiveness liveness;
     liveness.on_interrupted(kStart);
     CHECK(liveness.check(kStart + TaskLiveness::kListDelay, {.list_is_current = true}) == Verdict::keep);
@@ -84,8 +85,7 @@
     CHECK_FALSE(liveness.in_doubt());
 }
 
-TEST_CASE(
-    "a report of a trusted client is kept longer where its worker could not be heard, and not for good") {
+TEST_CASE("a trusted client's report has the longer timeout if no message from the worker has arrived") {
     TaskLiveness liveness;
     liveness.on_reported(kStart);
     const bool heard = GENERATE(true, false), trusted = GENERATE(true, false);
@@ -96,17 +96,19 @@
     CHECK(liveness.check(kEnd, evidence) == Verdict::unconfirmed);
 }
 
-TEST_CASE("a list that tells no restart does not keep a task whose worker speaks on newer connections only") {
+TEST_CASE("a current list does not keep a task whose worker answers only on newer connections") {
     TaskLiveness liveness;
     liveness.on_silenced(kStart);
     CHECK(liveness.check(kEnd - 1, {.list_is_current = true}) == Verdict::keep);
-    SECTION("the silent connection is heard again, or the worker speaks of the task") {
+    SECTION("data arrives on the silent connection, or the worker sends a message about the task") {
         if (GENERATE(true, false)) liveness.on_process_confirmed(0);
         else liveness.on_worker_message();
         CHECK(liveness.check(kEnd, {.list_is_current = false}) == Verdict::keep);
     }
-    SECTION("it is not") { CHECK(liveness.check(kEnd, {.list_is_current = true}) == Verdict::interrupted); }
-    SECTION("it was only reported: the report's time goes on") {
+    SECTION("neither happens") {
+        CHECK(liveness.check(kEnd, {.list_is_current = true}) == Verdict::interrupted);
+    }
+    SECTION("a task that was only reported stays unconfirmed") {
         TaskLiveness reported;
         reported.on_reported(kStart);
         reported.on_silenced(kStart);
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -1,4 +1,5 @@
-// A node's connection: what a break proves of each launch, and how many dials a lost zone costs.
+// Tests of a worker's connection: which attempts a break proves unsent, and how many dials follow the loss of
+// many connections.
 #include "worker_connection/worker_connection.h"
 
 #include <catch2/catch.hpp>
@@ -17,7 +18,7 @@
     AttemptOutcome how;
 };
 
-// The edge's side, with a socket whose kernel takes what it is let take.
+// The server's side, with a socket whose kernel has taken the first `taken` bytes.
 struct TestHandler : worker_connection::ConnectionHandler {
     explicit TestHandler(int at_once = 100, int a_second = 1000) : dialler(at_once, a_second) {
         ledger.on_endpoint(0, node, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
@@ -75,14 +76,14 @@
     bool aborted = false;
     std::vector<ledger::Attempt*> sent;
     std::vector<EndedAttempt> ended;
-    std::vector<bool> downs;  // whether it had been up
+    std::vector<bool> downs;  // for each call of on_disconnected(): its `was_up`
 };
 
 }  // namespace
 
 TEST_CASE(
-    "when a connection breaks, attempts not completely handed to the kernel are proven unsent; the rest are "
-    "in doubt") {
+    "when a connection breaks, attempts not completely handed to the kernel are proven unsent; other written "
+    "ones are in doubt") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
@@ -91,8 +92,8 @@
         all.push_back(&b.launch());
         l.send(b.now, *all.back());
     }
-    CHECK(b.sent.size() == 41);  // the others were kept back: 4 KiB lie unsent
-    b.taken = 1050;              // ten whole launches, and half of one
+    CHECK(b.sent.size() == 41);  // the others stay queued: 4 KiB are unsent
+    b.taken = 1050;              // ten complete attempts and half of one
     l.on_disconnected(b.now, b.taken);
     REQUIRE(b.ended.size() == 50);
     for (const EndedAttempt& t : b.ended) CHECK(t.how == AttemptOutcome::not_sent);
@@ -101,7 +102,7 @@
 }
 
 TEST_CASE(
-    "a worker that greets again resolves what was in doubt: held, never accepted, or lost with another "
+    "a new greeting resolves attempts in doubt: held, never accepted, or lost with an earlier "
     "incarnation") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
@@ -118,32 +119,32 @@
         CHECK(b.ended[0].launch == &never);
         CHECK(b.ended[0].how == AttemptOutcome::not_sent);
     }
-    SECTION("the same, but gone for longer than it remembers") {
+    SECTION("the same incarnation, disconnected for longer than the worker remembers attempts") {
         b.now += 100 * kSecond;
         b.up(l, 7, {held.number, yes.number});
         REQUIRE(b.ended.size() == 1);
         CHECK(b.ended[0].how == AttemptOutcome::reset);
     }
-    SECTION("the same, and a task that it accepted is gone") {
+    SECTION("the same incarnation no longer holds an accepted attempt") {
         b.up(l, 7, {held.number});
         REQUIRE(b.ended.size() == 2);
         CHECK(b.ended[0].how == AttemptOutcome::not_sent);
         CHECK(b.ended[1].how == AttemptOutcome::reset);
     }
-    SECTION("another one at its address, under its name") {
+    SECTION("another incarnation with the same address and name") {
         b.up(l, 8, {});
         REQUIRE(b.ended.size() == 3);
         for (const EndedAttempt& t : b.ended) CHECK(t.how == AttemptOutcome::reset);
     }
-    SECTION("gone by the list") {
+    SECTION("the worker is no longer in the endpoint list") {
         l.on_worker_gone(b.now);
         CHECK(b.ended.size() == 3);
     }
 }
 
 TEST_CASE(
-    "a worker that accepts the connection and never greets is closed, and what waited for it was never "
-    "sent") {
+    "a connection without a greeting is closed after the timeout, and the attempts queued for it are "
+    "unsent") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.set_wanted(b.now, true);
@@ -155,7 +156,7 @@
     CHECK(b.drops == 1);
     REQUIRE(b.ended.size() == 1);
     CHECK(b.ended[0].how == AttemptOutcome::not_sent);
-    // While it pauses, nothing is held for it.
+    // During the backoff an attempt fails at once.
     l.send(b.now + 2 * kSecond, b.launch());
     REQUIRE(b.ended.size() == 2);
     CHECK(b.ended[1].how == AttemptOutcome::connect_failed);
@@ -178,8 +179,8 @@
 }
 
 TEST_CASE(
-    "when a drain is known, queued attempts are withdrawn, and the connection is aborted within the grace if "
-    "any may lie in a buffer") {
+    "on a drain queued attempts are withdrawn, and unread ones cause the connection to be aborted within the "
+    "grace") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     b.up(l);
@@ -189,27 +190,27 @@
     CHECK(b.sent.size() == 45);
     b.ledger.on_drain_announced(b.now, b.node, true);
     l.on_drain(b.now);
-    CHECK(b.ended.size() == 15);  // those that had not been written
+    CHECK(b.ended.size() == 15);  // the queued ones
     l.run_timers(b.now + 500 * kMillisecond);
     CHECK(b.drops == 0);
-    SECTION("not read: aborted in time, so that nothing arrives after") {
+    SECTION("unread attempts: the connection is aborted in time, so that none arrives after the grace") {
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
         CHECK(b.aborted);
         CHECK(b.ended.size() == 15 + 41);
-        CHECK(l.statistics().in_doubt == 1);  // whole in the kernel's hands, not received
+        CHECK(l.statistics().in_doubt == 1);  // completely handed to the kernel, but not confirmed
     }
-    SECTION("given up meanwhile: it may still lie in a buffer, and the connection is aborted all the same") {
+    SECTION("attempts that were given up may still lie in a buffer: the connection is aborted") {
         for (ledger::Attempt* out : l.attempts_in_order()) l.on_attempt_ended(*out, false);
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 1);
     }
-    SECTION("the worker answers the last one: it has read all, and the connection stays") {
+    SECTION("an answer to the last attempt shows that all were read: the connection stays") {
         l.on_attempt_ended(*l.attempts_in_order().back(), true);
         l.run_timers(b.now + 750 * kMillisecond);
         CHECK(b.drops == 0);
     }
-    SECTION("read meanwhile: the connection stays") {
+    SECTION("the worker confirms reading all: the connection stays") {
         b.taken = b.bytes;
         l.on_attempts_read(b.now + 600 * kMillisecond, 45);
         l.run_timers(b.now + 750 * kMillisecond);
@@ -217,7 +218,7 @@
     }
 }
 
-TEST_CASE("an attempt whose time is up while it is queued here was never sent") {
+TEST_CASE("a queued attempt can be withdrawn once, and is then never sent") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, {}, 1);
     l.set_wanted(b.now, true);
@@ -230,7 +231,7 @@
     CHECK(b.sent.empty());
 }
 
-TEST_CASE("a hundred workers that come back after a partition are not dialled in one moment") {
+TEST_CASE("after a partition a hundred workers are redialled within the dial limits") {
     struct Many : worker_connection::ConnectionHandler {
         void dial(WorkerConnection&) override { ++dials; }
         void close(WorkerConnection&, bool) override {}
@@ -271,7 +272,7 @@
             if (wire.dials > before) dialled.push_back(now);
         }
         most_at_once = std::max(most_at_once, dialler.dialling());
-        // For the first four seconds nobody can be reached; then all can.
+        // No worker is reachable for the first four seconds; then all are.
         for (const auto& l : links)
             if (l->state() == ConnectionState::dialling) {
                 if (now < 4 * kSecond) l->on_dial_failed(now);
@@ -290,7 +291,7 @@
     CHECK(most_at_once <= 16);
 }
 
-TEST_CASE("no more than a window of attempts is on the way to a worker that has not confirmed reading them") {
+TEST_CASE("at most 64 attempts are written to a worker that has not confirmed reading them") {
     TestHandler b;
     WorkerConnection l(b, b.dialler, b.node, worker_connection::ConnectionSettings{}, 1);
     b.up(l);
@@ -298,16 +299,16 @@
     for (int i = 0; i < 100; ++i) {
         all.push_back(&b.launch());
         l.send(b.now, *all.back());
-        b.taken = b.bytes;  // the kernel takes all
+        b.taken = b.bytes;  // the kernel takes all bytes
     }
     CHECK(b.sent.size() == 64);
     l.on_attempts_read(b.now, 10);
     CHECK(b.sent.size() == 74);
-    // The first on the way has its answer, though the node never said that it read it.
+    // An answer to the first unread attempt shows that it was read.
     l.on_attempt_ended(*all[10]);
     l.on_drained(b.now);
     CHECK(b.sent.size() == 75);
-    // What still waits here was never sent, whatever becomes of the connection.
+    // Attempts that are still queued when the connection breaks are proven unsent.
     CHECK(l.withdraw(*all[99]));
     l.on_disconnected(b.now, b.bytes);
     int unsent = 0;
--- a/tests/worker_reachability_test.cpp
+++ b/tests/worker_reachability_test.cpp
@@ -1,4 +1,4 @@
-// When a new connection to a worker is to bring what it may have said on another one.
+// Tests of the rules by which a new connection to a worker is opened to recover messages that may be lost.
 #include "ledger/worker_reachability.h"
 
 #include <catch2/catch.hpp>
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-TEST_CASE("a word that may be lost calls for a connection until one has come up") {
+TEST_CASE("after a message may have been lost a connection is needed until one is up") {
     WorkerReachability reachability;
     reachability.on_connected(kStart);
     CHECK_FALSE(reachability.needs_connection(kStart, false));
@@ -22,7 +22,7 @@
     CHECK_FALSE(reachability.needs_connection(kStart + kSecond, false));
 }
 
-TEST_CASE("a silent connection that something is expected on calls for a new one every 3.5 s") {
+TEST_CASE("while a message is expected on a silent connection, a new connection is needed after 3.5 s") {
     WorkerReachability reachability;
     reachability.on_connected(kStart);
     CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilent, true));
@@ -30,13 +30,13 @@
     CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilent + 1, false));
 }
 
-TEST_CASE("a connection is mute where nothing has come since an attempt was written 1 s ago") {
+TEST_CASE("a connection is mute if no data has arrived since a message was written 1 s ago") {
     CHECK(WorkerReachability::is_mute(kStart + kSecond, kStart - 1, kStart));
     CHECK_FALSE(WorkerReachability::is_mute(kStart + kSecond, kStart, kStart));
     CHECK_FALSE(WorkerReachability::is_mute(kStart + kSecond - 1, kStart - 1, kStart));
 }
 
-TEST_CASE("a process may be replaced where the worker answers on newer connections only") {
+TEST_CASE("a process may be replaced if the worker answers only on newer connections") {
     const Nanos heard = kStart + 10;
     const WorkerReachability::ConnectionState mute{kStart, heard, true, heard + 7, 0};
     const WorkerReachability::ConnectionState newer{heard + 5, heard + 9, false, 0, heard + 8};
@@ -50,13 +50,14 @@
     };
     CHECK(since({mute, newer}) == heard);
     CHECK_FALSE(since({mute}));
-    CHECK_FALSE(since({mute, unheard}));        // it may hang
-    CHECK_FALSE(since({mute, slow}));           // and answer later
-    CHECK_FALSE(since({mute, newer, as_old}));  // the same process spoke on both
+    CHECK_FALSE(since({mute, unheard}));        // the worker may hang
+    CHECK_FALSE(since({mute, slow}));           // it answered an earlier health check; it may be slow
+    CHECK_FALSE(since({mute, newer, as_old}));  // the same process sent data on the old connection
     CHECK(since({mute, newer, mute_later}) == heard + 3);
 }
 
-TEST_CASE("old connections are asked where none of them was heard for 6 s, whatever newer ones say") {
+TEST_CASE(
+    "the process is in question if no old connection has received data for 6 s, even if newer ones have") {
     const Nanos now = kStart + 20 * kSecond;
     const WorkerReachability::ConnectionState silent{kStart, now - WorkerReachability::kAskAfter, false};
     const WorkerReachability::ConnectionState heard{kStart, now - WorkerReachability::kAskAfter + 1, false};
