--- a/src/ledger/release_delivery.cpp
+++ b/src/ledger/release_delivery.cpp
@@ -54,7 +54,7 @@
     if (waiting_for < (own.acknowledges ? kAcknowledgeTimeout : kTransferTime)) return {Step::wait, {}};
     if (!own.acknowledges && own.heard_at > written_to_own_at_)
         return {Step::settle, DeliveryOutcome::not_acknowledging};
-    own_is_mute_ = true;
+    own_is_unresponsive_ = true;
     return {Step::write_to_others, {}};
 }
 
--- a/src/ledger/release_delivery.h
+++ b/src/ledger/release_delivery.h
@@ -51,7 +51,7 @@
     // Whether any connection from the client's address, including later ones, may carry the release, and not
     // only its own connection.
     bool is_open_to_others() const {
-        return !lost_after_transfer_ && (own_ == kNoConnection || own_is_mute_);
+        return !lost_after_transfer_ && (own_ == kNoConnection || own_is_unresponsive_);
     }
     // Whether the release should be written to the connection now.
     bool may_write_to(ConnectionNumber connection) const {
@@ -87,7 +87,7 @@
 
     const Nanos owed_at_;
     ConnectionNumber own_;
-    bool own_is_mute_ = false;
+    bool own_is_unresponsive_ = false;
     Nanos written_to_own_at_ = 0;
     Nanos acknowledged_at_ = 0;  // on another connection; 0: never
     bool lost_after_transfer_ = false;
--- a/src/ledger/task_liveness.cpp
+++ b/src/ledger/task_liveness.cpp
@@ -58,8 +58,8 @@
 // timeout.
 TaskLiveness::Verdict TaskLiveness::check(Nanos now, const Evidence& evidence) {
     const Nanos doubted_for = now - since_;
-    const bool is_believed = !evidence.worker_heard && evidence.client_trusted;
-    const Nanos confirmation_timeout = is_believed ? kInterruptionTimeout : kConfirmationTimeout;
+    const bool is_report_trusted = !evidence.worker_responded && evidence.client_trusted;
+    const Nanos confirmation_timeout = is_report_trusted ? kInterruptionTimeout : kConfirmationTimeout;
     if (doubt_ == Doubt::unconfirmed && doubted_for >= confirmation_timeout) return Verdict::unconfirmed;
     if (doubt_ != Doubt::interrupted) return Verdict::keep;
     if (evidence.list_is_current && !may_be_replaced_ && doubted_for >= kListDelay) on_worker_message();
--- a/src/ledger/task_liveness.h
+++ b/src/ledger/task_liveness.h
@@ -60,7 +60,7 @@
         bool list_is_current = false;
         // The worker has sent a message about any task since the doubt began. If none arrives from it, it
         // cannot confirm a report either.
-        bool worker_heard = true;
+        bool worker_responded = true;
         // The worker of another task that the client reported has confirmed that task.
         bool client_trusted = false;
     };
--- a/src/ledger/worker_reachability.h
+++ b/src/ledger/worker_reachability.h
@@ -17,7 +17,7 @@
     // A connection without data for this long is silent. A worker may send nothing while its tasks run, so
     // silence is no error: it only causes a new connection to be opened. A release must be sent within 8 s of
     // the end of its task, which leaves time for two new connections.
-    static constexpr Nanos kSilent = 3500 * kMillisecond;
+    static constexpr Nanos kSilentAfter = 3500 * kMillisecond;
     // A connection is mute if a message that requires an answer was written this long ago and no byte has
     // arrived since. No new task is sent on it, and another connection must recover the messages that it may
     // hold.
@@ -25,7 +25,7 @@
     // After this long without data, connections that are at least this old are sent a health check. Workers
     // send messages about most tasks more often, so few health checks are sent; the answer still arrives in
     // time for kMute and for the decision about the tasks.
-    static constexpr Nanos kAskAfter = 6 * kSecond;
+    static constexpr Nanos kHealthCheckAfter = 6 * kSecond;
 
     void on_connected(Nanos now) {
         connected_at_ = now;
@@ -35,9 +35,9 @@
     void on_word_may_be_lost() { word_may_be_lost_ = true; }
     // `waits_on_silent_connection`: the worker would report the end of a task on a silent connection.
     bool needs_connection(Nanos now, bool waits_on_silent_connection) const {
-        return word_may_be_lost_ || (waits_on_silent_connection && now - connected_at_ > kSilent);
+        return word_may_be_lost_ || (waits_on_silent_connection && now - connected_at_ > kSilentAfter);
     }
-    static bool is_silent(Nanos now, Nanos last_received_at) { return now - last_received_at > kSilent; }
+    static bool is_silent(Nanos now, Nanos last_received_at) { return now - last_received_at > kSilentAfter; }
     static bool is_mute(Nanos now, Nanos last_received_at, Nanos written_at) {
         return last_received_at < written_at && now - written_at >= kMute;
     }
@@ -46,18 +46,18 @@
     struct ConnectionState {
         Nanos up_since = 0, heard_at = 0;  // heard_at: when the last byte arrived; up_since if none has
         bool is_mute = false;
-        Nanos asked_at = 0;      // when the unanswered health check was sent; 0: none is pending
-        Nanos answered_ask = 0;  // when the last answered health check was sent; 0: none
+        Nanos health_check_sent_at = 0;    // when the unanswered health check was sent; 0: none is pending
+        Nanos answered_check_sent_at = 0;  // when the last answered health check was sent; 0: none
     };
     static bool is_old(Nanos now, const ConnectionState& connection) {
-        return !connection.is_mute && now - connection.up_since >= kAskAfter;
+        return !connection.is_mute && now - connection.up_since >= kHealthCheckAfter;
     }
-    // There are old connections, and no data has arrived on any of them for kAskAfter.
+    // There are old connections, and no data has arrived on any of them for kHealthCheckAfter.
     static bool is_process_in_question(Nanos now, const std::vector<ConnectionState>& connections) {
         bool any_old = false;
         for (const ConnectionState& connection : connections) {
             if (!is_old(now, connection)) continue;
-            if (now - connection.heard_at < kAskAfter) return false;
+            if (now - connection.heard_at < kHealthCheckAfter) return false;
             any_old = true;
         }
         return any_old;
--- a/src/slow_start/token_client.cpp
+++ b/src/slow_start/token_client.cpp
@@ -72,7 +72,7 @@
 void TokenClient::on_granted(Nanos now, WarmingWorker& worker, std::uint64_t sequence, int tokens) {
     // The grant answers an earlier request. The worker takes its tokens back when it reads the latest one.
     if (sequence != worker.sequence_ || tokens <= 0 || tokens > worker.requested_) {
-        ++statistics_.stray_grants;
+        ++statistics_.stale_grants;
         return;
     }
     worker.requested_ -= tokens;
@@ -118,16 +118,16 @@
 
 // Requests one token per worker and round, so that the requests are spread over the workers.
 void TokenClient::request_more(Nanos now, std::size_t needed) {
-    std::size_t sought = 0;
+    std::size_t tokens_expected = 0;
     for (const WarmingWorker* worker : candidates_)
-        sought += static_cast<std::size_t>(worker->held_ + worker->requested_);
-    for (int round = 0; round < kMaxTokensPerWorker && sought < needed; ++round) {
+        tokens_expected += static_cast<std::size_t>(worker->held_ + worker->requested_);
+    for (int round = 0; round < kMaxTokensPerWorker && tokens_expected < needed; ++round) {
         bool any_requested = false;
-        for (std::size_t i = 0; i < candidates_.size() && sought < needed; ++i) {
+        for (std::size_t i = 0; i < candidates_.size() && tokens_expected < needed; ++i) {
             WarmingWorker& worker = *candidates_[(next_candidate_ + i) % candidates_.size()];
             if (now < worker.next_request_at_ || worker.held_ + worker.requested_ > round) continue;
             update_request(now, worker, worker.held_, worker.requested_ + 1);
-            ++sought;
+            ++tokens_expected;
             any_requested = true;
         }
         if (!any_requested && round > 0) break;
--- a/src/slow_start/token_client.h
+++ b/src/slow_start/token_client.h
@@ -52,7 +52,7 @@
 
 // Counters for operators and tests.
 struct TokenClientStatistics {
-    std::uint64_t requests = 0, granted = 0, used = 0, returned = 0, stray_grants = 0;
+    std::uint64_t requests = 0, granted = 0, used = 0, returned = 0, stale_grants = 0;
 };
 
 class TokenClient {
--- a/tests/admission_token_test.cpp
+++ b/tests/admission_token_test.cpp
@@ -145,7 +145,7 @@
         client.request_for(now + 700 * kMillisecond, 0);  // no longer wants any
         client.on_granted(now + 700 * kMillisecond, c, old, 1);
         CHECK(c.held() == 0);
-        CHECK(client.statistics().stray_grants == 1);
+        CHECK(client.statistics().stale_grants == 1);
     }
     SECTION("the connection breaks") {
         client.on_disconnected(now, c);
--- a/tests/worker_reachability_test.cpp
+++ b/tests/worker_reachability_test.cpp
@@ -25,9 +25,9 @@
 TEST_CASE("while a message is expected on a silent connection, a new connection is needed after 3.5 s") {
     WorkerReachability reachability;
     reachability.on_connected(kStart);
-    CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilent, true));
-    CHECK(reachability.needs_connection(kStart + WorkerReachability::kSilent + 1, true));
-    CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilent + 1, false));
+    CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilentAfter, true));
+    CHECK(reachability.needs_connection(kStart + WorkerReachability::kSilentAfter + 1, true));
+    CHECK_FALSE(reachability.needs_connection(kStart + WorkerReachability::kSilentAfter + 1, false));
 }
 
 TEST_CASE("a connection is mute if no data has arrived since a message was written 1 s ago") {
@@ -59,8 +59,10 @@
 TEST_CASE(
     "the process is in question if no old connection has received data for 6 s, even if newer ones have") {
     const Nanos now = kStart + 20 * kSecond;
-    const WorkerReachability::ConnectionState silent{kStart, now - WorkerReachability::kAskAfter, false};
-    const WorkerReachability::ConnectionState heard{kStart, now - WorkerReachability::kAskAfter + 1, false};
+    const WorkerReachability::ConnectionState silent{kStart, now - WorkerReachability::kHealthCheckAfter,
+                                                     false};
+    const WorkerReachability::ConnectionState heard{kStart, now - WorkerReachability::kHealthCheckAfter + 1,
+                                                    false};
     const WorkerReachability::ConnectionState newer{now - kSecond, now, false};
     CHECK(WorkerReachability::is_process_in_question(now, {silent, newer}));
     CHECK_FALSE(WorkerReachability::is_process_in_question(now, {silent, heard, newer}));
