--- a/tests/admission_controller_test.cpp
+++ b/tests/admission_controller_test.cpp
@@ -10,21 +10,21 @@
 
 TEST_CASE("a burst from one client leaves the other clients their shares, and may use the rest") {
     AdmissionController controller({1000, 1000, 1'000'000, 10}, 1);
-    ClientShare flood(controller), quiet(controller);
-    int taken = 0;
-    while (controller.admit(0, flood, 0) == AdmissionLimit::none) ++taken;
-    CHECK(taken == 825);  // all but the other client's guarantee
-    int others = 0;
-    while (controller.admit(0, quiet, 0) == AdmissionLimit::none) ++others;
-    CHECK(others == 175);
+    ClientShare busy(controller), other(controller);
+    int admitted = 0;
+    while (controller.admit(0, busy, 0) == AdmissionLimit::none) ++admitted;
+    CHECK(admitted == 825);  // all but the other client's guarantee
+    int other_admitted = 0;
+    while (controller.admit(0, other, 0) == AdmissionLimit::none) ++other_admitted;
+    CHECK(other_admitted == 175);
     // A third client connects and the guarantees shrink. It gets its share as waiting tasks of others are
     // answered.
     ClientShare late(controller);
     CHECK(controller.admit(0, late, 0) == AdmissionLimit::waiting);
-    for (int i = 0; i < 400; ++i) controller.on_answered(&flood, 0);
-    int third = 0;
-    while (controller.admit(0, late, 0) == AdmissionLimit::none) ++third;
-    CHECK(third >= 116);
+    for (int i = 0; i < 400; ++i) controller.on_answered(&busy, 0);
+    int late_admitted = 0;
+    while (controller.admit(0, late, 0) == AdmissionLimit::none) ++late_admitted;
+    CHECK(late_admitted >= 116);
 }
 
 TEST_CASE("a burst in one queue group leaves the other groups their shares") {
@@ -70,8 +70,8 @@
 TEST_CASE(
     "on generated sequences a member below its guarantee always fits, and the capacity is never exceeded") {
     const auto seed = GENERATE(take(60, random(1u, 1u << 30)));
-    std::ranlux24_base chance(seed);
-    const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+    std::ranlux24_base engine(seed);
+    const auto roll = [&engine](int n) { return static_cast<int>(engine() % static_cast<unsigned>(n)); };
     const int capacity = 1 + roll(300);
     FairShares shares(capacity, roll(11) / 10.0);
     std::vector<std::unique_ptr<ShareHolder>> members;
@@ -83,13 +83,13 @@
                 members.push_back(std::make_unique<ShareHolder>(shares));
         }
         if (members.empty()) continue;
-        const auto at = static_cast<std::size_t>(roll(static_cast<int>(members.size())));
-        ShareHolder& m = *members[at];
+        const auto index = static_cast<std::size_t>(roll(static_cast<int>(members.size())));
+        ShareHolder& member = *members[index];
         if (roll(3)) {
-            if (m.held() < shares.guaranteed() && shares.held() < capacity) REQUIRE(m.fits());
-            if (m.fits()) m.add();
-        } else if (m.held() > 0) m.remove(1 + roll(static_cast<int>(m.held())));
-        if (roll(200) == 0) members.erase(members.begin() + static_cast<std::ptrdiff_t>(at));
+            if (member.held() < shares.guaranteed() && shares.held() < capacity) REQUIRE(member.fits());
+            if (member.fits()) member.add();
+        } else if (member.held() > 0) member.remove(1 + roll(static_cast<int>(member.held())));
+        if (roll(200) == 0) members.erase(members.begin() + static_cast<std::ptrdiff_t>(index));
         std::int64_t sum = 0;
         for (const auto& each : members) sum += each->held();
         REQUIRE(sum == shares.held());
--- a/tests/admission_token_test.cpp
+++ b/tests/admission_token_test.cpp
@@ -18,26 +18,26 @@
 namespace {
 
 struct RecordedGrants : slow_start::TokenIssuerHandler {
-    void send_tokens(TokenHolder& h, std::uint64_t number, int n) override {
-        granted[&h] += n;
-        last = number;
+    void send_tokens(TokenHolder& holder, std::uint64_t sequence, int tokens) override {
+        granted[&holder] += tokens;
+        last_sequence = sequence;
     }
     void wake_at(Nanos at) override { next_wakeup = at; }
     std::map<TokenHolder*, int> granted;
-    std::uint64_t last = 0;
+    std::uint64_t last_sequence = 0;
     Nanos next_wakeup = 0;
 };
 
 struct RecordedRequests : slow_start::TokenClientHandler {
-    void send_request(WarmingWorker&, std::uint64_t n, int held, int more) override {
-        number = n;
+    void send_request(WarmingWorker&, std::uint64_t request_sequence, int held, int wanted) override {
+        sequence = request_sequence;
         last_held = held;
-        last_more = more;
-        ++asks;
+        last_wanted = wanted;
+        ++requests;
     }
     void on_tokens_changed(Nanos, WarmingWorker&) override { ++changes; }
-    std::uint64_t number = 0;
-    int last_held = 0, last_more = 0, asks = 0, changes = 0;
+    std::uint64_t sequence = 0;
+    int last_held = 0, last_wanted = 0, requests = 0, changes = 0;
 };
 
 }  // namespace
@@ -108,50 +108,50 @@
 TEST_CASE("a placer requests tokens when it has tasks to place, uses them, and returns unused ones") {
     RecordedRequests handler;
     TokenClient client(handler, 10 * kSecond);
-    WarmingWorker c(client);
+    WarmingWorker worker(client);
     Nanos now = 100 * kSecond;
-    client.on_greeting(now, c, true);
+    client.on_greeting(now, worker, true);
     client.request_for(now, 5);
-    CHECK(handler.asks == 0);  // the worker is not known to be in slow start
-    client.on_worker_changed(now, c, true, now - kSecond);
+    CHECK(handler.requests == 0);  // the worker is not known to be in slow start
+    client.on_worker_changed(now, worker, true, now - kSecond);
     client.request_for(now, 0);
-    CHECK(handler.asks == 0);
+    CHECK(handler.requests == 0);
     client.request_for(now, 2);
-    CHECK(c.requested() == 2);
-    client.on_granted(now, c, handler.number, 2);
-    CHECK(c.held() == 2);
-    client.use_token(now, c);
-    CHECK(c.held() == 1);
+    CHECK(worker.requested() == 2);
+    client.on_granted(now, worker, handler.sequence, 2);
+    CHECK(worker.held() == 2);
+    client.use_token(now, worker);
+    CHECK(worker.held() == 1);
     now += 1100 * kMillisecond;
     client.request_for(now, 2);
-    CHECK(c.held() == 0);
+    CHECK(worker.held() == 0);
     CHECK(client.statistics().returned == 1);
-    const int before = handler.asks;
+    const int before = handler.requests;
     client.request_for(now + 100 * kMillisecond, 2);
-    CHECK(handler.asks == before);  // backing off after the unused token
+    CHECK(handler.requests == before);  // backing off after the unused token
     client.request_for(now + 600 * kMillisecond, 2);
-    CHECK(handler.asks > before);
+    CHECK(handler.requests > before);
     SECTION("the worker drains") {
-        client.on_worker_changed(now, c, false, now - kSecond);
-        CHECK(handler.last_more == 0);
+        client.on_worker_changed(now, worker, false, now - kSecond);
+        CHECK(handler.last_wanted == 0);
     }
     SECTION("the worker's slow start has ended") {
         client.request_for(now + 20 * kSecond, 2);
-        CHECK(handler.last_more == 0);
-        CHECK(c.requested() == 0);
+        CHECK(handler.last_wanted == 0);
+        CHECK(worker.requested() == 0);
     }
     SECTION("a grant for an earlier request is ignored") {
-        const std::uint64_t old = handler.number;
+        const std::uint64_t old = handler.sequence;
         client.request_for(now + 700 * kMillisecond, 0);  // no longer wants any
-        client.on_granted(now + 700 * kMillisecond, c, old, 1);
-        CHECK(c.held() == 0);
+        client.on_granted(now + 700 * kMillisecond, worker, old, 1);
+        CHECK(worker.held() == 0);
         CHECK(client.statistics().stale_grants == 1);
     }
     SECTION("the connection breaks") {
-        client.on_disconnected(now, c);
-        CHECK(c.requested() == 0);
+        client.on_disconnected(now, worker);
+        CHECK(worker.requested() == 0);
         client.request_for(now + 2 * kSecond, 3);
-        CHECK(c.requested() == 0);
+        CHECK(worker.requested() == 0);
     }
 }
 
@@ -159,107 +159,109 @@
 // connections break with all messages on them. No window may have more arrivals than the worker's capacity.
 TEST_CASE("a worker receives no more attempts than its capacity, however long messages are delayed") {
     const unsigned seed = GENERATE(range(1u, 31u));
-    std::ranlux24_base chance(seed);
-    const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+    std::ranlux24_base engine(seed);
+    const auto roll = [&engine](int n) { return static_cast<int>(engine() % static_cast<unsigned>(n)); };
 
-    struct Way {  // a placer and its connection
+    struct Placer {  // a placer and its connection
         std::unique_ptr<TokenHolder> holder;
-        RecordedRequests asks;
+        RecordedRequests requests;
         std::unique_ptr<TokenClient> client;
-        std::unique_ptr<WarmingWorker> cold;
-        struct Note {
-            bool offer;
-            std::uint64_t number;
-            int held, more;
+        std::unique_ptr<WarmingWorker> worker;
+        struct Message {
+            bool is_attempt;
+            std::uint64_t sequence;
+            int held, wanted;
         };
-        std::deque<Note> to_node;
+        std::deque<Message> to_worker;
         std::deque<std::pair<std::uint64_t, int>> to_placer;
     };
-    struct Node : slow_start::TokenIssuerHandler {
-        void send_tokens(TokenHolder& h, std::uint64_t number, int n) override {
-            static_cast<Way*>(h.tag)->to_placer.emplace_back(number, n);
+    struct Issuer : slow_start::TokenIssuerHandler {
+        void send_tokens(TokenHolder& holder, std::uint64_t sequence, int tokens) override {
+            static_cast<Placer*>(holder.tag)->to_placer.emplace_back(sequence, tokens);
         }
         void wake_at(Nanos) override {}
-    } node;
-    struct Sends : slow_start::TokenClientHandler {
-        explicit Sends(Way& w) : way(w) {}
-        void send_request(WarmingWorker&, std::uint64_t number, int held, int more) override {
-            way.to_node.push_back({false, number, held, more});
+    } issuer_handler;
+    struct RequestSender : slow_start::TokenClientHandler {
+        explicit RequestSender(Placer& p) : placer(p) {}
+        void send_request(WarmingWorker&, std::uint64_t sequence, int held, int wanted) override {
+            placer.to_worker.push_back({false, sequence, held, wanted});
         }
         void on_tokens_changed(Nanos, WarmingWorker&) override {}
-        Way& way;
+        Placer& placer;
     };
-    const int bears = 2 + roll(12);
-    TokenIssuer issuer(node, kSecond);
+    const int capacity = 2 + roll(12);
+    TokenIssuer issuer(issuer_handler, kSecond);
     Nanos now = 1000 * kSecond;
-    issuer.set_capacity(now, bears);
-    std::vector<std::unique_ptr<Way>> ways;
-    std::vector<std::unique_ptr<Sends>> ports;
-    const auto connect = [&](Way& w) {
-        w.to_node.clear();
-        w.to_placer.clear();
-        w.holder = std::make_unique<TokenHolder>(issuer);
-        w.holder->tag = &w;
-        w.client->on_greeting(now, *w.cold, true);
-        w.client->on_worker_changed(now, *w.cold, true, now - kSecond);
+    issuer.set_capacity(now, capacity);
+    std::vector<std::unique_ptr<Placer>> placers;
+    std::vector<std::unique_ptr<RequestSender>> senders;
+    const auto connect = [&](Placer& placer) {
+        placer.to_worker.clear();
+        placer.to_placer.clear();
+        placer.holder = std::make_unique<TokenHolder>(issuer);
+        placer.holder->tag = &placer;
+        placer.client->on_greeting(now, *placer.worker, true);
+        placer.client->on_worker_changed(now, *placer.worker, true, now - kSecond);
     };
     for (int i = 0; i < 2 + roll(10); ++i) {
-        ways.push_back(std::make_unique<Way>());
-        ports.push_back(std::make_unique<Sends>(*ways.back()));
-        ways.back()->client = std::make_unique<TokenClient>(*ports.back(), 1'000'000 * kSecond);
-        ways.back()->cold = std::make_unique<WarmingWorker>(*ways.back()->client);
-        connect(*ways.back());
+        placers.push_back(std::make_unique<Placer>());
+        senders.push_back(std::make_unique<RequestSender>(*placers.back()));
+        placers.back()->client = std::make_unique<TokenClient>(*senders.back(), 1'000'000 * kSecond);
+        placers.back()->worker = std::make_unique<WarmingWorker>(*placers.back()->client);
+        connect(*placers.back());
     }
     std::deque<Nanos> arrived;
-    std::size_t all = 0;
+    std::size_t all_arrivals = 0;
     for (int step = 0; step < 6000; ++step) {
-        Way& w = *ways[static_cast<std::size_t>(roll(static_cast<int>(ways.size())))];
+        Placer& placer = *placers[static_cast<std::size_t>(roll(static_cast<int>(placers.size())))];
         switch (roll(6)) {
             case 0:
                 now += roll(150) * kMillisecond;
                 issuer.run_timers(now);
                 break;
             case 1:
-                w.client->request_for(now, static_cast<std::size_t>(roll(5)));
+                placer.client->request_for(now, static_cast<std::size_t>(roll(5)));
                 break;
             case 2:
-                if (w.cold->held() > 0) {
-                    w.client->use_token(now, *w.cold);
-                    w.to_node.push_back({true, 0, 0, 0});
+                if (placer.worker->held() > 0) {
+                    placer.client->use_token(now, *placer.worker);
+                    placer.to_worker.push_back({true, 0, 0, 0});
                 }
                 break;
             case 3:
             case 4:
-                if (!w.to_node.empty() && roll(3)) {
-                    const Way::Note n = w.to_node.front();
-                    w.to_node.pop_front();
-                    if (n.offer) {
-                        issuer.on_attempt(now, *w.holder);
+                if (!placer.to_worker.empty() && roll(3)) {
+                    const Placer::Message message = placer.to_worker.front();
+                    placer.to_worker.pop_front();
+                    if (message.is_attempt) {
+                        issuer.on_attempt(now, *placer.holder);
                         arrived.push_back(now);
-                        ++all;
+                        ++all_arrivals;
                     } else {
-                        issuer.on_request(now, *w.holder, n.number, n.held, n.more);
+                        issuer.on_request(now, *placer.holder, message.sequence, message.held,
+                                          message.wanted);
                     }
                 }
-                if (!w.to_placer.empty() && roll(3)) {
-                    w.client->on_granted(now, *w.cold, w.to_placer.front().first, w.to_placer.front().second);
-                    w.to_placer.pop_front();
+                if (!placer.to_placer.empty() && roll(3)) {
+                    placer.client->on_granted(now, *placer.worker, placer.to_placer.front().first,
+                                              placer.to_placer.front().second);
+                    placer.to_placer.pop_front();
                 }
                 break;
             case 5:
                 if (roll(40) == 0) {
-                    w.client->on_disconnected(now, *w.cold);
-                    connect(w);
+                    placer.client->on_disconnected(now, *placer.worker);
+                    connect(placer);
                 }
                 break;
         }
         while (!arrived.empty() && now - arrived.front() >= kSecond) arrived.pop_front();
-        INFO("seed " << seed << " step " << step << " bears " << bears);
-        REQUIRE(static_cast<int>(arrived.size()) <= bears);
-        int out = 0;
-        for (const auto& each : ways) out += each->holder->outstanding();
-        REQUIRE(out == issuer.outstanding());
-        REQUIRE(out + static_cast<int>(arrived.size()) <= bears);
+        INFO("seed " << seed << " step " << step << " capacity " << capacity);
+        REQUIRE(static_cast<int>(arrived.size()) <= capacity);
+        int outstanding = 0;
+        for (const auto& each : placers) outstanding += each->holder->outstanding();
+        REQUIRE(outstanding == issuer.outstanding());
+        REQUIRE(outstanding + static_cast<int>(arrived.size()) <= capacity);
     }
-    CHECK(all > 20);  // the capacity is also used
+    CHECK(all_arrivals > 20);  // the capacity is also used
 }
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -16,13 +16,13 @@
 constexpr Nanos kGrace = 1 * kSecond;
 
 struct RecordingHandler : membership::MembershipHandler {
-    void on_worker_changed(Nanos, WorkerEntry& m, bool is_urgent) override {
+    void on_worker_changed(Nanos, WorkerEntry& worker, bool is_urgent) override {
         ++changes;
         urgent_changes += is_urgent;
-        last = &m;
+        last = &worker;
     }
-    void on_drain_started(Nanos, WorkerEntry& m) override { draining.insert(m.name); }
-    void on_drain_revoked(Nanos, WorkerEntry& m) override { draining.erase(m.name); }
+    void on_drain_started(Nanos, WorkerEntry& worker) override { draining.insert(worker.name); }
+    void on_drain_revoked(Nanos, WorkerEntry& worker) override { draining.erase(worker.name); }
     void on_snapshot_needed(Nanos) override { ++snapshots_needed; }
     void on_address_changed(Nanos, WorkerEntry&) override { ++address_changes; }
     void wake_at(Nanos) override {}
@@ -32,28 +32,28 @@
 };
 
 LoadReport free_of(double cores) {
-    LoadReport r;
-    r.free_cores = cores;
-    r.free_memory = 2 * cores;
-    r.has_free_cores = r.has_free_memory = true;
-    return r;
+    LoadReport report;
+    report.free_cores = cores;
+    report.free_memory = 2 * cores;
+    report.has_free_cores = report.has_free_memory = true;
+    return report;
 }
 
 struct TestMembership {
     TestMembership() : membership(handler, now, kGrace, true) {}
-    EndpointState at(EndpointPhase s = EndpointPhase::serving, Nanos started = 0, double cores = 8) {
-        return {0, 0, 0, cores, 2 * cores, s, started};
+    EndpointState at(EndpointPhase phase = EndpointPhase::serving, Nanos started = 0, double cores = 8) {
+        return {0, 0, 0, cores, 2 * cores, phase, started};
     }
-    void publish(const std::vector<std::pair<std::string, EndpointState>>& entries, bool whole = true,
+    void publish(const std::vector<std::pair<std::string, EndpointState>>& entries, bool is_snapshot = true,
                  Nanos age = 0) {
-        membership.begin_update(now, age, whole);
-        for (const auto& [name, l] : entries)
-            membership.on_endpoint(now, membership.find_or_add(name), l, name + ":1");
+        membership.begin_update(now, age, is_snapshot);
+        for (const auto& [name, entry] : entries)
+            membership.on_endpoint(now, membership.find_or_add(name), entry, name + ":1");
         membership.end_update(now);
     }
-    void greet(const std::string& name, std::uint64_t incarnation = 1, Nanos up_for = 0,
-               bool drains = false) {
-        membership.on_greeting(now, membership.find_or_add(name), incarnation, up_for, drains, {});
+    void greet(const std::string& name, std::uint64_t incarnation = 1, Nanos uptime = 0,
+               bool is_draining = false) {
+        membership.on_greeting(now, membership.find_or_add(name), incarnation, uptime, is_draining, {});
     }
     void advance(Nanos by) { membership.run_timers(now += by); }
     WorkerState state_of(const std::string& name) { return membership.find_or_add(name).state; }
@@ -252,23 +252,23 @@
 TEST_CASE("a worker that restarts repeatedly gets no new tasks, for longer after each restart") {
     TestMembership test;
     test.publish({{"a", test.at()}});
-    const auto snapshots_needed = [&](std::uint64_t life) {
+    const auto reconnect = [&](std::uint64_t incarnation) {
         test.membership.on_disconnected(test.now, test.membership.find_or_add("a"));
-        test.greet("a", life, 100 * kMillisecond);
+        test.greet("a", incarnation, 100 * kMillisecond);
     };
-    for (std::uint64_t life = 1; life <= 3; ++life) snapshots_needed(life);
+    for (std::uint64_t incarnation = 1; incarnation <= 3; ++incarnation) reconnect(incarnation);
     CHECK(test.state_of("a") == WorkerState::serving);  // two restarts
-    snapshots_needed(4);
+    reconnect(4);
     CHECK(test.state_of("a") == WorkerState::flapping);
     test.advance(5 * kSecond + kMillisecond);
     CHECK(test.state_of("a") == WorkerState::serving);
-    snapshots_needed(5);
+    reconnect(5);
     test.advance(6 * kSecond);
     CHECK(test.state_of("a") == WorkerState::flapping);
     test.advance(5 * kSecond);
     CHECK(test.state_of("a") == WorkerState::serving);
     test.advance(120 * kSecond);
-    snapshots_needed(6);
+    reconnect(6);
     CHECK(test.state_of("a") == WorkerState::serving);
 }
 
@@ -311,87 +311,89 @@
 namespace {
 
 // One report about a worker. The model keeps the whole history of them.
-struct Said {
-    enum What { named, left_out, doubted, greeted, drain, broke, dial } what;
+struct Report {
+    enum Kind { named, omitted, doubted, greeted, drain_announced, disconnected, dial_failed } kind;
     Nanos at, as_of = 0, age = 0;
-    EndpointPhase stage = EndpointPhase::serving;
+    EndpointPhase phase = EndpointPhase::serving;
     std::uint64_t incarnation = 0;
-    bool drains = false;
+    bool is_draining = false;
 };
 
 // Evaluates the state from the whole history by the rules.
-WorkerState plainly(const std::vector<Said>& all, Nanos now) {
-    const Said* list = nullptr;
-    bool up = false, ever = false, failed = false, own_drain = false;
-    std::uint64_t life = 0;
-    std::vector<Nanos> lives;
-    Nanos held_until = 0;
-    for (const Said& s : all) {
-        switch (s.what) {
-            case Said::named:
-                if (!list || s.as_of >= list->as_of) list = &s;
+WorkerState evaluate_state(const std::vector<Report>& history, Nanos now) {
+    const Report* list = nullptr;
+    bool up = false, was_ever_up = false, failed = false, reported_drain = false;
+    std::uint64_t incarnation = 0;
+    std::vector<Nanos> restarts;
+    Nanos hold_until = 0;
+    for (const Report& report : history) {
+        switch (report.kind) {
+            case Report::named:
+                if (!list || report.as_of >= list->as_of) list = &report;
                 break;
-            case Said::left_out:
-                list = &s;
+            case Report::omitted:
+                list = &report;
                 break;
-            case Said::doubted:
+            case Report::doubted:
                 break;
-            case Said::greeted:
-                if (life && life != s.incarnation) {
-                    lives.push_back(s.at);
-                    int lately = 0;
-                    for (const Nanos at : lives) lately += s.at / (5 * kSecond) - at / (5 * kSecond) < 12;
+            case Report::greeted:
+                if (incarnation && incarnation != report.incarnation) {
+                    restarts.push_back(report.at);
+                    int recent_restarts = 0;
+                    for (const Nanos at : restarts)
+                        recent_restarts += report.at / (5 * kSecond) - at / (5 * kSecond) < 12;
                     Nanos hold = 5 * kSecond;
-                    for (int i = 3; i < lately && i < 13; ++i) hold *= 2;
-                    if (lately >= 3) held_until = s.at + std::min(hold, 60 * kSecond);
+                    for (int i = 3; i < recent_restarts && i < 13; ++i) hold *= 2;
+                    if (recent_restarts >= 3) hold_until = report.at + std::min(hold, 60 * kSecond);
                 }
-                life = s.incarnation;
-                own_drain = s.drains;
-                up = ever = true;
+                incarnation = report.incarnation;
+                reported_drain = report.is_draining;
+                up = was_ever_up = true;
                 failed = false;
                 break;
-            case Said::drain:
-                own_drain = true;
+            case Report::drain_announced:
+                reported_drain = true;
                 break;
-            case Said::broke:
+            case Report::disconnected:
                 up = false;
                 break;
-            case Said::dial:
+            case Report::dial_failed:
                 up = false;
                 failed = true;
                 break;
         }
     }
     if (!list) return WorkerState::unknown;
-    if (list->what == Said::left_out || list->stage == EndpointPhase::gone)
+    if (list->kind == Report::omitted || list->phase == EndpointPhase::gone)
         return up ? WorkerState::delisted : WorkerState::gone;
-    if (list->stage == EndpointPhase::draining || own_drain) return WorkerState::draining;
-    if (now < held_until) return WorkerState::flapping;
-    if (!up && (ever || failed)) return WorkerState::unreachable;
-    return !ever && list->age > 10 * kSecond ? WorkerState::unconfirmed : WorkerState::serving;
+    if (list->phase == EndpointPhase::draining || reported_drain) return WorkerState::draining;
+    if (now < hold_until) return WorkerState::flapping;
+    if (!up && (was_ever_up || failed)) return WorkerState::unreachable;
+    return !was_ever_up && list->age > 10 * kSecond ? WorkerState::unconfirmed : WorkerState::serving;
 }
 
 }  // namespace
 
 TEST_CASE("membership agrees with a simple model on generated histories") {
     const unsigned seed = GENERATE(range(1u, 41u));
-    std::ranlux24_base chance(seed);
-    const auto roll = [&chance](int n) { return static_cast<int>(chance() % static_cast<unsigned>(n)); };
+    std::ranlux24_base engine(seed);
+    const auto roll = [&engine](int n) { return static_cast<int>(engine() % static_cast<unsigned>(n)); };
     TestMembership test;
-    const int nodes = 1 + roll(12);
-    std::vector<std::vector<Said>> said(static_cast<std::size_t>(nodes));
-    std::vector<std::uint64_t> lives(said.size(), 1);
-    std::vector<bool> up(said.size(), false);
+    const int worker_count = 1 + roll(12);
+    std::vector<std::vector<Report>> histories(static_cast<std::size_t>(worker_count));
+    std::vector<std::uint64_t> incarnations(histories.size(), 1);
+    std::vector<bool> up(histories.size(), false);
     std::set<std::size_t> doubted;
     Nanos doubt_until = 0;
     const auto name = [](std::size_t i) { return "n" + std::to_string(i); };
-    for (std::size_t i = 0; i < said.size(); ++i) test.membership.find_or_add(name(i));
+    for (std::size_t i = 0; i < histories.size(); ++i) test.membership.find_or_add(name(i));
     for (int step = 0; step < 400; ++step) {
         // Advances the time; a doubt may time out.
         const Nanos by = roll(4) ? roll(900) * kMillisecond : roll(15) * kSecond;
         if (doubt_until && test.now + by >= doubt_until + Nanos{2} * kMillisecond) {
             test.advance(doubt_until + kMillisecond - test.now);
-            for (const std::size_t i : doubted) said[i].push_back({Said::left_out, doubt_until, doubt_until});
+            for (const std::size_t i : doubted)
+                histories[i].push_back({Report::omitted, doubt_until, doubt_until});
             doubted.clear();
             doubt_until = 0;
         } else if (doubt_until) {
@@ -400,67 +402,69 @@
         } else {
             test.advance(by);
         }
-        const auto i = static_cast<std::size_t>(roll(nodes));
-        WorkerEntry& m = test.membership.find_or_add(name(i));
+        const auto i = static_cast<std::size_t>(roll(worker_count));
+        WorkerEntry& worker = test.membership.find_or_add(name(i));
         switch (roll(8)) {
             case 0:
             case 1: {  // an update with some entries, possibly old
                 const Nanos age = roll(3) ? 0 : roll(30) * kSecond;
                 test.membership.begin_update(test.now, age, false);
                 for (int k = roll(4); k >= 0; --k) {
-                    const auto j = static_cast<std::size_t>(roll(nodes));
-                    if (!said[j].empty() && said[j].back().at == test.now &&
-                        said[j].back().what == Said::named)
+                    const auto j = static_cast<std::size_t>(roll(worker_count));
+                    if (!histories[j].empty() && histories[j].back().at == test.now &&
+                        histories[j].back().kind == Report::named)
                         continue;
-                    const auto stage = static_cast<EndpointPhase>(roll(6) < 4 ? 0 : 1 + roll(2));
+                    const auto phase = static_cast<EndpointPhase>(roll(6) < 4 ? 0 : 1 + roll(2));
                     test.membership.on_endpoint(test.now, test.membership.find_or_add(name(j)),
-                                                test.at(stage), name(j) + ":1");
-                    const WorkerState before = plainly(said[j], test.now);
-                    said[j].push_back({Said::named, test.now, test.now - age, age, stage});
+                                                test.at(phase), name(j) + ":1");
+                    const WorkerState before = evaluate_state(histories[j], test.now);
+                    histories[j].push_back({Report::named, test.now, test.now - age, age, phase});
                     Nanos newest = 0;
-                    for (const Said& s : said[j])
-                        if (s.what == Said::named || s.what == Said::left_out)
-                            newest = std::max(newest, s.as_of);
+                    for (const Report& report : histories[j])
+                        if (report.kind == Report::named || report.kind == Report::omitted)
+                            newest = std::max(newest, report.as_of);
                     if (before == WorkerState::unknown || test.now - age >= newest) doubted.erase(j);
                 }
                 test.membership.end_update(test.now);
                 break;
             }
             case 2: {  // a snapshot with some of the workers
-                std::vector<std::size_t> absent;
-                std::size_t stood = 0, alive = 0;
+                std::vector<std::size_t> omitted_workers;
+                std::size_t known = 0, omitted_and_connected = 0;
                 const int share = roll(5);
                 test.membership.begin_update(test.now, 0, true);
                 std::vector<std::size_t> named;
-                for (std::size_t j = 0; j < said.size(); ++j) {
-                    const WorkerState s = plainly(said[j], test.now);
-                    const bool there =
-                        s != WorkerState::unknown && s != WorkerState::delisted && s != WorkerState::gone;
-                    stood += there;
+                for (std::size_t j = 0; j < histories.size(); ++j) {
+                    const WorkerState state = evaluate_state(histories[j], test.now);
+                    const bool is_known = state != WorkerState::unknown && state != WorkerState::delisted &&
+                                          state != WorkerState::gone;
+                    known += is_known;
                     if (roll(4) < share) {
                         test.membership.on_endpoint(test.now, test.membership.find_or_add(name(j)), test.at(),
                                                     name(j) + ":1");
                         named.push_back(j);
-                    } else if (there) {
-                        absent.push_back(j);
-                        alive += up[j];
+                    } else if (is_known) {
+                        omitted_workers.push_back(j);
+                        omitted_and_connected += up[j];
                     }
                 }
                 test.membership.end_update(test.now);
                 for (const std::size_t j : named) {
-                    stood += said[j].empty() || plainly(said[j], test.now) == WorkerState::unknown ||
-                             plainly(said[j], test.now) == WorkerState::delisted ||
-                             plainly(said[j], test.now) == WorkerState::gone;
-                    said[j].push_back({Said::named, test.now, test.now});
+                    known += histories[j].empty() ||
+                             evaluate_state(histories[j], test.now) == WorkerState::unknown ||
+                             evaluate_state(histories[j], test.now) == WorkerState::delisted ||
+                             evaluate_state(histories[j], test.now) == WorkerState::gone;
+                    histories[j].push_back({Report::named, test.now, test.now});
                     doubted.erase(j);
                 }
-                if (absent.size() >= 3 && 2 * alive > absent.size() && 2 * absent.size() > stood) {
-                    doubted.insert(absent.begin(), absent.end());
+                if (omitted_workers.size() >= 3 && 2 * omitted_and_connected > omitted_workers.size() &&
+                    2 * omitted_workers.size() > known) {
+                    doubted.insert(omitted_workers.begin(), omitted_workers.end());
                     if (!doubt_until) doubt_until = test.now + kGrace / 2;
                 } else {
                     doubt_until = 0;
-                    for (const std::size_t j : absent) {
-                        said[j].push_back({Said::left_out, test.now, test.now});
+                    for (const std::size_t j : omitted_workers) {
+                        histories[j].push_back({Report::omitted, test.now, test.now});
                         doubted.erase(j);
                     }
                 }
@@ -468,38 +472,39 @@
             }
             case 3:
             case 4:
-                if (roll(5) == 0) ++lives[i];
+                if (roll(5) == 0) ++incarnations[i];
                 {
-                    const bool drains = roll(6) == 0;
-                    test.greet(name(i), lives[i], roll(2) ? 0 : kSecond, drains);
-                    said[i].push_back(
-                        {Said::greeted, test.now, 0, 0, EndpointPhase::serving, lives[i], drains});
+                    const bool is_draining = roll(6) == 0;
+                    test.greet(name(i), incarnations[i], roll(2) ? 0 : kSecond, is_draining);
+                    histories[i].push_back({Report::greeted, test.now, 0, 0, EndpointPhase::serving,
+                                            incarnations[i], is_draining});
                     up[i] = true;
                 }
                 break;
             case 5:
-                test.membership.on_drain_announced(test.now, m);
-                said[i].push_back({Said::drain, test.now});
+                test.membership.on_drain_announced(test.now, worker);
+                histories[i].push_back({Report::drain_announced, test.now});
                 break;
             case 6:
-                test.membership.on_disconnected(test.now, m);
-                said[i].push_back({Said::broke, test.now});
+                test.membership.on_disconnected(test.now, worker);
+                histories[i].push_back({Report::disconnected, test.now});
                 up[i] = false;
                 break;
             case 7:
                 if (up[i]) break;
-                test.membership.on_dial_failed(test.now, m);
-                said[i].push_back({Said::dial, test.now});
+                test.membership.on_dial_failed(test.now, worker);
+                histories[i].push_back({Report::dial_failed, test.now});
                 break;
         }
-        for (std::size_t j = 0; j < said.size(); ++j) {
-            INFO("seed " << seed << " step " << step << " node " << j);
+        for (std::size_t j = 0; j < histories.size(); ++j) {
+            INFO("seed " << seed << " step " << step << " worker " << j);
             REQUIRE(membership::to_string(test.membership.find_or_add(name(j)).state) ==
-                    membership::to_string(plainly(said[j], test.now)));
-            const WorkerState s = test.membership.find_or_add(name(j)).state;
+                    membership::to_string(evaluate_state(histories[j], test.now)));
+            const WorkerState state = test.membership.find_or_add(name(j)).state;
             // on_drain_started() was called for exactly the workers that are draining or gone.
             REQUIRE(test.handler.draining.contains(name(j)) ==
-                    (s == WorkerState::draining || s == WorkerState::delisted || s == WorkerState::gone));
+                    (state == WorkerState::draining || state == WorkerState::delisted ||
+                     state == WorkerState::gone));
         }
     }
 }
--- a/tests/slow_start_test.cpp
+++ b/tests/slow_start_test.cpp
@@ -18,16 +18,16 @@
 
 constexpr Nanos kWindow = kSecond;
 constexpr Nanos kStep = 20 * kMillisecond;
-constexpr Nanos kTurns = 4;
-constexpr Nanos kLongestWay = 40 * kMillisecond;  // the longest network delay of an attempt
+constexpr Nanos kWindows = 4;
+constexpr Nanos kLongestDelay = 40 * kMillisecond;  // the longest network delay of an attempt
 constexpr Nanos kStart = 1000 * kSecond;
 const char* const kWorker = "s-1";
 
 // The maximum number of attempts that may arrive in one window at a worker with this capacity: the
 // requirement of the users.
-int most_in_window(int bearable) {
-    const double root = std::sqrt(bearable);
-    return static_cast<int>(bearable < 30 ? bearable + 3 * root + 3 : bearable + 2 * root + 2);
+int max_in_window(int capacity) {
+    const double root = std::sqrt(capacity);
+    return static_cast<int>(capacity < 30 ? capacity + 3 * root + 3 : capacity + 2 * root + 2);
 }
 
 // One scheduler with its ledger, and its attempts that wait for their connection.
@@ -65,9 +65,9 @@
         int sent = 0;
         std::erase_if(waiting, [&](const Waiting& attempt) {
             if (now < attempt.connected_at) return false;
-            const bool leaves = ledger.may_still_send(now, *attempt.record);
-            sent += leaves;
-            if (!leaves) ledger.on_ended(now, *attempt.record, AttemptOutcome::not_sent);
+            const bool may_send = ledger.may_still_send(now, *attempt.record);
+            sent += may_send;
+            if (!may_send) ledger.on_ended(now, *attempt.record, AttemptOutcome::not_sent);
             ended.push_back(attempt.task);
             return true;
         });
@@ -95,32 +95,33 @@
 TEST_CASE(
     "a worker in slow start gets no more attempts in a window than allowed, from any number of schedulers") {
     const int schedulers = GENERATE(1, 3, 16, 57, 114);
-    const int bearable = GENERATE(2, 29, 44, 600);
+    const int capacity = GENERATE(2, 29, 44, 600);
     const bool late_connections = GENERATE(false, true), restarts = GENERATE(false, true);
-    std::ranlux24_base chance(static_cast<unsigned>(schedulers * 1000 + bearable));
-    const auto roll = [&chance](Nanos limit) { return static_cast<Nanos>(chance()) % limit; };
+    std::ranlux24_base engine(static_cast<unsigned>(schedulers * 1000 + capacity));
+    const auto roll = [&engine](Nanos limit) { return static_cast<Nanos>(engine()) % limit; };
     const auto start = [&](int i, Nanos now) {
         return std::make_unique<Sender>(
-            SlowStartSettings{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(bearable), schedulers, i},
+            SlowStartSettings{0.2, 60 * kSecond, 2, kWindow, static_cast<double>(capacity), schedulers, i},
             now);
     };
-    std::vector<std::unique_ptr<Sender>> all;
-    for (int i = 0; i < schedulers; ++i) all.push_back(start(i, kStart - kWindow));  // in the window before
+    std::vector<std::unique_ptr<Sender>> senders;
+    for (int i = 0; i < schedulers; ++i)
+        senders.push_back(start(i, kStart - kWindow));  // in the window before
     std::vector<Nanos> arrived;
     // Each scheduler submits its share at the end of the first window and at the start of each later one. The
     // attempts of the first two times are delayed on the network, so that those of the first three could
     // arrive together.
-    const int share = bearable / 2 / schedulers + 1;
-    for (Nanos now = kStart; now < kStart + kTurns * kWindow; now += kStep) {
-        const bool first_turn = now < kStart + kWindow;
-        const bool rush = now % kWindow == (first_turn ? kWindow - kStep : 0);
-        for (auto& sender : all) {
+    const int share = capacity / 2 / schedulers + 1;
+    for (Nanos now = kStart; now < kStart + kWindows * kWindow; now += kStep) {
+        const bool is_first_window = now < kStart + kWindow;
+        const bool submits_now = now % kWindow == (is_first_window ? kWindow - kStep : 0);
+        for (auto& sender : senders) {
             if (restarts && roll(200) == 0) sender = start(sender->slow_start.placer_index, now);
-            if (rush) sender->submit(share);
-            sender->run_round(now,
-                              [&] { return late_connections && first_turn ? roll(1000) * kMillisecond : 0; });
-            for (int left = sender->write(now); left > 0; --left)
-                arrived.push_back(now + (now < kStart + 2 * kWindow ? kLongestWay : 0));
+            if (submits_now) sender->submit(share);
+            sender->run_round(
+                now, [&] { return late_connections && is_first_window ? roll(1000) * kMillisecond : 0; });
+            for (int sent = sender->write(now); sent > 0; --sent)
+                arrived.push_back(now + (now < kStart + 2 * kWindow ? kLongestDelay : 0));
         }
     }
     std::sort(arrived.begin(), arrived.end());
@@ -129,11 +130,11 @@
         while (arrived[i] - arrived[oldest] >= kWindow) ++oldest;
         most = std::max(most, static_cast<int>(i - oldest + 1));
     }
-    INFO(schedulers << " schedulers, " << bearable << " bearable, " << arrived.size() << " arrived, most "
+    INFO(schedulers << " schedulers, " << capacity << " capacity, " << arrived.size() << " arrived, most "
                     << most);
-    CHECK(most <= most_in_window(bearable));
+    CHECK(most <= max_in_window(capacity));
     // The capacity is also used: without late connections most of the tokens are.
-    if (!late_connections && !restarts) CHECK(static_cast<int>(arrived.size()) >= std::min(bearable / 2, 8));
+    if (!late_connections && !restarts) CHECK(static_cast<int>(arrived.size()) >= std::min(capacity / 2, 8));
 }
 
 TEST_CASE("an attempt recorded in an earlier window, or before the worker's restart, may not be sent") {
@@ -159,23 +160,23 @@
     "the ledgers of all schedulers limit the attempts to a worker in slow start, whatever the planners "
     "request") {
     const int schedulers = GENERATE(1, 3, 16, 57, 114);
-    const int bearable = GENERATE(2, 9, 44, 600);
+    const int capacity = GENERATE(2, 9, 44, 600);
     // True: attempts are recorded at the end of the first window, where they wait up to a second for their
     // connection, from the middle of the second window on, and at the start of the later ones. False: at the
     // start of each window.
     const bool late_connections = GENERATE(false, true);
-    std::ranlux24_base chance(7);
+    std::ranlux24_base engine(7);
     std::vector<Nanos> sent;
     for (int i = 0; i < schedulers; ++i) {
         const SlowStartSettings slow_start{
-            0.2, 60 * kSecond, 2, kWindow, static_cast<double>(bearable), schedulers, i};
+            0.2, 60 * kSecond, 2, kWindow, static_cast<double>(capacity), schedulers, i};
         ledger::Ledger ledger({QueueGroup{}}, {4, true}, slow_start);
         ledger::WorkerRecord& worker_record = ledger.add_worker(kWorker);
         ledger.on_endpoint(kStart, worker_record, {0, 0, 0, 16, 32, EndpointPhase::serving, kStart});
         ResourceRequest request;
         request.time_left = 60 * kSecond;
         const Nanos first = late_connections ? kStart + kWindow - kStep : kStart;
-        for (Nanos now = first; now < kStart + kTurns * kWindow; now += kStep) {
+        for (Nanos now = first; now < kStart + kWindows * kWindow; now += kStep) {
             if (late_connections && now >= kStart + kWindow && now < kStart + kWindow * 3 / 2) continue;
             for (bool rejected = false; !rejected;) {
                 const auto attempt = ledger.start_attempt(now, ledger.create_task(now, "c", 1, request),
@@ -185,7 +186,7 @@
                 if (rejected) continue;
                 const bool waits = late_connections && now < kStart + kWindow;
                 const Nanos connected_at =
-                    now + (waits ? static_cast<Nanos>(chance() % 1000) * kMillisecond : 0);
+                    now + (waits ? static_cast<Nanos>(engine() % 1000) * kMillisecond : 0);
                 if (ledger.may_still_send(connected_at, **attempt)) sent.push_back(connected_at);
             }
         }
@@ -193,7 +194,7 @@
     for (const Nanos from : sent) {
         const auto in_window = std::count_if(sent.begin(), sent.end(),
                                              [from](Nanos at) { return at >= from && at - from < kWindow; });
-        CHECK(in_window <= bearable);
+        CHECK(in_window <= capacity);
     }
-    if (!late_connections) CHECK(static_cast<int>(sent.size()) == kTurns * (bearable / 2));
+    if (!late_connections) CHECK(static_cast<int>(sent.size()) == kWindows * (capacity / 2));
 }
