--- a/src/platform/adoption_controller.cpp
+++ b/src/platform/adoption_controller.cpp
@@ -12,9 +12,10 @@
 namespace whinpost::platform {
 namespace {
 
-// Of one task: a start has few moments in which they can cross, and misbehaving clients may send many.
+// Per task. Reports of one id by two clients cross only briefly after a start; misbehaving clients may send
+// many.
 constexpr std::size_t kMaxOtherReporters = 4;
-// Of all clients; each is looked at in every sweep for which its connection has nothing else to wait for.
+// Over all clients. A sweep searches these reports for each connection that has nothing else to wait for.
 constexpr std::size_t kMaxRepeatedReports = 256;
 
 }  // namespace
@@ -60,9 +61,9 @@
     return true;
 }
 
-// The same report again comes from a client whose connection before may be dead without its end being known,
-// or from another client at its address: the one that has the task is not robbed of it. One that differs in
-// anything but the connection is another client's.
+// A report that differs only in its connection comes from the same client, whose earlier connection may be
+// dead without this side knowing, or from another client at its address; the task stays with its current
+// connection. A report that differs in anything else comes from another client.
 void AdoptionController::report_known(InFlightTask& task, const RunningTaskReport& report,
                                       ClientConnection* client) {
     const bool is_same = task.running && task.client_address == report.client_address &&
@@ -93,15 +94,16 @@
         repeated_reports_.push_back({task.id, client.number(), context_.now()});
 }
 
-// Of two clients that report one task, the one that is known to report what is true. One whose connection is
-// gone may be on its way back.
+// Whether the reporting client is likelier to own the task than its current one: the former has other tasks
+// that their workers confirmed, and the latter has none. A current client without a connection keeps the
+// task, since it may be reconnecting.
 bool AdoptionController::is_likelier_owner(const ClientConnection& client, const InFlightTask& task) {
     if (!task.client) return false;
     const int confirmed_by_this_task = task.liveness.is_confirmed() ? 1 : 0;
     return client.confirmed_tasks() > 0 && task.client->confirmed_tasks() <= confirmed_by_this_task;
 }
 
-// The end is owed to both; the connection that is kept for it is the new one.
+// The end of the task is sent to both clients; the new client's connection becomes the task's own.
 void AdoptionController::swap_owner(InFlightTask& task, ClientConnection& client) {
     std::erase_if(task.other_reporters,
                   [&client](const auto& other) { return other.connection == client.number(); });
@@ -111,7 +113,8 @@
     lifecycle_.move_to_connection(task, client);
 }
 
-// The first report may have been another client's, just after a start.
+// The new reporter is sent the end of the task too: just after a start, the first report may have come from
+// another client.
 void AdoptionController::add_reporter(InFlightTask& task, const RunningTaskReport& report,
                                       const ClientConnection* client) {
     const ledger::ConnectionNumber connection = client ? client->number() : ledger::kNoConnection;
@@ -123,8 +126,8 @@
         others.push_back({report.client_address, connection, context_.now()});
 }
 
-// A client that has spoken on the first connection since then is there: the report is another's, or that of a
-// client which hears of the end on the first one too.
+// If anything was received on the task's own connection after the report, that connection is alive. The
+// report then came from another client, or from one that receives the end on its first connection as well.
 bool AdoptionController::may_have_moved(const RepeatedReport& report) const {
     const InFlightTask* task = tasks_.find_by_id(report.task);
     return task && task->client && task->client->last_received_at() <= report.reported_at;
@@ -162,8 +165,9 @@
     if (earlier && earlier->running && earlier->name == task.name) supersede(*earlier, task);
 }
 
-// The worker knows the task by the later id and speaks of it under no other, so the earlier one would never
-// end. A client that gave it another id itself waits for that one alone.
+// Ends the entry with the earlier id: the worker sends messages about the task under the later id only, so
+// the earlier one would never end. A client that chose the later id itself waits for that one only and is
+// sent no release for the earlier.
 void AdoptionController::supersede(InFlightTask& earlier, const InFlightTask& later) {
     ++context_.statistics.running_tasks_lost;
     context_.log(log::Level::info, "task_lost",
--- a/src/platform/adoption_controller.h
+++ b/src/platform/adoption_controller.h
@@ -1,5 +1,4 @@
-// Tasks that run already when a client names them: taken over from another placer, or from this one's last
-// life.
+// Adopts running tasks that clients report: those placed by another placer, or by this one before a restart.
 #pragma once
 #include <string>
 
@@ -18,14 +17,14 @@
 
     bool adopt(const RunningTaskReport&, ClientConnection*) override;
     void on_report_dropped(const RunningTaskReport&, ClientConnection*) override;
-    // The worker has said something of an adopted task: it runs there under that id.
+    // Called at the worker's first message about an adopted task: it runs there under that id.
     void on_task_confirmed(InFlightTask&);
-    // Whether the client may wait on that connection for the end of a task which was reported on it again.
+    // Whether a task was reported again on this connection and its end may now have to be sent there.
     bool may_wait_on(const ClientConnection&) const;
     void on_client_left(const ClientConnection&);
 
 private:
-    // A report that came again, on a connection that holds nothing else.
+    // A report of a task that is already known, received on another connection than the task's own.
     struct RepeatedReport {
         std::uint64_t task;
         ledger::ConnectionNumber connection;
@@ -36,7 +35,7 @@
     void remember_repeated(const InFlightTask&, const ClientConnection&);
     static bool is_likelier_owner(const ClientConnection&, const InFlightTask&);
     void swap_owner(InFlightTask&, ClientConnection&);
-    // Whether the connection on which the task was reported before may be dead.
+    // Whether the task's own connection may be dead, so that its client now waits on the newer one.
     bool may_have_moved(const RepeatedReport&) const;
     void supersede(InFlightTask& earlier, const InFlightTask& later);
 
--- a/src/platform/client_close_reason.h
+++ b/src/platform/client_close_reason.h
@@ -1,4 +1,4 @@
-// Why a client's connection came to its end, for the log and the counters.
+// Why a client's connection was closed; used in the log and in the counters.
 #pragma once
 #include <string_view>
 
@@ -6,16 +6,16 @@
 
 enum class ClientCloseReason {
     closed_by_client,
-    connection_lost,   // reset, or broken in another way
-    no_request,        // no request that calls for an answer came in time
-    partial_message,   // the rest of a message did not come in time
-    malformed,         // bytes that are no message
-    protocol_error,    // a message that no client may send
-    duplicate_id,      // a second request under the id of one that is open
-    reads_too_slowly,  // too many answers wait to be sent
-    evicted,           // its descriptor was needed
-    server_full,       // accepted only to be rejected
-    draining,          // this process ends
+    connection_lost,   // reset, or another connection error
+    no_request,        // no message that needs an answer arrived in time
+    partial_message,   // the rest of a message did not arrive in time
+    malformed,         // the received bytes are not a valid message
+    protocol_error,    // a message type that clients may not send
+    duplicate_id,      // a second request with the id of an open one
+    reads_too_slowly,  // too much unsent data
+    evicted,           // its descriptor was needed for a new connection
+    server_full,       // accepted only to reject its requests
+    draining,          // this placer is shutting down
 };
 constexpr std::size_t kClientCloseReasons = static_cast<std::size_t>(ClientCloseReason::draining) + 1;
 
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -12,15 +12,16 @@
 
 namespace {
 
-// Misbehaving clients are owed an end within 3 s of connecting; one that has sent nothing that wants an
-// answer by then is closed. A good client that meets this crosses a close, and connects again.
+// Closes connections on which no message that needs an answer has arrived. Misbehaving clients must be
+// answered or closed within 3 s of connecting. A well-behaved client whose request crosses the close
+// reconnects.
 constexpr Nanos kFirstMessageTimeout = 2 * kSecond;
-// A request may come in pieces; its end is owed an answer once its last byte is written.
+// A request may arrive in pieces; its client expects an answer once the last byte is written.
 constexpr Nanos kPartialMessageTimeout = 2500 * kMillisecond;
-// Of answers that a client does not read; some hundred of them.
+// Bytes that wait to be sent to a client that does not read; enough for some hundred answers.
 constexpr std::size_t kMaxUnsent = 64 << 10;
-// Bytes that lie unread may hold a client's last message once the loop has been away for so long. Half of the
-// 0.1 s after which an attempt for a client that has gone is too late.
+// If the event loop has not polled for this long, unread data may hold a client's close or cancellation. Half
+// of the 0.1 s after a client's disconnect from which on no attempt may start for it.
 constexpr Nanos kLoopAway = 50 * kMillisecond;
 
 std::string without_port(const std::string& address) { return address.substr(0, address.rfind(':')); }
@@ -61,9 +62,9 @@
     platform_codec::encode(bytes, message);
     stream_->write(bytes);
     if (stream_->unsent() <= kMaxUnsent) return;
-    // It does not read. It is ended after the next round, not here: answers are given from within a round of
-    // the planner, and what else is owed on this connection is to be told to the planner, which may be called
-    // between its rounds only.
+    // The client does not read. The connection is ended after the planner's next round, not here: answers may
+    // be sent from within a round, and ending the connection cancels its other requests at the planner, which
+    // may be called only between rounds.
     if (std::exchange(stalled_, true)) return;
     stream_->set_reading(false);
     server_.handler_.on_client_stalled();
@@ -88,15 +89,15 @@
     write_bytes_of(message);
 }
 
-// Guards against attempts that begin after their client has closed or cancelled: its word of that may lie
-// behind more bytes than one read takes, or have come while the loop was busy.
+// Guards against attempts that start after their client has closed or cancelled: the close or cancellation
+// may be behind more data than one read takes, or may have arrived while the event loop was busy.
 bool ClientConnection::may_have_disconnected() const {
     if (backlog_since_ || stream_->peer_closed()) return true;
     return server_.loop_.now() - server_.loop_.polled_at() > kLoopAway && stream_->has_unread();
 }
 
-// Guards against a close over bytes of the peer that were not read yet: the kernel would reset the
-// connection, and what was just answered would never arrive. So it is half-closed, and read on until the peer
+// Guards against a close while data from the peer is unread: the kernel would reset the connection, and
+// answers just written would be lost. The connection is therefore half-closed, and read until the peer
 // closes.
 void ClientConnection::end(ClientCloseReason reason) {
     if (state_ == State::ended) return;
@@ -113,8 +114,8 @@
     server_.move_to_ended(*this);
 }
 
-// All whole messages that were read are handled, also after one that ends the connection: a request that was
-// read is answered, and be it by a rejection.
+// Handles all complete messages that were read, also those after one that ends the connection: each request
+// that was read is answered, if only with a rejection.
 std::size_t ClientConnection::on_received(std::string_view in) {
     if (state_ == State::ended) return in.size();
     Nanos since = server_.loop_.unseen_since();
@@ -129,7 +130,7 @@
     const bool malformed = decoded.error.has_value();
     if (malformed) {
         server_.log_(log::Level::debug, "client_message_malformed", {{"client", peer_}});
-        stream_->set_reading(false);  // there may be no end of it
+        stream_->set_reading(false);  // the peer may go on sending without end
         if (state_ == State::open) close_reason_ = ClientCloseReason::malformed;
         if (state_ == State::open) state_ = State::ending;
     }
@@ -180,12 +181,12 @@
         case MessageType::note:
         case MessageType::migrate:
         case MessageType::health_check_reply:
-            end(ClientCloseReason::protocol_error);  // no client has any business with what workers say
+            end(ClientCloseReason::protocol_error);  // only placers and workers send these
     }
 }
 
-// A health checker shares its address with clients where a proxy or an address translation stands before
-// them: what a client is owed is not to be sent there.
+// Behind a proxy or a NAT, a health checker shares its address with clients. Releases for clients must not be
+// sent to it.
 void ClientConnection::identify_as_client() {
     if (!std::exchange(is_client_, true)) server_.handler_.on_client_identified(*this);
 }
@@ -200,8 +201,8 @@
     server_.handler_.on_health_check();
 }
 
-// A client that closes its side may still read, so what it is owed is answered. One that has closed both
-// never sees that.
+// A client that half-closed its connection may still read, so its open requests are answered. A client that
+// closed both directions does not receive these answers.
 void ClientConnection::on_closed(net::CloseReason reason) {
     peer_closed_ = true;
     if (reason == net::CloseReason::by_peer && state_ != State::ended)
@@ -213,8 +214,8 @@
     server_.move_to_ended(*this);
 }
 
-// Messages that call for no answer count for nothing: a release of a task that nobody knows, a task on a
-// worker that no list names.
+// Messages that get no answer do not put off the deadline, such as the release of an unknown task or the
+// report of a task on a worker that is not listed.
 Nanos ClientConnection::overdue(Nanos now) const {
     const bool useless = !was_written_to_ && !open_requests_ && !running_tasks_;
     return std::max(useless && !server_.handler_.has_pending_report(*this)
@@ -228,7 +229,8 @@
     return partial_since_ ? ClientCloseReason::partial_message : ClientCloseReason::no_request;
 }
 
-// What the client did itself is of interest only where something was open on the connection.
+// A close by the client is logged above debug level only if the connection had open requests or running
+// tasks.
 void ClientConnection::record_close(ClientCloseReason reason) {
     server_.statistics_.count_close(reason);
     const bool by_client = reason == ClientCloseReason::closed_by_client;
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -1,4 +1,4 @@
-// One connection of a client, or of the health checker in front of the placer.
+// A connection of a client, or of a health checker in front of the placer.
 #pragma once
 #include <memory>
 #include <string>
@@ -16,7 +16,7 @@
 public:
     enum class Admission {
         accepted,
-        rejected  // there is no room: it is accepted only to hear that its first request is rejected
+        rejected  // there is no room: the connection is accepted only to reject its requests
     };
 
     ClientConnection(ClientServer&, std::unique_ptr<net::Stream>, Admission);
@@ -25,36 +25,36 @@
     ClientConnection& operator=(const ClientConnection&) = delete;
 
     void write(const platform_codec::Message&);
-    // Tells it from all other connections of this process, earlier and later ones.
+    // Unique among all past and future connections of this process.
     ledger::ConnectionNumber number() const { return number_; }
-    // The final answer to a request that is not placed, or the end of a running task. `retry_after` of 0 is
-    // left out.
+    // Sends the final answer to a request that was not placed, or the end of a running task. A `retry_after`
+    // of 0 is left out of the message.
     void send_release(std::uint64_t id, platform_codec::Cause cause, Nanos retry_after = 0);
-    // The end of a task that may be this client's or another's at its address. No sign that the connection is
-    // of use.
+    // Sends the end of a task that may belong to this client or to another one at its address. Unlike
+    // send_release(), does not count as use of the connection when one is chosen to be evicted or closed.
     void offer_release(std::uint64_t id, platform_codec::Cause cause);
-    // The running task is to be placed anew, by the client.
+    // Tells the client to place its running task again.
     void send_migration(std::uint64_t id);
-    // It has placed, reported or withdrawn a task, or acknowledged a release: it is a client's, and not one
-    // that only checks health.
+    // Whether the peer has placed, reported or released a task or acknowledged a release. A health checker
+    // does none of these.
     bool is_client() const { return is_client_; }
-    // Its client has acknowledged a release on it.
+    // Whether a release was ever acknowledged on this connection.
     bool acknowledges() const { return acknowledges_; }
     Nanos connected_at() const { return connected_at_; }
     Nanos last_received_at() const { return last_received_at_; }
-    // Anything was written to it, ever, but for what was only offered.
+    // Whether anything but an offered release was ever written.
     bool was_written_to() const { return was_written_to_; }
-    // Running tasks whose end is to be sent on it and which their worker has shown to run.
+    // Number of running tasks whose end is to be sent on this connection and which their worker confirmed.
     int confirmed_tasks() const { return confirmed_tasks_; }
-    // What is owed on it is answered first, by the handler; then it is half-closed, and what was written
-    // still leaves. From within on_received() this waits until all that was read is answered.
+    // Has the handler answer the open requests, then half-closes the connection; data already written is
+    // still sent. Called within on_received(), takes effect once all messages that were read are answered.
     void end(ClientCloseReason);
-    // Whether the client may have closed it, or cancelled its request, with the word of that still unread.
+    // Whether the client may have closed the connection or cancelled a request in data that is still unread.
     bool may_have_disconnected() const;
-    // What the connection is of use for: evicted first are those that are of none.
+    // Open requests and running tasks; connections without any are evicted first.
     void add_open_request() { ++open_requests_; }
     void remove_open_request() { --open_requests_; }
-    // `confirmed`: the task's worker has shown that it runs.
+    // `confirmed`: the task's worker has confirmed that it runs.
     void add_running_task(bool confirmed) {
         ++running_tasks_;
         confirmed_tasks_ += confirmed;
@@ -71,8 +71,8 @@
     friend class ClientServer;
     enum class State {
         open,
-        ending,  // accepts no more requests, and ends once what was read is answered
-        ended    // what is owed on it is answered, and it is half-closed
+        ending,  // accepts no more requests, and ends once all messages that were read are answered
+        ended    // all its requests are answered, and it is half-closed
     };
     std::size_t on_received(std::string_view) override;
     void on_closed(net::CloseReason) override;
@@ -82,10 +82,10 @@
     void reply_to_health_check(const platform_codec::Message&);
     void log_message(const platform_codec::Message&) const;
     bool is_rejected() const { return admission_ == Admission::rejected; }
-    // How long ago it should have sent a whole request that wants an answer; 0 or less: it is not late.
+    // Time since the deadline for a complete message that needs an answer; 0 or less: it has not passed.
     Nanos overdue(Nanos now) const;
     ClientCloseReason overdue_reason() const;
-    // Once, when it leaves State::open or State::ending for good.
+    // Called once, when the connection changes to State::ended.
     void record_close(ClientCloseReason);
 
     ClientServer& server_;
@@ -94,21 +94,21 @@
     const std::string peer_, client_address_;
     const Admission admission_;
     State state_;
-    ClientCloseReason close_reason_ = ClientCloseReason::closed_by_client;  // valid while ending
+    ClientCloseReason close_reason_ = ClientCloseReason::closed_by_client;  // valid in State::ending
     Nanos connected_at_, last_used_, last_received_at_;
-    Nanos partial_since_ = 0;  // a message has been partial since then; 0: none is
+    Nanos partial_since_ = 0;  // since when an incomplete message has been buffered; 0: none
     const Nanos unseen_since_at_accept_;
-    Nanos backlog_since_ = 0;  // more lies unread than one read takes, since then; 0: nothing does
-    bool has_sent_ = false;    // a whole message
+    Nanos backlog_since_ = 0;  // since when more data than one read takes has been unread; 0: none
+    bool has_sent_ = false;    // a complete message was received
     bool is_client_ = false, acknowledges_ = false;
-    bool was_written_to_ = false;  // anything, ever, but for what was only offered
-    bool stalled_ = false;         // it does not read what is written to it
+    bool was_written_to_ = false;  // anything but offered releases
+    bool stalled_ = false;         // the unsent data exceeds its limit
     bool reading_ = false;         // within on_received()
     bool peer_closed_ = false;
     Nanos ended_at_ = 0;
-    int open_requests_ = 0;    // that wait for their answer
-    int running_tasks_ = 0;    // whose end is to be sent on it
-    int confirmed_tasks_ = 0;  // of these, shown to run by their worker
+    int open_requests_ = 0;    // requests without an answer yet
+    int running_tasks_ = 0;    // tasks whose end is to be sent on this connection
+    int confirmed_tasks_ = 0;  // running tasks that their worker has confirmed
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/client_handler.h
+++ b/src/platform/client_handler.h
@@ -1,4 +1,4 @@
-// What the clients' side of the server tells the rest of it, and asks of it.
+// Callbacks from ClientServer and its connections to the rest of the server.
 #pragma once
 #include <cstdint>
 
@@ -12,26 +12,26 @@
 class ClientHandler {
 public:
     virtual ~ClientHandler() = default;
-    // `since`: the message came no earlier than that, and may have lain unread since then.
+    // `since`: the message arrived no earlier than this and may have been unread since then.
     virtual void on_place_task(ClientConnection&, const platform_codec::Message&, Nanos since) = 0;
-    // A request is cancelled, or a running task no longer wanted.
+    // The client cancels a request or a running task.
     virtual void on_release(ClientConnection&, std::uint64_t task) = 0;
-    virtual bool is_healthy() const = 0;  // the answer to health checks
-    virtual void on_health_check() = 0;   // after it was answered
-    // Whether there is a descriptor for one more connection.
+    virtual bool is_healthy() const = 0;  // decides the reply to health checks
+    virtual void on_health_check() = 0;   // called after the reply
+    // Whether a descriptor is available for one more connection; may close a connection to a worker for it.
     virtual bool make_room_for_client() = 0;
-    // It is a client's, and not one that only checks health; once, before the message that shows it is
+    // Called once per connection, before the first message that clients send and health checkers do not is
     // handled.
     virtual void on_client_identified(ClientConnection&) = 0;
-    // The client says that it has received the end of that task.
+    // The client acknowledges the release of that task.
     virtual void on_release_ack(ClientConnection&, std::uint64_t task) = 0;
-    // This side closes the connection: what is owed on it is to be answered now.
+    // This side is closing the connection: its open requests are to be answered now.
     virtual void on_client_ending(ClientConnection&) = 0;
-    // Whether it has reported a running task of which nothing is known yet.
+    // Whether a report of a running task on this connection may still lead to a release on it.
     virtual bool has_pending_report(const ClientConnection&) const = 0;
-    // The connection is not to be used after this call.
+    // The connection has ended and must not be used after this call.
     virtual void on_client_left(ClientConnection&) = 0;
-    // ClientServer::end_stalled() is to be called soon, but not from here.
+    // Has ClientServer::end_stalled() called soon, but not within this call.
     virtual void on_client_stalled() = 0;
 };
 
--- a/src/platform/client_requests.cpp
+++ b/src/platform/client_requests.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-// After the planner's timers of the same moment: the deadline's own answer would otherwise come in one pass
-// with theirs, in either order.
+// Lets the planner's timers that are due at the deadline run first; the answer at the deadline and the
+// planner's own would otherwise be sent in the same pass of the event loop, in either order.
 constexpr Nanos kDeadlineGrace = 3 * kMillisecond;
 
 }  // namespace
@@ -39,13 +39,13 @@
         const bool same_client = open->client == &client;
         context.log(log::Level::debug, "request_id_in_use",
                     {{"client", client.client_address()}, {"same_client", same_client}});
-        // Two under one id: an answer to either could be read as the other's.
+        // With two open requests of one id, an answer to either could be taken for the other's.
         if (same_client) return client.end(ClientCloseReason::duplicate_id);
         return client.send_release(message.task, platform_codec::Cause::error);
     }
     parts_.releases.on_task_placed(request.task_name, client);
     const Nanos now = context.now();
-    // Its client counts from when it wrote it. What lay in the kernel while the loop was busy has less left.
+    // The time left counts from when the client wrote the request, which may have been unread since `since`.
     request.resources.time_left -= std::max<Nanos>(0, now - since);
     if (request.resources.time_left <= 0 || !parts_.drain.accepts_requests(now))
         return client.send_release(message.task, platform_codec::Cause::try_later);
@@ -74,9 +74,9 @@
         parts_.lifecycle.notify_others_of_end(*task, client, platform_codec::Cause::cancelled);
         return parts_.attempts.cancel_running(*task);
     }
-    // Nobody else's business. Its client may say so on another connection: the one it asked on may be broken,
-    // and this side not know that yet. Or another client at its address says so, and the one that asked
-    // waits: it has its answer.
+    // A release from another address is ignored. One on another connection from the same address comes from
+    // the task's client, whose first connection may be broken without this side knowing, or from another
+    // client. The request is then answered, since its client may still be waiting.
     if (task->client == &client) parts_.answerer.cancel(*task);
     else if (task->client && task->client->client_address() == client.client_address())
         parts_.answerer.answer_honestly(*task);
@@ -96,7 +96,7 @@
     parts_.releases.on_release_ack(client, id);
 }
 
-// This side closes it: no request that was accepted on it may be lost.
+// This side closes the connection: every request that was accepted on it is answered first.
 void ClientRequests::on_client_ending(ClientConnection& client) {
     for (InFlightTask* task : parts_.tasks.tasks_of(client)) {
         if (task->running || task->record->answer != ledger::Answer::none) continue;
--- a/src/platform/client_requests.h
+++ b/src/platform/client_requests.h
@@ -1,4 +1,5 @@
-// What clients ask for: requests to place tasks, reports of running ones, releases and health checks.
+// Handles the messages of clients: placement requests, reports of running tasks, releases and their
+// acknowledgements, and health checks.
 #pragma once
 #include "platform/attempt_controller.h"
 #include "platform/client_server.h"
@@ -12,7 +13,7 @@
 
 class ClientRequests final : public ClientHandler {
 public:
-    // The parts of the server that requests are handed on to; all outlive the requests.
+    // The parts of the server that process the messages; all must outlive this object.
     struct Parts {
         const ServerContext& context;
         ClientServer& clients;
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -7,15 +7,15 @@
 namespace whinpost::platform {
 namespace {
 
-// A connection so young may only not have sent its first message yet.
+// The first message may still be on its way on a connection younger than this.
 constexpr Nanos kJustConnected = 100 * kMillisecond;
-// For a client to close its side of a connection that this side has half-closed; a round trip is a few ms.
+// Time for a client to close its side after this side's half-close; a round trip takes a few ms.
 constexpr Nanos kLinger = 500 * kMillisecond;
-// What is unread puts off a close so long at most: one that never stops sending is closed all the same.
+// Longest delay of a close because of unread data, so that a client that never stops sending is closed too.
 constexpr Nanos kMaxUnreadDelay = 500 * kMillisecond;
 constexpr int kEvictionTries = 8;
 constexpr std::size_t kMaxAcknowledgingAddresses = 4096;
-// Connections that are accepted only to be rejected; out of what the budget keeps back.
+// Connections accepted only to be rejected; they use descriptors that the connection budget reserves.
 constexpr std::size_t kMaxRejected = 8;
 
 }  // namespace
@@ -31,11 +31,11 @@
     return {};
 }
 
-// A full server makes room by evicting the client that has sent nothing for the longest; else, of those that
-// have no request open, one without running tasks, and of these the one that was of no use for the longest.
-// Where all have something open the new one is rejected. Guards against clients that ask once and hold their
-// connection for good: by age alone the busy ones went first, and by use alone those with a running task,
-// whose end could then be told to nobody.
+// A full server evicts the oldest connection that has sent nothing; else, of those without open requests, the
+// least recently used, those without running tasks first. If all have open requests, the new connection is
+// rejected. Guards against clients that send one request and keep their connection open: eviction by age
+// would close busy connections first, and by last use alone those with a running task, whose end could then
+// not be delivered.
 void ClientServer::accept(std::unique_ptr<net::Stream> stream) {
     const Nanos now = loop_.now();
     const bool room = handler_.make_room_for_client() || evict(now);
@@ -50,8 +50,8 @@
     loop_.attach(*client.stream_, client);
 }
 
-// Guards against a reset over a first request that was written with the connection: where all have something
-// open, a few more are accepted to be rejected.
+// Guards against resetting a connection whose first request is already on its way: if all connections have
+// open requests, a few more are accepted only to reject their requests.
 bool ClientServer::make_room_to_reject(Nanos now) {
     if (rejected_count_ < kMaxRejected || drop_ended(ClientConnection::Admission::rejected)) return true;
     const auto silent = std::find_if(clients_.begin(), clients_.end(), [now](const auto& client) {
@@ -64,7 +64,7 @@
     return true;
 }
 
-// One that lingers for its client to close, with nothing on its way that a close would destroy.
+// Frees a half-closed connection that waits for its client to close and has no unread or unsent data.
 bool ClientServer::drop_ended(ClientConnection::Admission admission) {
     const auto quiet = std::find_if(ended_.begin(), ended_.end(), [admission](const auto& client) {
         return client->admission_ == admission && (client->peer_closed_ || !client->stream_->has_unread()) &&
@@ -75,15 +75,14 @@
     return true;
 }
 
-// Called by the listener alone, so that no connection that goes here is what is calling.
+// Called by the listener only and never by a connection, so the evicted connection can be freed at once.
 bool ClientServer::evict(Nanos now) {
     if (drop_ended(ClientConnection::Admission::accepted)) return true;
     std::vector<ClientConnection*> kept;
     for (int i = 0; i < kEvictionTries; ++i) {
         ClientConnection* evicted = choose_eviction(now, kept);
         if (!evicted) return false;
-        // Guards against a request that was written before this moment, and an answer not yet handed over:
-        // the first would be taken by nobody, the second would not arrive.
+        // Guards against the loss of a request that is still unread or of an answer that is still unsent.
         if (evicted->stream_->has_unread() || evicted->stream_->unsent() > 0) {
             kept.push_back(evicted);
             continue;
@@ -95,8 +94,8 @@
     return false;
 }
 
-// A task that is only reported counts for less than one that is shown to run: a crowd of such reports would
-// evict those that wait for a real one.
+// Running tasks that no worker has confirmed protect a connection less than confirmed ones: many false
+// reports would otherwise evict clients that wait for the end of a real task.
 ClientConnection* ClientServer::choose_eviction(Nanos now, const std::vector<ClientConnection*>& kept) const {
     const auto eligible = [&kept](const ClientConnection& client) {
         return !client.is_rejected() && std::find(kept.begin(), kept.end(), &client) == kept.end();
@@ -121,7 +120,7 @@
     const auto it = std::find_if(clients_.begin(), clients_.end(),
                                  [&ended](const auto& client) { return client.get() == &ended; });
     if (it == clients_.end()) return;
-    ended_.push_back(std::move(*it));  // freed later: it may be what is calling
+    ended_.push_back(std::move(*it));  // freed later: the connection may be the caller
     clients_.erase(it);
     handler_.on_client_left(ended);
 }
--- a/src/platform/client_server.h
+++ b/src/platform/client_server.h
@@ -1,5 +1,5 @@
-// The clients' side: accepts their connections, evicts and closes them, and keeps those that have ended until
-// the peer has closed too. Chooses nothing about tasks.
+// Accepts, evicts and closes the connections of clients, and keeps ended ones until the peer has closed too.
+// Makes no decisions about tasks.
 #pragma once
 #include <memory>
 #include <string>
@@ -17,28 +17,28 @@
 
 class ClientServer {
 public:
-    // Bounds the work of one release where very many clients share an address.
+    // Bounds the work for one release if very many clients share an address.
     static constexpr std::size_t kMaxAtAddress = 256;
 
     ClientServer(net::EventLoop&, const log::Logger&, ClientHandler&);
 
     [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address);
-    // Closes connections that are overdue or have ended; to be called from time to time.
+    // Closes overdue connections and frees ended ones; to be called periodically.
     void sweep(Nanos now);
-    // Open and ended connections, without those that are accepted only to be rejected: these come out of what
-    // the budget keeps back.
+    // Number of open and ended connections, without those accepted only to be rejected: these use descriptors
+    // that the connection budget reserves.
     std::size_t size() const { return clients_.size() + ended_.size() - rejected_count_; }
-    // Ends the connections whose clients read nothing. Between two rounds of the planner only.
+    // Ends the connections with too much unsent data. To be called between two rounds of the planner only.
     void end_stalled();
-    // Takes no new connection and half-closes those on which nothing is open or unread. True once all are
-    // closed on both sides, or `deadline` has come.
+    // Stops listening once the backlog is accepted, and half-closes connections without open requests and
+    // unread data. True once all are closed on both sides, or at `deadline`.
     bool drain(Nanos now, Nanos deadline);
-    // Its client, or another one at its address, has acknowledged a release.
+    // Whether this client, or another one at its address, has ever acknowledged a release.
     bool acknowledges(const ClientConnection&) const;
-    // The open connection of that number; null if there is none.
+    // The open connection with that number; null if there is none.
     ClientConnection* find(ledger::ConnectionNumber) const;
-    // The open connections of clients at that address, those used last first and no more than kMaxAtAddress.
-    // One that only checks health is none of them.
+    // The open connections of clients at that address, most recently used first and at most kMaxAtAddress.
+    // Connections of health checkers are left out.
     std::vector<ClientConnection*> clients_at(const std::string& client_address) const;
     const ClientStatistics& statistics() const { return statistics_; }
 
@@ -61,7 +61,7 @@
     ClientStatistics statistics_;
     std::size_t rejected_count_ = 0;
     ledger::ConnectionNumber last_number_ = ledger::kNoConnection;
-    // Bounded; an address that finds no place counts by each connection alone.
+    // Bounded. For clients at an address that did not fit, only their own acknowledgements count.
     std::unordered_set<std::string> acknowledging_addresses_;
     Connections clients_, ended_;
 };
--- a/src/platform/drain_controller.cpp
+++ b/src/platform/drain_controller.cpp
@@ -5,11 +5,11 @@
 namespace whinpost::platform {
 namespace {
 
-// After SIGTERM connections come for up to 0.4 s and requests for 0.2 s more; the kill comes 0.7 s after the
-// longest deadline.
+// After SIGTERM, new connections arrive for up to 0.4 s and requests for 0.2 s more. SIGKILL follows 0.7 s
+// after the longest deadline.
 constexpr Nanos kStillAccepted = 680 * kMillisecond;
-// For clients to close their side after ours, once nothing is owed to them. The kill comes a whole queue
-// timeout after the last request that is accepted.
+// Time for clients to close their side once all requests are answered. SIGKILL follows a whole queue timeout
+// after the last request that is accepted.
 constexpr Nanos kCloseTimeout = 400 * kMillisecond;
 
 }  // namespace
--- a/src/platform/drain_controller.h
+++ b/src/platform/drain_controller.h
@@ -1,4 +1,4 @@
-// Graceful shutdown: from the call to drain until every client has its answers and its connection is closed.
+// Graceful shutdown: answers all requests, then closes the connections of all clients.
 #pragma once
 #include <functional>
 
@@ -6,33 +6,32 @@
 
 namespace whinpost::platform {
 
-// What is drained.
+// The server that is drained.
 class DrainTarget {
 public:
     virtual ~DrainTarget() = default;
     virtual bool has_unanswered_tasks() const = 0;
     virtual void stop_reading_workers() = 0;
-    // Closes the clients' connections as they become idle; true once all are closed, or at `deadline`.
+    // Closes the connections of clients as they become idle. True once all are closed, or at `deadline`.
     virtual bool close_clients(Nanos now, Nanos deadline) = 0;
 };
 
-// Guards against what an exit destroys: answers that are written and have not left, requests that lie unread
-// in a socket or in the backlog of the listener, and releases that were read from workers and sent to nobody.
-// So, once no answer is owed: workers are read no more, since they repeat what they say to the next one that
-// connects; then what clients wrote is read and rejected, what was written to them leaves, and they close
-// first.
+// Guards against what an exit would lose: answers that are written but not sent, requests that are unread in
+// a socket or in the listener's backlog, and releases that were read from workers but not passed on. Once all
+// requests are answered, workers are no longer read; they repeat their releases on the next connection. Then
+// unread requests are read and rejected, unsent answers are sent, and clients close their side.
 class DrainController {
 public:
     explicit DrainController(DrainTarget& target) : target_(target) {}
 
-    // `done` is called once, from sweep(). A second call changes nothing.
+    // `done` is called once, from sweep(). A second start() is ignored.
     void start(Nanos now, std::function<void()> done);
-    void sweep(Nanos now);  // to be called from time to time
+    void sweep(Nanos now);  // to be called periodically
     // Health checks fail from start() on.
     bool is_draining() const { return phase_ != Phase::serving; }
     // New requests are still accepted for a while after start().
     bool accepts_requests(Nanos now) const { return phase_ == Phase::serving || now < reject_from_; }
-    // Clients' connections are being closed, and each sweep may be the last.
+    // The connections of clients are being closed; any sweep may finish the drain.
     bool is_closing() const { return phase_ == Phase::closing || phase_ == Phase::finished; }
 
 private:
--- a/src/platform/in_flight_task.h
+++ b/src/platform/in_flight_task.h
@@ -1,4 +1,5 @@
-// One task of a client while the server holds it: what its attempts need, and where its answer goes.
+// A client's task from its request or report until it is discarded: the data that its attempts need, and
+// where its answer and its end are sent.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -17,14 +18,14 @@
 class WorkerConnection;
 struct InFlightTask;
 
-// Called when a task's client waits no longer, whether or not the planner has answered.
+// Called when the client's time for an answer is over, whether or not the planner has answered.
 class AnswerDeadlineHandler {
 public:
     virtual ~AnswerDeadlineHandler() = default;
     virtual void on_answer_deadline(InFlightTask&, Nanos now) = 0;
 };
 
-// Called when the attempt in flight has had its time without being accepted.
+// Called when the attempt in flight was not accepted within its time limit.
 class AttemptTimeoutHandler {
 public:
     virtual ~AttemptTimeoutHandler() = default;
@@ -35,8 +36,8 @@
     InFlightTask(AnswerDeadlineHandler& deadline_handler, AttemptTimeoutHandler& timeout_handler)
         : answer_deadline(deadline_handler, *this), attempt_timeout(timeout_handler, *this) {}
 
-    // A client that reported a task which was known already: the same client on another connection, or
-    // another one at its address or elsewhere.
+    // The sender of a report of a task that was already known: the same client on another connection, or
+    // another client, at the same or another address.
     struct OtherReporter {
         std::string address;
         ledger::ConnectionNumber connection;
@@ -61,19 +62,22 @@
         InFlightTask& task_;
     };
 
-    std::uint64_t id = 0;                  // the client's; passed on to workers unchanged
+    std::uint64_t id = 0;                  // chosen by the client; passed on to workers unchanged
     ledger::TaskRecord* record = nullptr;  // owned by the ledger until the task is discarded
-    ClientConnection* client = nullptr;    // the connection it came on, while that is open
-    std::string client_address;            // by which another connection of the same client is found
-    std::string queue_group, name, key, description;  // of the request; description is freed once it runs
-    PooledWorker* worker = nullptr;                   // with an attempt in flight, or running the task
-    WorkerConnection* connection = nullptr;           // that the attempt in flight waits for or was sent on
+    // The task's own connection, on which its answer and its end are sent; null once closed or answered.
+    ClientConnection* client = nullptr;
+    std::string client_address;  // to find another connection of the same client
+    // Of the request; the description is freed once the task runs.
+    std::string queue_group, name, key, description;
+    PooledWorker* worker = nullptr;          // that has the attempt in flight or runs the task
+    WorkerConnection* connection = nullptr;  // on which the attempt in flight was sent or waits to be sent
     bool running = false;
-    bool counted_for_client = false;  // among the running tasks of its client's connection
-    ledger::TaskLiveness liveness;    // valid while it runs
+    bool counted_for_client = false;  // in the running tasks of `client`
+    ledger::TaskLiveness liveness;    // valid while the task runs
     std::vector<OtherReporter> other_reporters;
-    std::uint64_t supersedes = 0;  // the id under which it ran before, if this one is its worker's; 0: none
-    // A note shows that the attempt in flight runs, though no answer has come.
+    // An earlier id of the running task, whose entry is ended once the worker confirms this id; 0: none.
+    std::uint64_t supersedes = 0;
+    // A note from the worker shows that the attempt in flight runs, though its answer has not arrived.
     bool reported_running = false;
     AnswerDeadline answer_deadline;
     AttemptTimeout attempt_timeout;
--- a/src/platform/owed_releases.h
+++ b/src/platform/owed_releases.h
@@ -1,4 +1,4 @@
-// The ends of running tasks that clients are owed, each until it is settled.
+// Ends of running tasks that are to be delivered to clients, each kept until it is settled.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,25 +14,25 @@
 namespace whinpost::platform {
 
 struct OwedRelease {
-    std::uint64_t id = 0;  // the client's, of the task
+    std::uint64_t id = 0;  // of the task, chosen by the client
     platform_codec::Cause cause{};
     std::string client_address;
     std::string task_name;
-    bool is_migration = false;  // the client is to place the task anew
+    bool is_migration = false;  // the client is to place the task again
     ledger::ReleaseDelivery delivery;
 };
 
-// In the order in which they became owed. Bounded by count; by age through their deliveries.
+// Kept in the order of add(). take_surplus() bounds their number, and their ReleaseDelivery bounds their age.
 class OwedReleases {
 public:
     static constexpr std::size_t kMaxOwed = 4096;
 
     std::size_t size() const { return releases_.size(); }
-    // The reference stays valid until it is erased.
+    // The reference stays valid until the entry is erased.
     OwedRelease& add(OwedRelease);
-    // The oldest, removed, where there are too many.
+    // Removes and returns the oldest entry if there are more than kMaxOwed.
     std::optional<OwedRelease> take_surplus();
-    // Calls `is_settled` with each, and erases those for which it returns true. It may add none.
+    // Calls `is_settled` with each entry and erases those for which it returns true. It must not add entries.
     void erase_if(const std::function<bool(OwedRelease&)>& is_settled);
     void for_each(const std::function<void(OwedRelease&)>& call);
 
--- a/src/platform/placement_request.h
+++ b/src/platform/placement_request.h
@@ -1,4 +1,4 @@
-// What a client's request asks for, read and checked whole. No I/O.
+// Parses and checks a client's placement request. No I/O.
 #pragma once
 #include <string>
 #include <string_view>
@@ -13,7 +13,7 @@
 struct PlacementRequest {
     ResourceRequest resources;
     std::string task_name, service, idempotency_key;
-    std::string running_on;  // the worker that runs it already; empty: it is to be placed
+    std::string running_on;  // the worker that already runs the task; empty: to be placed
 };
 
 struct PlacementRequestError {
@@ -38,11 +38,11 @@
 };
 std::string_view to_string(PlacementRequestError::Kind);
 
-// What requests are checked against.
+// The queue groups and limits that requests are checked against.
 struct PlacementRequestRules {
-    std::vector<std::string> group_names;  // by the index of their queue group
+    std::vector<std::string> group_names;  // indexed like `groups`
     std::vector<QueueGroup> groups;
-    WorkerKind largest;  // the most cores and memory of any worker kind: no task can ask for more
+    WorkerKind largest;  // the most cores and memory of any worker kind: upper limits for a task
 };
 
 [[nodiscard]] tl::expected<PlacementRequest, PlacementRequestError> parse_placement_request(
--- a/src/platform/release_controller.cpp
+++ b/src/platform/release_controller.cpp
@@ -25,7 +25,7 @@
 ReleaseController::ReleaseController(const ServerContext& context, ClientServer& clients)
     : context_(context), clients_(clients) {}
 
-// ---------------------------------------------------------------- what becomes owed
+// ---------------------------------------------------------------- new ends
 
 void ReleaseController::send_release(std::uint64_t id, const std::string& task_name,
                                      platform_codec::Cause cause, const ReleaseRecipient& recipient) {
@@ -57,7 +57,7 @@
     if (const auto surplus = owed_.take_surplus()) log_settled(*surplus, DeliveryOutcome::superseded);
 }
 
-// ---------------------------------------------------------------- on which connections it is written
+// ---------------------------------------------------------------- writing
 
 void ReleaseController::write_where_allowed(OwedRelease& release, Form form) {
     const ReleaseDelivery& delivery = release.delivery;
@@ -68,8 +68,8 @@
         if (delivery.may_write_to(client->number())) write(release, *client, form);
 }
 
-// A client is told to place its task anew once, at the moment of the migration. Later it is told that the
-// task is over, which it acknowledges.
+// A migration message is written once, when the task is migrated. Later writes are releases, which the client
+// acknowledges.
 void ReleaseController::write(OwedRelease& release, ClientConnection& client, Form form) {
     ReleaseDelivery& delivery = release.delivery;
     const Nanos now = context_.now();
@@ -107,7 +107,7 @@
     });
 }
 
-// ---------------------------------------------------------------- what has become of it
+// ---------------------------------------------------------------- settling
 
 void ReleaseController::on_task_placed(const std::string& task_name, const ClientConnection& client) {
     owed_.erase_if([&](const OwedRelease& release) {
--- a/src/platform/release_controller.h
+++ b/src/platform/release_controller.h
@@ -1,5 +1,5 @@
-// Brings the ends of running tasks to their clients: writes each to the connections that may carry it, and
-// keeps it until it is settled. Which these are, and when, is decided by ledger::ReleaseDelivery.
+// Delivers the ends of running tasks to their clients and keeps each until it is settled.
+// ledger::ReleaseDelivery decides to which connections an end is written, and when.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,10 +12,10 @@
 
 namespace whinpost::platform {
 
-// Who is owed the end of a task, and where it is reached.
+// The client to which the end of a task is to be delivered.
 struct ReleaseRecipient {
     std::string address;              // without the port
-    ClientConnection* own = nullptr;  // on which the task was placed or reported; null: it is gone
+    ClientConnection* own = nullptr;  // on which the task was placed or reported; null once closed
 };
 
 class ReleaseController {
@@ -23,27 +23,27 @@
     ReleaseController(const ServerContext&, ClientServer&);
 
     std::size_t size() const { return owed_.size(); }
-    // The task is over: its client is told now, or as soon as it can be reached.
+    // Sends the end of the task to its client, now or as soon as the client is connected.
     void send_release(std::uint64_t id, const std::string& task_name, platform_codec::Cause,
                       const ReleaseRecipient&);
-    // The task ends here, and its client is to place it anew. Where that may not have arrived, a release
-    // follows.
+    // Tells the client of the ended task to place it again. A release follows if that message may not have
+    // arrived.
     void send_migration(std::uint64_t id, const std::string& task_name, const ReleaseRecipient&);
 
-    // A client reports a task whose end it is owed: it is told at once. False where none is owed.
+    // Answers a client's report of a task that has ended with its kept release. False if none is kept.
     [[nodiscard]] bool on_task_reported(std::uint64_t id, const std::string& task_name, ClientConnection&);
-    // A client places a task: one of that name which was migrated has reached it.
+    // A placement of a migrated task from its client's address shows that the migration has arrived.
     void on_task_placed(const std::string& task_name, const ClientConnection&);
     void on_release_ack(const ClientConnection&, std::uint64_t id);
-    // It has shown to be a client: it may be the one that ends wait for.
+    // Writes the releases that are kept for the address of a connection newly identified as a client's.
     void on_client_identified(ClientConnection&);
     void on_client_left(const ClientConnection&);
-    void sweep(Nanos now);  // to be called from time to time
+    void sweep(Nanos now);  // to be called periodically
 
 private:
     void add(OwedRelease, const ReleaseRecipient&);
-    // To its own connection, or to all of its client's address.
     enum class Form { release, migration };
+    // Writes to the recipient's own connection, or to all connections at its address.
     void write_where_allowed(OwedRelease&, Form);
     void write(OwedRelease&, ClientConnection&, Form);
     bool sweep_one(OwedRelease&, Nanos now);
--- a/src/platform/task_answerer.cpp
+++ b/src/platform/task_answerer.cpp
@@ -19,7 +19,7 @@
 
 void TaskAnswerer::answer(InFlightTask& task, Answer wanted, Nanos retry_after) {
     if (task.record->answer != Answer::none) return;
-    // What may have run is not to be rejected, whoever asks.
+    // A task that may have run must not be rejected, even if the planner rejects it.
     const bool check = wanted == Answer::rejected;
     lifecycle_.send_answer(task, check ? context_.ledger.honest_answer(*task.record) : wanted, retry_after);
     if (!task.record->in_flight) return lifecycle_.discard(task);
--- a/src/platform/task_answerer.h
+++ b/src/platform/task_answerer.h
@@ -1,5 +1,5 @@
-// Gives each client its one final answer, whoever decides it: the planner, the deadline, or the client that
-// cancels.
+// Ends each request once: with an answer decided by the planner or at the deadline, or without one if the
+// client cancels.
 #pragma once
 #include "platform/task_lifecycle.h"
 
@@ -9,14 +9,14 @@
 public:
     TaskAnswerer(const ServerContext&, TaskTable&, TaskLifecycle&);
 
-    // The planner's decisions; without effect where the task has its answer, or is gone.
+    // Decisions of the planner; ignored if the task was already answered or discarded.
     void reject(planner::TaskNumber, Nanos retry_after);
     void fail(planner::TaskNumber);
-    // Answers at once, with what is true of the task, and tells the planner.
+    // Answers at once, failed if an attempt may have run and rejected otherwise, and cancels at the planner.
     void answer_honestly(InFlightTask&);
-    // Cancelled by its client, or its connection broke: no answer is owed.
+    // Ends a request without an answer: its client cancelled it or the connection broke.
     void cancel(InFlightTask&);
-    // The planner has said nothing in time.
+    // Answers in place of the planner, which did not decide in time.
     void on_answer_deadline(InFlightTask&, Nanos now) override;
 
 private:
--- a/src/platform/task_lifecycle.cpp
+++ b/src/platform/task_lifecycle.cpp
@@ -68,8 +68,8 @@
     end_attempt(task, outcome, reason, report, true);
 }
 
-// Who of several that reported it waits for it nobody can tell, so each is owed the end by itself. One whose
-// connection is gone, at the address of the first, is reached by what the first is owed.
+// It is unknown which of several reporters waits for the task, so each is sent its own release. A reporter
+// whose connection is closed, at the address of the task's client, is reached by the release for that client.
 void TaskLifecycle::notify_task_ended(InFlightTask& task, platform_codec::Cause cause) {
     releases_.send_release(task.id, task.name, cause, {task.client_address, task.client});
     for (const InFlightTask::OtherReporter& other : task.other_reporters) {
@@ -79,7 +79,7 @@
     }
 }
 
-// Clients may end a task on any connection, so the one that does may be another than the one that waits.
+// A task may be ended on any connection, so its client may be waiting on a different one.
 void TaskLifecycle::notify_others_of_end(const InFlightTask& task, const ClientConnection& by,
                                          platform_codec::Cause cause) {
     if (task.client != &by)
@@ -99,7 +99,7 @@
     connection.add_running_task(confirmed);
 }
 
-// Another connection that the same client may have reported it on takes the place of the one that is gone.
+// The same client may have reported the task on another connection from its address.
 void TaskLifecycle::on_client_left(InFlightTask& task, const ClientConnection& left) {
     if (task.client != &left) return;
     task.client = nullptr;
--- a/src/platform/task_lifecycle.h
+++ b/src/platform/task_lifecycle.h
@@ -1,4 +1,4 @@
-// The steps that tasks go through, whoever causes them: answered, running, attempt ended, discarded.
+// State changes of tasks: answered, running, attempt ended, discarded.
 #pragma once
 #include "platform/client_server.h"
 #include "platform/release_controller.h"
@@ -11,25 +11,25 @@
 public:
     TaskLifecycle(const ServerContext&, TaskTable&, ClientServer&, ReleaseController&);
 
-    // Records a final answer and sends it to the client. What is in flight goes on.
+    // Records a final answer and sends it to the client. An attempt in flight continues.
     void send_answer(InFlightTask&, ledger::Answer, Nanos retry_after);
-    // The task runs on that worker now.
+    // Registers the task as running on that worker.
     void start_running(InFlightTask&, PooledWorker&);
-    // The attempt in flight, or the running task, has ended. `closed`: nothing is owed any more, and the task
-    // is discarded.
+    // Records the end of the attempt in flight or of the running task. `closed`: the client needs no further
+    // message, and the task is discarded.
     void end_attempt(InFlightTask&, AttemptOutcome, OutcomeReason, const LoadReport&, bool closed);
-    // The running task is over: its clients are told, and it is discarded.
+    // Ends a running task: sends a release to its clients and discards it.
     void end_running(InFlightTask&, AttemptOutcome, OutcomeReason, platform_codec::Cause, const LoadReport&);
-    // Tells each client that waits for the running task that it has ended.
+    // Sends a release to each client that may wait for the end of the running task.
     void notify_task_ended(InFlightTask&, platform_codec::Cause cause);
-    // The same where one of them has ended it, on that connection, and is owed nothing.
+    // Like notify_task_ended(), but leaves out the connection on which a client ended the task.
     void notify_others_of_end(const InFlightTask&, const ClientConnection& by, platform_codec::Cause cause);
-    // The end of the running task is to be sent on that connection of its client.
+    // Makes this connection the one on which the end of the running task is sent.
     void move_to_connection(InFlightTask&, ClientConnection&);
-    // Nothing more can come of it. The object is freed at the end of the round.
+    // Removes the task. The object is freed at the end of the round.
     void discard(InFlightTask&);
-    // The connection on which the task was placed or last reported, and others on which it was, are looked up
-    // again: this one has left.
+    // Called when a connection has ended. If it was the task's own, another one from the same address on
+    // which the task was reported replaces it.
     void on_client_left(InFlightTask&, const ClientConnection&);
 
 private:
--- a/src/platform/task_recovery.cpp
+++ b/src/platform/task_recovery.cpp
@@ -8,9 +8,9 @@
 namespace whinpost::platform {
 namespace {
 
-// A worker that no list names in this time cannot confirm the report in its time either.
+// A worker that is listed later than this cannot confirm the task in time either.
 constexpr Nanos kKeptFor = ledger::TaskLiveness::kConfirmationTimeout;
-// Far more than one worker runs; bounds the memory that a misbehaving client can fill.
+// Far more tasks than one worker runs; bounds the memory that misbehaving clients can fill.
 constexpr std::size_t kMaxPending = 2000;
 
 }  // namespace
--- a/src/platform/task_recovery.h
+++ b/src/platform/task_recovery.h
@@ -1,4 +1,4 @@
-// Running tasks that clients report after a restart, until the worker that runs them is listed.
+// Keeps clients' reports of running tasks, after a restart, until the worker that runs them is listed.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -15,17 +15,18 @@
     std::uint64_t id = 0;
     PlacementRequest request;
     std::string client_address;
-    // Since then its client has had no word: since its connect, where nothing was ever written to it.
+    // Since when the client waits for a message: the report, or the connect if nothing was ever written to
+    // it.
     Nanos waiting_since = 0;
 };
 
 class TaskAdopter {
 public:
     virtual ~TaskAdopter() = default;
-    // Takes the task as running. False where its worker is not listed yet; true also where the task is known
-    // already. `client` is null where the report came on a connection that may be gone.
+    // Registers the task as running. False if its worker is not listed yet; true also if the task is already
+    // known. `client` is null if the connection of the report has ended.
     virtual bool adopt(const RunningTaskReport&, ClientConnection* client) = 0;
-    // Its worker was not listed in time, or too many reports waited.
+    // Called if the worker was not listed in time or too many reports were pending.
     virtual void on_report_dropped(const RunningTaskReport&, ClientConnection* client) = 0;
 };
 
@@ -36,21 +37,21 @@
     std::size_t size() const { return pending_.size(); }
     // Adopts the task at once, or keeps the report until its worker is listed.
     void on_report(RunningTaskReport, ClientConnection&);
-    // After the endpoint list has changed.
+    // To be called after the endpoint list has changed.
     void retry_all();
-    // Whether a report from that connection waits.
+    // Whether a report from that connection is pending.
     bool is_waiting_on(const ClientConnection&) const;
-    // The connection is not to be used after this call.
+    // The connection has ended and must not be used after this call.
     void on_client_left(const ClientConnection&);
-    // The client no longer wants the task that it reported; another client's report of that id waits on.
+    // Drops the client's pending report of that id; other clients' reports of it stay.
     void cancel(std::uint64_t id, const ClientConnection&);
-    // Drops the reports whose worker was not listed in time; their clients are told by the adopter.
+    // Drops the reports whose worker was not listed in time; the adopter notifies their clients.
     void expire(Nanos now);
 
 private:
     struct PendingReport {
         RunningTaskReport report;
-        ClientConnection* client;  // null once it has left
+        ClientConnection* client;  // null once the connection has ended
     };
     void drop_first();
 
--- a/src/platform/task_table.h
+++ b/src/platform/task_table.h
@@ -1,4 +1,4 @@
-// The tasks that the server holds, by planner number, by client id and, while they run, by name.
+// The tasks that the server holds, indexed by planner number, by client id and, while they run, by name.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -11,8 +11,8 @@
 
 namespace whinpost::platform {
 
-// Owns the tasks. A removed task stays in memory until free_removed(), since what removes it is often called
-// from one of the task's own timers or from its connection.
+// Owns the tasks. A removed task stays allocated until free_removed(), since remove() is often called from
+// one of the task's own timers or from its connection.
 class TaskTable {
 public:
     TaskTable(AnswerDeadlineHandler& deadline_handler, AttemptTimeoutHandler& timeout_handler)
@@ -21,20 +21,20 @@
     std::size_t size() const { return by_number_.size(); }
     InFlightTask& create(std::uint64_t id, ledger::TaskRecord&, ClientConnection*,
                          const std::string& client_address);
-    // Null where there is none.
+    // Null if there is none.
     InFlightTask* find(planner::TaskNumber) const;
     InFlightTask* find_by_id(std::uint64_t id) const;
     InFlightTask* find_running(const std::string& name) const;
     void add_running(InFlightTask& task) { running_by_name_[task.name] = &task; }
-    // In the order in which they were created.
+    // Tasks whose own connection is this one, in the order in which they were created.
     std::vector<InFlightTask*> tasks_of(const ClientConnection&) const;
-    // Those that run for clients at that address, in the order in which they were created.
+    // Running tasks of clients at that address, in the order in which they were created.
     std::vector<InFlightTask*> running_tasks_of(const std::string& client_address) const;
     bool all_running() const;
 
-    // False where it was removed before. Its timers never fire again.
+    // False if the task was removed before. Its timers do not fire any more.
     bool remove(InFlightTask&);
-    // To be called when no removed task can still be in use further up the stack.
+    // To be called only when no removed task is in use further up the call stack.
     void free_removed() { removed_.clear(); }
 
 private:
@@ -43,7 +43,7 @@
 
     AnswerDeadlineHandler& deadline_handler_;
     AttemptTimeoutHandler& timeout_handler_;
-    // Hash maps: looked up only, or walked where the order decides nothing.
+    // Hash maps: iterated only where the order does not matter.
     std::unordered_map<planner::TaskNumber, std::unique_ptr<InFlightTask>> by_number_;
     std::unordered_map<std::uint64_t, InFlightTask*> by_id_;
     std::unordered_map<std::string, InFlightTask*> running_by_name_;
