--- a/src/platform/placement_request.cpp
+++ b/src/platform/placement_request.cpp
@@ -11,9 +11,9 @@
 
 using platform_codec::Message;
 using Kind = PlacementRequestError::Kind;
-using Check = std::optional<Kind>;  // nothing where it holds
+using Check = std::optional<Kind>;  // empty if the check passes
 
-// The longest time that is taken at its word; clients wait for seconds.
+// Larger values are rejected; clients wait for seconds.
 constexpr std::int64_t kMaxTimeLeftMs = 3'600'000;
 constexpr double kMaxRuntimeMs = 1e9;
 constexpr std::size_t kTaskNameDigits = 16, kIdempotencyKeyDigits = 32;
@@ -34,7 +34,8 @@
            });
 }
 
-// A task that runs already waits for no answer.
+// Whether the message reports a running task. It then needs no time left and no description, and may omit the
+// idempotency key.
 bool reports_running_task(const Message& message) {
     return message.requirements && message.requirements->find("at:") != std::string_view::npos;
 }
@@ -74,7 +75,7 @@
     bool cores = false, memory = false;
 };
 
-// One `name:value` pair; names that say nothing here pass.
+// Parses one `name:value` pair; unknown names are ignored.
 Check parse_requirement(std::string_view name, std::string_view value, GivenAmounts& given,
                         PlacementRequest& request) {
     if (name == "cores") {
@@ -116,8 +117,8 @@
 }
 
 Check parse(const Message& message, const PlacementRequestRules& rules, PlacementRequest& request) {
-    // No worker can read a request without an id: it closes, and all else that is in flight on the connection
-    // is in doubt.
+    // A worker closes its connection on an attempt with id 0, which leaves the outcome of all other attempts
+    // in flight on that connection unknown.
     if (message.task == 0) return Kind::no_id;
     if (const Check error = parse_queue_group(message, rules, request)) return error;
     if (const Check error = parse_time_left(message, request)) return error;
@@ -135,35 +136,35 @@
 std::string_view to_string(Kind kind) {
     switch (kind) {
         case Kind::no_id:
-            return "no id";
+            return "request id is 0";
         case Kind::no_queue_group:
-            return "no class";
+            return "queue group is missing";
         case Kind::unknown_queue_group:
-            return "no such class";
+            return "unknown queue group";
         case Kind::bad_time_left:
-            return "no good wait";
+            return "time left is missing or invalid";
         case Kind::bad_task_name:
-            return "no good name of the task";
+            return "task name is missing or not 16 lowercase hex digits";
         case Kind::bad_idempotency_key:
-            return "no good key";
+            return "idempotency key is missing or not 32 lowercase hex digits";
         case Kind::no_description:
-            return "no description";
+            return "description is missing or empty";
         case Kind::no_requirements:
-            return "no figures";
+            return "requirements are missing";
         case Kind::bad_requirements:
-            return "figures that can't be read";
+            return "requirement without a colon";
         case Kind::bad_cores:
-            return "cores that are no number";
+            return "cores is not a finite number";
         case Kind::bad_memory:
-            return "memory that is no number";
+            return "memory is not a finite number";
         case Kind::bad_runtime:
-            return "a life that is no number";
+            return "expected runtime is invalid";
         case Kind::cores_out_of_range:
-            return "cores out of range";
+            return "cores is missing or out of range";
         case Kind::memory_out_of_range:
-            return "memory out of range";
+            return "memory is missing or out of range";
         case Kind::no_service:
-            return "no service";
+            return "service is missing or empty";
     }
     return "";
 }
