--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -1,4 +1,4 @@
-// The clients' side of the platform's server by itself.
+// ClientServer and its connections, without the rest of the platform server.
 #include "platform/client_server.h"
 
 #include <catch2/catch.hpp>
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-TEST_CASE("an address that can't be listened on is a typed error") {
+TEST_CASE("listening on an address in use returns an error with the address and a reason") {
     ClientServerFixture fixture;
     platform::ClientServer second(fixture.process, fixture.log, fixture.handler);
     const auto listening = second.listen("10.0.0.1:1");
@@ -51,14 +51,14 @@
     CHECK_FALSE(listening.error().reason.empty());
 }
 
-TEST_CASE("a client is identified once, found by its address, and told apart from others and from checks") {
+TEST_CASE("a client is identified once and found by its address; a health checker at that address is not") {
     ClientServerFixture fixture;
     TestClient& client = fixture.connect(1);
     TestClient& checker = fixture.connect(1);
     checker.send_plain_check();
     fixture.run();
     CHECK(fixture.handler.identified == 0);
-    CHECK(fixture.server.clients_at("10.0.2.1").empty());  // the one has sent nothing yet
+    CHECK(fixture.server.clients_at("10.0.2.1").empty());  // neither the silent client nor the checker
     fixture.request(client, 5);
     fixture.request(client, 6);
     CHECK(fixture.handler.identified == 1);
@@ -71,7 +71,7 @@
     CHECK(fixture.server.size() == 2);
 }
 
-TEST_CASE("a client that sends nothing is closed after 2 s, one with an open request is not") {
+TEST_CASE("a client that sends nothing is closed after 2 s; one with an open request is not") {
     ClientServerFixture fixture;
     TestClient& silent = fixture.connect(1);
     TestClient& waiting = fixture.connect(2);
@@ -85,8 +85,7 @@
     CHECK(fixture.handler.left == 1);
 }
 
-TEST_CASE(
-    "where there is no room the client of least use is evicted, and without one the new client rejected") {
+TEST_CASE("a full server evicts the least useful client, or rejects the new one if all have open requests") {
     ClientServerFixture fixture;
     TestClient& idle = fixture.connect(1);
     TestClient& running = fixture.connect(2);
@@ -113,7 +112,7 @@
     CHECK_FALSE(evicting.closed);
 }
 
-TEST_CASE("an acknowledgement is its own connection's, and tells nothing of its neighbours") {
+TEST_CASE("an acknowledgement counts for its own connection only, not for others at the same address") {
     ClientServerFixture fixture;
     TestClient &client = fixture.connect(1), &neighbour = fixture.connect(1);
     fixture.request(client, 5);
@@ -130,7 +129,8 @@
     CHECK(fixture.handler.acknowledged == std::vector<std::uint64_t>{5});
 }
 
-TEST_CASE("a drain closes idle clients at once, waits for those with a request, and ends at its deadline") {
+TEST_CASE(
+    "a drain closes idle clients at once, waits for those with open requests, and ends at its deadline") {
     ClientServerFixture fixture;
     TestClient& idle = fixture.connect(1);
     TestClient& waiting = fixture.connect(2);
@@ -146,7 +146,7 @@
     CHECK(fixture.server.drain(deadline, deadline));
 }
 
-TEST_CASE("every close is counted with its reason") {
+TEST_CASE("every close of a connection is counted by its reason") {
     ClientServerFixture fixture;
     TestClient& silent = fixture.connect(1);
     TestClient& malformed = fixture.connect(2);
@@ -173,7 +173,7 @@
     CHECK(closed(platform::ClientCloseReason::connection_lost) == 1);
 }
 
-TEST_CASE("a connection whose task is only reported is evicted before one whose task is known to run") {
+TEST_CASE("a connection with an unconfirmed running task is evicted before one with a confirmed task") {
     ClientServerFixture fixture;
     TestClient& known = fixture.connect(1);
     fixture.request(known, 5);
--- a/tests/drain_controller_test.cpp
+++ b/tests/drain_controller_test.cpp
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("requests are accepted for 0.68 s of a drain, health checks fail from its start") {
+TEST_CASE("requests are accepted for 0.68 s after the start of a drain; health checks fail from its start") {
     DrainFixture fixture;
     CHECK_FALSE(fixture.controller.is_draining());
     CHECK(fixture.controller.accepts_requests(100 * kSecond));
@@ -34,11 +34,11 @@
     CHECK(fixture.controller.is_draining());
     CHECK(fixture.controller.accepts_requests(1680 * kMillisecond - 1));
     CHECK_FALSE(fixture.controller.accepts_requests(1680 * kMillisecond));
-    fixture.start(10 * kSecond);  // a second call changes nothing
+    fixture.start(10 * kSecond);  // ignored
     CHECK_FALSE(fixture.controller.accepts_requests(1680 * kMillisecond));
 }
 
-TEST_CASE("clients are closed once no answer is owed, and the end is reported once") {
+TEST_CASE("clients are closed once all requests are answered, and the end of the drain is reported once") {
     DrainFixture fixture;
     fixture.controller.sweep(kSecond);
     CHECK(fixture.closing == 0);
@@ -64,7 +64,7 @@
     CHECK(fixture.controller.is_closing());
 }
 
-TEST_CASE("a client that does not close its side holds up a drain for 0.4 s at most") {
+TEST_CASE("a client that does not close its side delays the end of a drain by at most 0.4 s") {
     DrainFixture fixture;
     fixture.start(0);
     fixture.controller.sweep(kSecond);
--- a/tests/placement_request_test.cpp
+++ b/tests/placement_request_test.cpp
@@ -1,4 +1,4 @@
-// Requests of the platform's clients, parsed and checked.
+// Parsing and checking of clients' placement requests.
 #include "platform/placement_request.h"
 
 #include <catch2/catch.hpp>
@@ -21,7 +21,7 @@
 
 }  // namespace
 
-TEST_CASE("a request is parsed whole or rejected with what is wrong") {
+TEST_CASE("an invalid placement request is rejected with the reason") {
     CHECK(error_in(valid_request()).empty());
     const auto broken = [](auto change) {
         Message message = valid_request();
@@ -43,7 +43,7 @@
     CHECK(broken([&](Message& message) { message.requirements = requirements; }));
 }
 
-TEST_CASE("a report of a running task needs no time left that means anything") {
+TEST_CASE("a report of a running task may have an out-of-range time left and no description") {
     Message message = valid_request();
     message.requirements = "cores:1;memory:2;service:00000000b4d65521;at:s-1";
     message.time_left_ms = "4294967";
--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -1,4 +1,4 @@
-// The platform's server and its clients: good, bad and gone; in virtual time.
+// The platform server with well-behaved, misbehaving and disconnecting clients, in virtual time.
 #include <catch2/catch.hpp>
 
 #include "support/platform_rig.h"
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("clients that ask once and hold their connection do not evict the one that is of use") {
+TEST_CASE("clients that send one request and stay connected do not cause a client in use to be evicted") {
     SingleWorkerRig rig(128);
     rig.request_placement(rig.client, 1, "free", 5000);
     rig.worker.last_connection().answer(1);
@@ -33,8 +33,7 @@
         rig.request_placement(once, ++id, "free", 5000);
         rig.worker.last_connection().release(id, platform_codec::Cause::error);
         if (i % 20 == 0)
-            rig.request_placement(rig.client, ++id,
-                                  "nothing known");  // refused at the door, and a sign of life
+            rig.request_placement(rig.client, ++id, "unknown group");  // rejected, and counts as use
     }
     CHECK(!rig.client.closed);
     CHECK(rig.server.connection_count() < 128);
@@ -43,7 +42,7 @@
     CHECK(rig.client.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("a client that asked once keeps its connection while its task runs, however silent") {
+TEST_CASE("a client that sends nothing more keeps its connection while its task runs") {
     SingleWorkerRig rig(128);
     TestClient& quiet = rig.connect_client(2);
     rig.request_placement(quiet, 1, "free", 5000);
@@ -62,7 +61,7 @@
     CHECK(quiet.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("a release by the client cancels its running task at the worker and is owed nothing") {
+TEST_CASE("a release from the client cancels its running task at the worker and gets no reply") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
@@ -76,7 +75,7 @@
     CHECK(rig.server.task_count() == 0);
 }
 
-TEST_CASE("a client that cancels, or goes, is owed no answer, and its attempt is abandoned") {
+TEST_CASE("a client that cancels or disconnects gets no answer, and its attempt is cancelled at the worker") {
     SingleWorkerRig rig;
     const bool goes = GENERATE(true, false);
     rig.request_placement(rig.client, 1);
@@ -90,7 +89,7 @@
     CHECK(rig.planner.open_tasks() == 0);
 }
 
-TEST_CASE("a client whose task another one at its address ends or withdraws is told so") {
+TEST_CASE("a client gets a release if another client at its address ends its task or cancels its request") {
     SingleWorkerRig rig;
     TestClient& neighbour = rig.connect_client(1);
     rig.request_placement(rig.client, 1);
@@ -105,19 +104,19 @@
     CHECK(rig.server.task_count() == 0);
 }
 
-TEST_CASE("bad clients are rejected or closed, cause no attempt, and cost the others nothing") {
+TEST_CASE("misbehaving clients are rejected or closed, cause no attempt, and do not affect others") {
     SingleWorkerRig rig;
     TestClient& bad = rig.connect_client(2);
-    rig.request_placement(bad, 10, "no such class");
+    rig.request_placement(bad, 10, "unknown group");
     CHECK(bad.count(MessageType::release, 10) == 1);
-    rig.request_placement(bad, 0);  // no id: a worker closes on it, whatever else is open there
+    rig.request_placement(bad, 0);  // id 0, on which a worker would close its connection
     CHECK(bad.count(MessageType::release, 0) == 1);
     rig.request_placement(bad, 11, "free", -5);
     CHECK(bad.count(MessageType::release, 11) == 1);
     CHECK(rig.worker.attempts().empty());
     rig.request_placement(rig.client, 12);
     REQUIRE(rig.worker.attempts().size() == 1);
-    rig.request_placement(bad, 12);  // an open id of another's
+    rig.request_placement(bad, 12);  // the id of another client's open request
     CHECK(bad.count(MessageType::release, 12) == 1);
     CHECK(rig.client.count(MessageType::release, 12) == 0);
     TestClient& twice = rig.connect_client(3);
@@ -139,7 +138,7 @@
 }
 
 TEST_CASE(
-    "a client whose messages call for no answer is told or evicted in time, one with a running task is not") {
+    "clients whose messages need no answer get releases or are closed; one with a running task stays open") {
     SingleWorkerRig rig;
     TestClient &bad = rig.connect_client(2), &other = rig.connect_client(3), &good = rig.connect_client(4);
     for (std::uint64_t id = 100; id < 5000; ++id) {
@@ -164,7 +163,7 @@
     CHECK(rig.server.pending_recovery_count() <= 2000);
 }
 
-TEST_CASE("a client that reads nothing holds bounded memory") {
+TEST_CASE("a client that reads nothing uses bounded memory") {
     SingleWorkerRig rig;
     TestClient& stalled = rig.connect_client(2);
     stalled.stream->set_reading(false);
@@ -177,8 +176,8 @@
 }
 
 TEST_CASE(
-    "a client that reads none of its answers is ended between two rounds of the planner, never within one") {
-    constexpr std::size_t kAsked = 14'000;  // their refusals are over what a connection holds
+    "a connection with too much unsent data is closed between two rounds of the planner, not within one") {
+    constexpr std::size_t kAsked = 14'000;  // their rejections exceed the limit of unsent data
     struct AllAtOnce : QuietPlanner {
         explicit AllAtOnce(platform::PlatformServer& platform_server) : server(platform_server) {}
         void run_round(Nanos) override {
@@ -222,15 +221,15 @@
     CHECK(rig.server.connection_count() == 0);
 }
 
-TEST_CASE("a client that reads nothing and has a request open is answered in the pass that shows it") {
+TEST_CASE("the request of a client that stops reading is ended without waiting for a sweep") {
     SingleWorkerRig rig;
     TestClient& stalled = rig.connect_client(2);
     rig.request_placement(stalled, 7);
     REQUIRE(rig.worker.attempts().size() == 1);
     stalled.stream->set_reading(false);
     stalled.send_bytes(health_checks(60'000));
-    // No sweep, which comes every 100 ms, is needed for it.
+    // Less than the 100 ms between two sweeps.
     for (int i = 0; i < 90 && rig.server.task_count(); ++i) rig.run(kMillisecond);
     CHECK(rig.server.task_count() == 0);
-    CHECK(rig.worker.count(MessageType::release, 7) == 1);  // given up
+    CHECK(rig.worker.count(MessageType::release, 7) == 1);  // the attempt is cancelled
 }
--- a/tests/platform_drain_test.cpp
+++ b/tests/platform_drain_test.cpp
@@ -1,4 +1,4 @@
-// Graceful shutdown of the platform's server; in virtual time.
+// Graceful shutdown of the platform server, in virtual time.
 #include <catch2/catch.hpp>
 
 #include "support/platform_rig.h"
@@ -6,8 +6,7 @@
 using namespace whinpost;
 
 TEST_CASE(
-    "a draining server accepts requests for a while, fails health checks, answers all that is owed, then "
-    "ends") {
+    "a draining server fails health checks, accepts requests for a while, answers all of them, then ends") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     bool ended = false;
--- a/tests/platform_recovery_test.cpp
+++ b/tests/platform_recovery_test.cpp
@@ -1,4 +1,4 @@
-// Releases and running tasks that outlive a connection or a placer; in virtual time.
+// Releases and running tasks that outlive a connection or a placer, in virtual time.
 #include <catch2/catch.hpp>
 
 #include "support/platform_rig.h"
@@ -6,7 +6,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("a release whose client has no connection open is sent on the next one from its address") {
+TEST_CASE("a release whose client has no open connection is sent on the next one from its address") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
@@ -23,7 +23,7 @@
     CHECK(back.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("a task that runs already is adopted, also before its worker is listed, and once only") {
+TEST_CASE("a reported running task is adopted once, also if its worker is listed only later") {
     PlatformRig rig;
     rig.start();
     PlatformRig::FakeWorker& worker = rig.add_worker("h");
@@ -37,13 +37,14 @@
     CHECK(rig.server.task_count() == 1);
     rig.run(50 * kMillisecond);
     CHECK(worker.attempts().empty());
-    REQUIRE(worker.connections.size() == 1);  // its end may come on any connection, so there is one
+    REQUIRE(worker.connections.size() == 1);  // opened to receive the task's end
     worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
     CHECK(client.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("a migration that finds no connection of its client is made once there is one, if still wanted") {
+TEST_CASE(
+    "a migration without a connection of its client waits for one, and is dropped if the drain is over") {
     SingleWorkerRig rig;
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
@@ -68,7 +69,7 @@
     CHECK(rig.server.task_count() == (drain_goes_on ? 0u : 1u));
 }
 
-TEST_CASE("a report again from the same address has the end of the task sent to the newer connection too") {
+TEST_CASE("a repeated report from the same address has the task's end sent to the newer connection too") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
@@ -82,17 +83,16 @@
     CHECK_FALSE(again.closed);
     CHECK(neighbour.closed);
     CHECK(neighbour.received.empty());
-    CHECK(stranger.closed);  // it is told nothing of another's task, and not kept
+    CHECK(stranger.closed);  // from another address: gets no release and is closed
     rig.worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
-    // Which of the two connections its client reads nobody can tell: the first may be dead, or the second
-    // another client's.
+    // The end is sent to both connections: the first may be dead, or the second may be another client's.
     CHECK(again.count(MessageType::release, 1) == 1);
     CHECK(rig.client.count(MessageType::release, 1) == 1);
     CHECK(stranger.received.empty());
 }
 
-TEST_CASE("the end of a task is told to each client that reported it, whoever came first after a start") {
+TEST_CASE("the end of a task is sent to each client that reported it, in whatever order they reported") {
     SingleWorkerRig rig;
     TestClient &first = rig.connect_client(2), &owner = rig.connect_client(3);
     rig.request_placement(first, 1, "free", 4294967, ";at:h");
@@ -105,7 +105,7 @@
     CHECK(owner.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("of two that report a task, one that reported nothing else true is not kept waiting for its end") {
+TEST_CASE("of two clients that report a task, the one without another confirmed task is closed") {
     SingleWorkerRig rig;
     TestClient &first = rig.connect_client(2), &owner = rig.connect_client(2);
     const auto report = [&rig](TestClient& client, std::uint64_t id, std::uint64_t name) {
@@ -126,7 +126,7 @@
 }
 
 TEST_CASE(
-    "a migration that its client may not have received is followed by a release on its other connection") {
+    "a migration that its client may not have received is followed by a release on another connection") {
     SingleWorkerRig rig;
     QuietPlanner quiet;
     rig.server.set_planner(quiet);
@@ -147,7 +147,7 @@
     CHECK(rig.client.count(MessageType::release, 1) == 0);
 }
 
-TEST_CASE("a client that is away loses none of its tasks to another one that reports them") {
+TEST_CASE("a disconnected client receives the end of its task though another client reported that task") {
     SingleWorkerRig rig;
     TestClient& owner = rig.connect_client(2);
     rig.request_placement(owner, 1, "free", 4294967, ";at:h");
@@ -165,7 +165,7 @@
     CHECK(back.count(MessageType::release, 1) == 1);
 }
 
-TEST_CASE("a client that is away is told of the end of a task that another one has ended") {
+TEST_CASE("a disconnected client receives the end of its task after another client has ended it") {
     SingleWorkerRig rig;
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
--- a/tests/platform_wait_matrix_test.cpp
+++ b/tests/platform_wait_matrix_test.cpp
@@ -1,5 +1,5 @@
-// Whoever waits is told in time: who waits, what ends it, and what breaks at that moment, each with each. In
-// virtual time.
+// Every waiting client gets its message in time: all combinations of what the client waits for, how the wait
+// ends and which fault happens at that moment. In virtual time.
 #include <catch2/catch.hpp>
 #include <string>
 #include <vector>
@@ -11,7 +11,8 @@
 
 namespace {
 
-// 1 s of a worker's word, 8 s of an end without one, and what a client takes to come back.
+// A release must arrive within 1 s of the worker's own, or within 8 s if the worker sends none. A client that
+// lost its connection reconnects after kClientAway.
 constexpr Nanos kEndLimit = 8 * kSecond + 200 * kMillisecond;
 constexpr Nanos kClientAway = kSecond;
 constexpr int kTimeLeftMs = 2000;
@@ -39,7 +40,7 @@
         : waiter_(waiter), end_(end), break_(broken), rig_(broken == Break::descriptors ? 34 : 256),
           client_(&rig_.client) {}
 
-    // Whether the client was told of the end, once.
+    // Runs the combination. True if the client received the task's end exactly once.
     bool is_told() {
         begin();
         rig_.run(200 * kMillisecond);
@@ -104,7 +105,7 @@
         ended_at_ = rig_.world.now();
         switch (end_) {
             case End::worker_says:
-                // Repeated on each connection, as workers do.
+                // Workers repeat a release on each connection.
                 for (const auto& connection : rig_.worker.connections)
                     if (connection->stream) connection->release(1, Cause::ok);
                 return;
@@ -149,7 +150,7 @@
 
 }  // namespace
 
-TEST_CASE("the end of a running task reaches its client, whatever ends it and whatever breaks") {
+TEST_CASE("the end of a running task reaches its client once, however it ends and whatever fault occurs") {
     int cells = 0;
     for (int waiter = 0; waiter < 3; ++waiter)
         for (int end = 0; end < 4; ++end)
@@ -162,9 +163,9 @@
     CHECK(cells == 96);
 }
 
-// A client that closes its side only is left out here: the simulated network has no such streams. On real
-// sockets: platform_sockets_clients_test.cpp.
-TEST_CASE("a request has one answer in its time, whatever its worker does and whatever breaks") {
+// Half-closed connections of clients are tested on real sockets in platform_sockets_clients_test.cpp; the
+// simulated network does not support them.
+TEST_CASE("a request gets one answer in time, whatever its worker does and whatever fault occurs") {
     const std::string worker_does = GENERATE("accepts", "rejects", "nothing", "dies", "resets", "leaves");
     const std::string broken = GENERATE("nothing", "list silent", "draining", "no worker");
     INFO(worker_does << ", " << broken);
--- a/tests/release_delivery_test.cpp
+++ b/tests/release_delivery_test.cpp
@@ -1,4 +1,4 @@
-// When the end of a task counts as delivered to the client that is owed it, and on which connections it goes.
+// When the end of a task counts as delivered to its client, and to which connections it is written.
 #include "ledger/release_delivery.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("an end goes to its own connection alone, once, and is settled by the acknowledgement there") {
+TEST_CASE("a release is written once, to its own connection, and settled by an acknowledgement from there") {
     ReleaseDelivery delivery(kStart, kOwn);
     CHECK(delivery.may_write_to(kOwn));
     CHECK_FALSE(delivery.may_write_to(kOther));
@@ -35,7 +35,7 @@
     CHECK(delivery.on_acknowledged(kOwn, kStart));
 }
 
-TEST_CASE("an end without its own connection goes to all of its client's address, each once, for 60 s") {
+TEST_CASE("a release with no own connection goes once to each connection at its client's address, for 60 s") {
     ReleaseDelivery delivery(kStart, kNoConnection);
     delivery.on_written(kOther, kStart);
     CHECK_FALSE(delivery.may_write_to(kOther));
@@ -46,7 +46,7 @@
     CHECK(verdict.outcome == DeliveryOutcome::expired);
 }
 
-TEST_CASE("an acknowledgement that may be another client's keeps an end for others for 8 s more") {
+TEST_CASE("an acknowledgement that may come from another client keeps a release for 8 s more") {
     ReleaseDelivery delivery(kStart, kNoConnection);
     delivery.on_written(kOther, kStart);
     CHECK_FALSE(delivery.on_acknowledged(kOther, kStart + 1));
@@ -56,18 +56,20 @@
     CHECK(delivery.check(end, {.acknowledges = true}).outcome == DeliveryOutcome::taken_elsewhere);
 }
 
-TEST_CASE("a connection that acknowledged others and does not acknowledge this one is mute") {
+TEST_CASE("a release is opened to other connections if an acknowledging connection does not acknowledge it") {
     ReleaseDelivery delivery = written_to_own();
     const Nanos end = kStart + ReleaseDelivery::kAcknowledgeTimeout;
     CHECK(delivery.check(end - 1, {.acknowledges = true}).step == Step::wait);
     CHECK_FALSE(delivery.is_open_to_others());
     CHECK(delivery.check(end, {.acknowledges = true}).step == Step::write_to_others);
     CHECK(delivery.may_write_to(kOther));
-    CHECK(delivery.check(end + 1, {.acknowledges = true}).step == Step::wait);  // said once
-    CHECK(delivery.on_acknowledged(kOwn, end + 2));                             // it was only slow
+    CHECK(delivery.check(end + 1, {.acknowledges = true}).step == Step::wait);  // reported once
+    CHECK(delivery.on_acknowledged(kOwn, end + 2));                             // a late acknowledgement
 }
 
-TEST_CASE("a client that never acknowledges has received what came before it was heard, and else is mute") {
+TEST_CASE(
+    "without acknowledgements, a release is settled if its client sent something later, else opened to "
+    "others") {
     ReleaseDelivery delivery = written_to_own();
     const bool is_heard = GENERATE(true, false);
     const ReleaseDelivery::OwnConnection own{false, is_heard ? kStart + 5 : kStart - 5};
@@ -79,7 +81,8 @@
     CHECK(delivery.may_write_to(kOther) == !is_heard);
 }
 
-TEST_CASE("a connection that is lost before the acknowledgement opens the end to others") {
+TEST_CASE(
+    "a connection lost without an acknowledgement opens the release to others if it may not have arrived") {
     ReleaseDelivery delivery = written_to_own();
     const bool acknowledges = GENERATE(true, false), at_once = GENERATE(true, false);
     const Nanos lost_at = kStart + (at_once ? 1 : ReleaseDelivery::kTransferTime + 1);
@@ -91,7 +94,7 @@
     CHECK(verdict.step == (acknowledges || at_once ? Step::wait : Step::settle));
 }
 
-TEST_CASE("owed ends are kept in order, and the oldest goes where there are too many") {
+TEST_CASE("kept releases stay in order, and the oldest is removed above the limit") {
     platform::OwedReleases releases;
     const auto add = [&releases](std::uint64_t id) {
         releases.add({id, Cause::ok, "10.0.0.1", "name", false, {kStart, kNoConnection}});
--- a/tests/task_answerer_test.cpp
+++ b/tests/task_answerer_test.cpp
@@ -1,4 +1,4 @@
-// The one final answer of each request, and the deadline that gives it where the planner does not.
+// Each request gets one final answer, at the deadline if the planner does not decide.
 #include "platform/task_answerer.h"
 
 #include <catch2/catch.hpp>
@@ -28,7 +28,7 @@
     void on_round_done() override { tasks.free_removed(); }
     void on_attempt_timeout(platform::InFlightTask&) override {}
     void run(Nanos by = 20 * kMillisecond) { world.run_until(world.now() + by); }
-    // Makes the client known, which is done with its first message.
+    // Sends the first message, which makes the client's connection available to the test.
     void client_message() {
         run();
         client.send_bytes(place_task_bytes(1000, "free", 1000, ""));
@@ -67,7 +67,7 @@
 
 }  // namespace
 
-TEST_CASE("a request has one final answer, whoever asks for another") {
+TEST_CASE("a second decision for an answered request is ignored") {
     AnswererFixture fixture;
     const planner::TaskNumber number = fixture.create(7).record->number;
     fixture.answerer.reject(number, 300 * kMillisecond);
@@ -80,7 +80,8 @@
     CHECK(fixture.ledger.open_tasks() == 0);
 }
 
-TEST_CASE("the deadline answers what the planner does not, and tells the planner") {
+TEST_CASE(
+    "a request that the planner does not decide is answered at its deadline and cancelled at the planner") {
     AnswererFixture fixture;
     fixture.create(7);
     fixture.run(900 * kMillisecond);
@@ -92,7 +93,7 @@
     CHECK(fixture.tasks.size() == 0);
 }
 
-TEST_CASE("a cancelled request is owed no answer") {
+TEST_CASE("a cancelled request gets no answer") {
     AnswererFixture fixture;
     fixture.answerer.cancel(fixture.create(7));
     fixture.run(2 * kSecond);
@@ -102,13 +103,13 @@
     CHECK(fixture.tasks.size() == 0);
 }
 
-TEST_CASE("the end of a running task waits where its client has no connection") {
+TEST_CASE("the release of a running task is kept until acknowledged, or until its client connects") {
     AnswererFixture fixture;
     platform::InFlightTask& task = fixture.create(7);
     fixture.lifecycle.notify_task_ended(task, Cause::ok);
     fixture.run();
     CHECK(fixture.client.count(MessageType::release, 7) == 1);
-    REQUIRE(fixture.releases.size() == 1);  // written, and not acknowledged
+    REQUIRE(fixture.releases.size() == 1);  // written but not acknowledged
     fixture.releases.on_release_ack(*task.client, 7);
     CHECK(fixture.releases.size() == 0);
     task.client = nullptr;
--- a/tests/task_recovery_test.cpp
+++ b/tests/task_recovery_test.cpp
@@ -1,4 +1,4 @@
-// Reports of running tasks whose worker is not listed yet.
+// TaskRecovery: reports of running tasks whose worker may not be listed yet.
 #include "platform/task_recovery.h"
 
 #include <catch2/catch.hpp>
@@ -35,7 +35,7 @@
 }
 
 struct RecoveryFixture {
-    int storage = 0;  // only its address is passed on
+    int storage = 0;  // only its address is used
     platform::ClientConnection& client = reinterpret_cast<platform::ClientConnection&>(storage);
     FakeAdopter adopter;
     platform::TaskRecovery recovery{adopter};
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-TEST_CASE("a task on a listed worker is adopted at once, with its client") {
+TEST_CASE("a reported task on a listed worker is adopted at once, with its client") {
     RecoveryFixture fixture;
     fixture.adopter.listed = {"w1"};
     fixture.recovery.on_report(report(1, "w1"), fixture.client);
@@ -52,7 +52,7 @@
     CHECK(fixture.adopter.with_client == 1);
 }
 
-TEST_CASE("reports wait, in order and with their client while it is there, until their worker is listed") {
+TEST_CASE("reports stay pending in order until their worker is listed; a closed client is forgotten") {
     RecoveryFixture fixture;
     for (std::uint64_t id = 1; id <= 4; ++id)
         fixture.recovery.on_report(report(id, id % 2 ? "w1" : "w2"), fixture.client);
@@ -70,7 +70,8 @@
     CHECK(fixture.adopter.with_client == 2);
 }
 
-TEST_CASE("reports are dropped when cancelled, after 2.5 s, and beyond 2000, and the adopter is told") {
+TEST_CASE(
+    "reports are dropped when cancelled, and dropped with a call to the adopter after 2.5 s or above 2000") {
     RecoveryFixture fixture;
     fixture.recovery.on_report(report(1, "w1", 0), fixture.client);
     fixture.recovery.on_report(report(2, "w1", kSecond), fixture.client);
--- a/tests/task_table_test.cpp
+++ b/tests/task_table_test.cpp
@@ -1,4 +1,4 @@
-// The table of tasks that the platform's server holds.
+// TaskTable: lookup, order and removal of tasks.
 #include "platform/task_table.h"
 
 #include <catch2/catch.hpp>
@@ -25,7 +25,7 @@
 
 }  // namespace
 
-TEST_CASE("a task is found by number, by client id and, once it runs, by name") {
+TEST_CASE("a task is found by planner number, by client id and, once it runs, by name") {
     TableFixture fixture;
     InFlightTask& task = fixture.create(3, 77);
     task.name = "name";
@@ -38,7 +38,7 @@
     CHECK(fixture.table.find_running("name") == &task);
 }
 
-TEST_CASE("a removed task is found no more, its timers are disarmed, and it lives until it is freed") {
+TEST_CASE("a removed task is no longer found, its timers are disarmed, and it stays valid until freed") {
     TableFixture fixture;
     InFlightTask& task = fixture.create(1, 10);
     task.name = "name";
@@ -57,7 +57,7 @@
     fixture.table.free_removed();
 }
 
-TEST_CASE("tasks of a client come in the order in which they were created") {
+TEST_CASE("tasks of a client are returned in the order in which they were created") {
     TableFixture fixture;
     int client_storage = 0, other_storage = 0;  // only their addresses are compared
     auto* client = reinterpret_cast<platform::ClientConnection*>(&client_storage);
