--- a/tests/platform_recovery_test.cpp
+++ b/tests/platform_recovery_test.cpp
@@ -16,10 +16,10 @@
     rig.worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(2 * kSecond);
     TestClient& stranger = rig.connect_client(2);
-    rig.request_placement(stranger, 50, "nothing known");
+    rig.request_placement(stranger, 50, "unknown group");
     CHECK(stranger.count(MessageType::release, 1) == 0);
     TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "nothing known");
+    rig.request_placement(back, 51, "unknown group");
     CHECK(back.count(MessageType::release, 1) == 1);
 }
 
@@ -62,7 +62,7 @@
     CHECK(rig.worker.count(MessageType::release, 1) == 0);
     if (!drain_goes_on) rig.publish({PlatformRig::entry(rig.worker)});
     TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "nothing known");
+    rig.request_placement(back, 51, "unknown group");
     rig.run(40 * kMillisecond);
     CHECK(back.count(MessageType::migrate, 1) == (drain_goes_on ? 1u : 0u));
     CHECK(rig.worker.count(MessageType::release, 1) == (drain_goes_on ? 1u : 0u));
@@ -136,7 +136,7 @@
     rig.run(20 * kMillisecond);
     rig.worker.last_connection().answer(1);
     TestClient& other = rig.connect_client(1);
-    rig.request_placement(other, 51, "nothing known");
+    rig.request_placement(other, 51, "unknown group");
     rig.server.migrate(quiet.submitted[0]);
     rig.run(100 * kMillisecond);
     CHECK(rig.client.count(MessageType::migrate, 1) == 1);
@@ -161,7 +161,7 @@
     rig.worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
     TestClient& back = rig.connect_client(2);
-    rig.request_placement(back, 51, "nothing known");
+    rig.request_placement(back, 51, "unknown group");
     CHECK(back.count(MessageType::release, 1) == 1);
 }
 
@@ -176,7 +176,7 @@
     other.release(1, platform_codec::Cause::given_up);
     rig.run(20 * kMillisecond);
     TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "nothing known");
+    rig.request_placement(back, 51, "unknown group");
     CHECK(back.count(MessageType::release, 1) == 1);
     CHECK(other.count(MessageType::release, 1) == 0);
 }
--- a/tests/platform_wait_matrix_test.cpp
+++ b/tests/platform_wait_matrix_test.cpp
@@ -134,7 +134,7 @@
     }
     void come_back() {
         client_ = &rig_.connect_client(1);
-        client_->send_bytes(place_task_bytes(99, "nothing known", 1000, ""));
+        client_->send_bytes(place_task_bytes(99, "unknown group", 1000, ""));
         rig_.run(20 * kMillisecond);
     }
 
