--- a/tests/platform_clients_test.cpp
+++ b/tests/platform_clients_test.cpp
@@ -77,10 +77,10 @@
 
 TEST_CASE("a client that cancels or disconnects gets no answer, and its attempt is cancelled at the worker") {
     SingleWorkerRig rig;
-    const bool goes = GENERATE(true, false);
+    const bool disconnects = GENERATE(true, false);
     rig.request_placement(rig.client, 1);
     REQUIRE(rig.worker.attempts().size() == 1);
-    if (goes) rig.client.stream.reset();
+    if (disconnects) rig.client.stream.reset();
     else rig.client.release(1, platform_codec::Cause::given_up);
     rig.run(20 * kMillisecond);
     CHECK(rig.worker.count(MessageType::release, 1) == 1);
@@ -106,18 +106,18 @@
 
 TEST_CASE("misbehaving clients are rejected or closed, cause no attempt, and do not affect others") {
     SingleWorkerRig rig;
-    TestClient& bad = rig.connect_client(2);
-    rig.request_placement(bad, 10, "unknown group");
-    CHECK(bad.count(MessageType::release, 10) == 1);
-    rig.request_placement(bad, 0);  // id 0, on which a worker would close its connection
-    CHECK(bad.count(MessageType::release, 0) == 1);
-    rig.request_placement(bad, 11, "free", -5);
-    CHECK(bad.count(MessageType::release, 11) == 1);
+    TestClient& misbehaving = rig.connect_client(2);
+    rig.request_placement(misbehaving, 10, "unknown group");
+    CHECK(misbehaving.count(MessageType::release, 10) == 1);
+    rig.request_placement(misbehaving, 0);  // id 0, on which a worker would close its connection
+    CHECK(misbehaving.count(MessageType::release, 0) == 1);
+    rig.request_placement(misbehaving, 11, "free", -5);
+    CHECK(misbehaving.count(MessageType::release, 11) == 1);
     CHECK(rig.worker.attempts().empty());
     rig.request_placement(rig.client, 12);
     REQUIRE(rig.worker.attempts().size() == 1);
-    rig.request_placement(bad, 12);  // the id of another client's open request
-    CHECK(bad.count(MessageType::release, 12) == 1);
+    rig.request_placement(misbehaving, 12);  // the id of another client's open request
+    CHECK(misbehaving.count(MessageType::release, 12) == 1);
     CHECK(rig.client.count(MessageType::release, 12) == 0);
     TestClient& twice = rig.connect_client(3);
     rig.request_placement(twice, 20);
@@ -140,7 +140,8 @@
 TEST_CASE(
     "clients whose messages need no answer get releases or are closed; one with a running task stays open") {
     SingleWorkerRig rig;
-    TestClient &bad = rig.connect_client(2), &other = rig.connect_client(3), &good = rig.connect_client(4);
+    TestClient &misbehaving = rig.connect_client(2), &other = rig.connect_client(3),
+               &well_behaved = rig.connect_client(4);
     for (std::uint64_t id = 100; id < 5000; ++id) {
         Message message;
         message.type = MessageType::place_task;
@@ -149,16 +150,16 @@
         message.queue_group = "free";
         message.task_name = name;
         message.requirements = "cores:1;memory:2;service:00000000b4d65521;at:nowhere";
-        bad.send(message);
+        misbehaving.send(message);
     }
     other.release(77, platform_codec::Cause::given_up);
-    rig.request_placement(good, 9, "free", 4294967, ";at:h");
+    rig.request_placement(well_behaved, 9, "free", 4294967, ";at:h");
     rig.worker.last_connection().report_use(9);
     rig.run(2700 * kMillisecond);
-    CHECK(bad.messages(MessageType::release).size() == 4900);
+    CHECK(misbehaving.messages(MessageType::release).size() == 4900);
     CHECK(other.closed);
-    CHECK(!good.closed);
-    CHECK(good.received.empty());
+    CHECK(!well_behaved.closed);
+    CHECK(well_behaved.received.empty());
     CHECK(rig.server.task_count() == 1);
     CHECK(rig.server.pending_recovery_count() <= 2000);
 }
@@ -177,13 +178,13 @@
 
 TEST_CASE(
     "a connection with too much unsent data is closed between two rounds of the planner, not within one") {
-    constexpr std::size_t kAsked = 14'000;  // their rejections exceed the limit of unsent data
-    struct AllAtOnce : QuietPlanner {
-        explicit AllAtOnce(platform::PlatformServer& platform_server) : server(platform_server) {}
+    constexpr std::size_t kRequests = 14'000;  // their rejections exceed the limit of unsent data
+    struct RejectingPlanner : QuietPlanner {
+        explicit RejectingPlanner(platform::PlatformServer& platform_server) : server(platform_server) {}
         void run_round(Nanos) override {
-            if (submitted.size() < kAsked) return;
+            if (submitted.size() < kRequests) return;
             in_round = true;
-            for (std::size_t i = 0; i < kAsked - 50; ++i)
+            for (std::size_t i = 0; i < kRequests - 50; ++i)
                 server.reject(submitted[i], kSecond * 1'000'000'000);
             in_round = false;
         }
@@ -196,7 +197,7 @@
         int cancelled = 0, cancelled_in_round = 0;
     };
     PlatformRig rig;
-    AllAtOnce planner(rig.server);
+    RejectingPlanner planner(rig.server);
     rig.server.set_planner(planner);
     TestClient& client = rig.connect_client();
     client.stream->set_reading(false);
@@ -206,14 +207,14 @@
     message.time_left_ms = "60000";
     message.requirements = "cores:1;memory:2;service:00000000b4d65521";
     message.description = "asked";
-    for (std::uint64_t id = 1; id <= kAsked; ++id) {
+    for (std::uint64_t id = 1; id <= kRequests; ++id) {
         const std::string name = task_name_of(id);
         message.task = id;
         message.task_name = name;
         client.send(message);
     }
     rig.run(kSecond);
-    REQUIRE(planner.submitted.size() == kAsked);
+    REQUIRE(planner.submitted.size() == kRequests);
     CHECK(planner.cancelled == 50);
     CHECK(planner.cancelled_in_round == 0);
     CHECK(rig.server.task_count() == 0);
--- a/tests/platform_recovery_test.cpp
+++ b/tests/platform_recovery_test.cpp
@@ -18,9 +18,9 @@
     TestClient& stranger = rig.connect_client(2);
     rig.request_placement(stranger, 50, "unknown group");
     CHECK(stranger.count(MessageType::release, 1) == 0);
-    TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "unknown group");
-    CHECK(back.count(MessageType::release, 1) == 1);
+    TestClient& reconnected = rig.connect_client(1);
+    rig.request_placement(reconnected, 51, "unknown group");
+    CHECK(reconnected.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("a reported running task is adopted once, also if its worker is listed only later") {
@@ -55,18 +55,18 @@
     rig.worker.last_connection().answer(1);
     rig.run(20 * kMillisecond);
     rig.client.stream.reset();
-    const bool drain_goes_on = GENERATE(true, false);
+    const bool still_draining = GENERATE(true, false);
     rig.publish({PlatformRig::entry(rig.worker, "leaving")});
     rig.server.migrate(quiet.submitted[0]);
     rig.run(100 * kMillisecond);
     CHECK(rig.worker.count(MessageType::release, 1) == 0);
-    if (!drain_goes_on) rig.publish({PlatformRig::entry(rig.worker)});
-    TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "unknown group");
+    if (!still_draining) rig.publish({PlatformRig::entry(rig.worker)});
+    TestClient& reconnected = rig.connect_client(1);
+    rig.request_placement(reconnected, 51, "unknown group");
     rig.run(40 * kMillisecond);
-    CHECK(back.count(MessageType::migrate, 1) == (drain_goes_on ? 1u : 0u));
-    CHECK(rig.worker.count(MessageType::release, 1) == (drain_goes_on ? 1u : 0u));
-    CHECK(rig.server.task_count() == (drain_goes_on ? 0u : 1u));
+    CHECK(reconnected.count(MessageType::migrate, 1) == (still_draining ? 1u : 0u));
+    CHECK(rig.worker.count(MessageType::release, 1) == (still_draining ? 1u : 0u));
+    CHECK(rig.server.task_count() == (still_draining ? 0u : 1u));
 }
 
 TEST_CASE("a repeated report from the same address has the task's end sent to the newer connection too") {
@@ -74,20 +74,20 @@
     rig.request_placement(rig.client, 1);
     rig.worker.last_connection().answer(1);
     rig.run(20 * kMillisecond);
-    TestClient &again = rig.connect_client(1), &stranger = rig.connect_client(2);
+    TestClient &reporting_again = rig.connect_client(1), &stranger = rig.connect_client(2);
     TestClient& neighbour = rig.connect_client(1);  // another client at the same address
-    rig.request_placement(again, 1, "free", 4294967, ";at:h");
+    rig.request_placement(reporting_again, 1, "free", 4294967, ";at:h");
     rig.request_placement(stranger, 1, "free", 4294967, ";at:h");
     neighbour.send_bytes(place_task_bytes(1, "free", 4294967, ";at:h", 77));
     rig.run(3 * kSecond);
-    CHECK_FALSE(again.closed);
+    CHECK_FALSE(reporting_again.closed);
     CHECK(neighbour.closed);
     CHECK(neighbour.received.empty());
     CHECK(stranger.closed);  // from another address: gets no release and is closed
     rig.worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
     // The end is sent to both connections: the first may be dead, or the second may be another client's.
-    CHECK(again.count(MessageType::release, 1) == 1);
+    CHECK(reporting_again.count(MessageType::release, 1) == 1);
     CHECK(rig.client.count(MessageType::release, 1) == 1);
     CHECK(stranger.received.empty());
 }
@@ -140,10 +140,10 @@
     rig.server.migrate(quiet.submitted[0]);
     rig.run(100 * kMillisecond);
     CHECK(rig.client.count(MessageType::migrate, 1) == 1);
-    const bool is_placed_anew = GENERATE(true, false);
-    if (is_placed_anew) rig.client.send_bytes(place_task_bytes(2, "free", 5000, "", 1));
+    const bool is_placed_again = GENERATE(true, false);
+    if (is_placed_again) rig.client.send_bytes(place_task_bytes(2, "free", 5000, "", 1));
     rig.run(1500 * kMillisecond);
-    CHECK(other.count(MessageType::release, 1) == (is_placed_anew ? 0u : 1u));
+    CHECK(other.count(MessageType::release, 1) == (is_placed_again ? 0u : 1u));
     CHECK(rig.client.count(MessageType::release, 1) == 0);
 }
 
@@ -160,9 +160,9 @@
     rig.run(20 * kMillisecond);
     rig.worker.last_connection().release(1, platform_codec::Cause::ok);
     rig.run(20 * kMillisecond);
-    TestClient& back = rig.connect_client(2);
-    rig.request_placement(back, 51, "unknown group");
-    CHECK(back.count(MessageType::release, 1) == 1);
+    TestClient& reconnected = rig.connect_client(2);
+    rig.request_placement(reconnected, 51, "unknown group");
+    CHECK(reconnected.count(MessageType::release, 1) == 1);
 }
 
 TEST_CASE("a disconnected client receives the end of its task after another client has ended it") {
@@ -175,8 +175,8 @@
     TestClient& other = rig.connect_client(3);
     other.release(1, platform_codec::Cause::given_up);
     rig.run(20 * kMillisecond);
-    TestClient& back = rig.connect_client(1);
-    rig.request_placement(back, 51, "unknown group");
-    CHECK(back.count(MessageType::release, 1) == 1);
+    TestClient& reconnected = rig.connect_client(1);
+    rig.request_placement(reconnected, 51, "unknown group");
+    CHECK(reconnected.count(MessageType::release, 1) == 1);
     CHECK(other.count(MessageType::release, 1) == 0);
 }
