--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kMaxUnsent = 64 << 10;
 // If the event loop has not polled for this long, unread data may hold a client's close or cancellation. Half
 // of the 0.1 s after a client's disconnect from which on no attempt may start for it.
-constexpr Nanos kLoopAway = 50 * kMillisecond;
+constexpr Nanos kMaxPollAge = 50 * kMillisecond;
 
 std::string without_port(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
@@ -93,7 +93,7 @@
 // may be behind more data than one read takes, or may have arrived while the event loop was busy.
 bool ClientConnection::may_have_disconnected() const {
     if (backlog_since_ || stream_->peer_closed()) return true;
-    return server_.loop_.now() - server_.loop_.polled_at() > kLoopAway && stream_->has_unread();
+    return server_.loop_.now() - server_.loop_.polled_at() > kMaxPollAge && stream_->has_unread();
 }
 
 // Guards against a close while data from the peer is unread: the kernel would reset the connection, and
@@ -217,8 +217,8 @@
 // Messages that get no answer do not put off the deadline, such as the release of an unknown task or the
 // report of a task on a worker that is not listed.
 Nanos ClientConnection::overdue(Nanos now) const {
-    const bool useless = !was_written_to_ && !open_requests_ && !running_tasks_;
-    return std::max(useless && !server_.handler_.has_pending_report(*this)
+    const bool unused = !was_written_to_ && !open_requests_ && !running_tasks_;
+    return std::max(unused && !server_.handler_.has_pending_report(*this)
                         ? now - connected_at_ - kFirstMessageTimeout
                         : 0,
                     partial_since_ ? now - partial_since_ - kPartialMessageTimeout : 0);
--- a/src/platform/client_requests.cpp
+++ b/src/platform/client_requests.cpp
@@ -79,7 +79,7 @@
     // client. The request is then answered, since its client may still be waiting.
     if (task->client == &client) parts_.answerer.cancel(*task);
     else if (task->client && task->client->client_address() == client.client_address())
-        parts_.answerer.answer_honestly(*task);
+        parts_.answerer.answer_without_planner(*task);
 }
 
 void ClientRequests::on_health_check() {
@@ -100,7 +100,7 @@
 void ClientRequests::on_client_ending(ClientConnection& client) {
     for (InFlightTask* task : parts_.tasks.tasks_of(client)) {
         if (task->running || task->record->answer != ledger::Answer::none) continue;
-        parts_.answerer.answer_honestly(*task);
+        parts_.answerer.answer_without_planner(*task);
     }
 }
 
--- a/src/platform/client_server.cpp
+++ b/src/platform/client_server.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 // The first message may still be on its way on a connection younger than this.
-constexpr Nanos kJustConnected = 100 * kMillisecond;
+constexpr Nanos kFirstMessageDelay = 100 * kMillisecond;
 // Time for a client to close its side after this side's half-close; a round trip takes a few ms.
-constexpr Nanos kLinger = 500 * kMillisecond;
+constexpr Nanos kCloseTimeout = 500 * kMillisecond;
 // Longest delay of a close because of unread data, so that a client that never stops sending is closed too.
 constexpr Nanos kMaxUnreadDelay = 500 * kMillisecond;
 constexpr int kEvictionTries = 8;
@@ -55,8 +55,8 @@
 bool ClientServer::make_room_to_reject(Nanos now) {
     if (rejected_count_ < kMaxRejected || drop_ended(ClientConnection::Admission::rejected)) return true;
     const auto silent = std::find_if(clients_.begin(), clients_.end(), [now](const auto& client) {
-        return client->is_rejected() && !client->has_sent_ && now - client->connected_at_ >= kJustConnected &&
-               !client->stream_->has_unread();
+        return client->is_rejected() && !client->has_sent_ &&
+               now - client->connected_at_ >= kFirstMessageDelay && !client->stream_->has_unread();
     });
     if (silent == clients_.end()) return false;
     (*silent)->end(ClientCloseReason::evicted);
@@ -102,16 +102,17 @@
     };
     ClientConnection* chosen = nullptr;
     for (const auto& client : clients_) {
-        if (client->has_sent_ || now - client->connected_at_ < kJustConnected || !eligible(*client)) continue;
+        if (client->has_sent_ || now - client->connected_at_ < kFirstMessageDelay || !eligible(*client))
+            continue;
         if (!chosen || client->connected_at_ < chosen->connected_at_) chosen = client.get();
     }
     if (chosen) return chosen;
-    const auto usefulness = [](const ClientConnection& client) {
+    const auto eviction_rank = [](const ClientConnection& client) {
         return std::tuple(client.confirmed_tasks_ > 0, client.running_tasks_ > 0, client.last_used_);
     };
     for (const auto& client : clients_) {
         if (!client->has_sent_ || client->open_requests_ || !eligible(*client)) continue;
-        if (!chosen || usefulness(*client) < usefulness(*chosen)) chosen = client.get();
+        if (!chosen || eviction_rank(*client) < eviction_rank(*chosen)) chosen = client.get();
     }
     return chosen;
 }
@@ -157,13 +158,13 @@
 
 void ClientServer::sweep(Nanos now) {
     std::erase_if(ended_, [now](const auto& client) {
-        return client->peer_closed_ || now - client->ended_at_ > kLinger;
+        return client->peer_closed_ || now - client->ended_at_ > kCloseTimeout;
     });
     std::vector<ClientConnection*> overdue;
     for (const auto& client : clients_) {
         const Nanos late = client->overdue(now);
-        const bool rejected_long = client->is_rejected() && now - client->connected_at_ > kLinger;
-        if (rejected_long || (late > 0 && (late > kMaxUnreadDelay || !client->stream_->has_unread())))
+        const bool rejection_overdue = client->is_rejected() && now - client->connected_at_ > kCloseTimeout;
+        if (rejection_overdue || (late > 0 && (late > kMaxUnreadDelay || !client->stream_->has_unread())))
             overdue.push_back(client.get());
     }
     for (ClientConnection* client : overdue) client->end(client->overdue_reason());
--- a/src/platform/drain_controller.cpp
+++ b/src/platform/drain_controller.cpp
@@ -7,7 +7,7 @@
 
 // After SIGTERM, new connections arrive for up to 0.4 s and requests for 0.2 s more. SIGKILL follows 0.7 s
 // after the longest deadline.
-constexpr Nanos kStillAccepted = 680 * kMillisecond;
+constexpr Nanos kAcceptPeriod = 680 * kMillisecond;
 // Time for clients to close their side once all requests are answered. SIGKILL follows a whole queue timeout
 // after the last request that is accepted.
 constexpr Nanos kCloseTimeout = 400 * kMillisecond;
@@ -17,7 +17,7 @@
 void DrainController::start(Nanos now, std::function<void()> done) {
     if (phase_ != Phase::serving) return;
     phase_ = Phase::answering;
-    reject_from_ = now + kStillAccepted;
+    reject_from_ = now + kAcceptPeriod;
     done_ = std::move(done);
 }
 
--- a/src/platform/release_controller.cpp
+++ b/src/platform/release_controller.cpp
@@ -48,7 +48,7 @@
                   {"cause", static_cast<int>(release.cause)},
                   {"migration", release.is_migration},
                   {"client", recipient.own ? recipient.own->peer() : recipient.address}});
-    write_where_allowed(release, release.is_migration ? Form::migration : Form::release);
+    write_where_allowed(release, release.is_migration ? MessageKind::migration : MessageKind::release);
     if (!release.delivery.was_written()) {
         ++context_.statistics.releases_pending;
         context_.log(log::Level::info, "release_pending",
@@ -59,18 +59,18 @@
 
 // ---------------------------------------------------------------- writing
 
-void ReleaseController::write_where_allowed(OwedRelease& release, Form form) {
+void ReleaseController::write_where_allowed(OwedRelease& release, MessageKind kind) {
     const ReleaseDelivery& delivery = release.delivery;
     ClientConnection* own = clients_.find(delivery.own_connection());
-    if (own && delivery.may_write_to(own->number())) write(release, *own, form);
+    if (own && delivery.may_write_to(own->number())) write(release, *own, kind);
     if (!delivery.is_open_to_others()) return;
     for (ClientConnection* client : clients_.clients_at(release.client_address))
-        if (delivery.may_write_to(client->number())) write(release, *client, form);
+        if (delivery.may_write_to(client->number())) write(release, *client, kind);
 }
 
 // A migration message is written once, when the task is migrated. Later writes are releases, which the client
 // acknowledges.
-void ReleaseController::write(OwedRelease& release, ClientConnection& client, Form form) {
+void ReleaseController::write(OwedRelease& release, ClientConnection& client, MessageKind kind) {
     ReleaseDelivery& delivery = release.delivery;
     const Nanos now = context_.now();
     const bool is_own = client.number() == delivery.own_connection();
@@ -84,7 +84,7 @@
                   {"age_ms", (now - delivery.owed_at()) / kMillisecond}});
     ++(is_repeated ? context_.statistics.releases_repeated : context_.statistics.releases_sent);
     delivery.on_written(client.number(), now);
-    if (form == Form::migration) client.send_migration(release.id);
+    if (kind == MessageKind::migration) client.send_migration(release.id);
     else if (is_own) client.send_release(release.id, release.cause);
     else client.offer_release(release.id, release.cause);
 }
@@ -95,7 +95,7 @@
     owed_.for_each([&](OwedRelease& release) {
         if (release.id != id || release.task_name != task_name) return;
         is_owed = true;
-        if (!release.delivery.was_written_to(client.number())) write(release, client, Form::release);
+        if (!release.delivery.was_written_to(client.number())) write(release, client, MessageKind::release);
     });
     return is_owed;
 }
@@ -103,7 +103,7 @@
 void ReleaseController::on_client_identified(ClientConnection& client) {
     owed_.for_each([this, &client](OwedRelease& release) {
         if (release.client_address != client.client_address()) return;
-        if (release.delivery.may_write_to(client.number())) write(release, client, Form::release);
+        if (release.delivery.may_write_to(client.number())) write(release, client, MessageKind::release);
     });
 }
 
@@ -149,7 +149,7 @@
                       {"reason", "connection_lost"},
                       {"age_ms", (now - release.delivery.owed_at()) / kMillisecond}});
         release.delivery.on_connection_lost(client.number(), now, clients_.acknowledges(client));
-        write_where_allowed(release, Form::release);
+        write_where_allowed(release, MessageKind::release);
     });
 }
 
@@ -172,7 +172,7 @@
                       {"client", own ? own->peer() : release.client_address},
                       {"reason", "no acknowledgement"},
                       {"age_ms", (now - delivery.owed_at()) / kMillisecond}});
-        write_where_allowed(release, Form::release);
+        write_where_allowed(release, MessageKind::release);
     }
     return verdict.step == Step::settle;
 }
--- a/src/platform/release_controller.h
+++ b/src/platform/release_controller.h
@@ -42,10 +42,10 @@
 
 private:
     void add(OwedRelease, const ReleaseRecipient&);
-    enum class Form { release, migration };
+    enum class MessageKind { release, migration };
     // Writes to the recipient's own connection, or to all connections at its address.
-    void write_where_allowed(OwedRelease&, Form);
-    void write(OwedRelease&, ClientConnection&, Form);
+    void write_where_allowed(OwedRelease&, MessageKind);
+    void write(OwedRelease&, ClientConnection&, MessageKind);
     bool sweep_one(OwedRelease&, Nanos now);
     void log_settled(const OwedRelease&, ledger::DeliveryOutcome) const;
 
--- a/src/platform/task_answerer.cpp
+++ b/src/platform/task_answerer.cpp
@@ -35,7 +35,7 @@
     lifecycle_.end_attempt(task, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
 }
 
-void TaskAnswerer::answer_honestly(InFlightTask& task) {
+void TaskAnswerer::answer_without_planner(InFlightTask& task) {
     const planner::TaskNumber number = task.record->number;
     answer(task, context_.ledger.honest_answer(*task.record), 0);
     context_.planner().cancel(context_.now(), number);
@@ -45,7 +45,7 @@
     if (task.record->answer != Answer::none) return;
     ++context_.ledger.statistics().answered_by_deadline;
     context_.log(log::Level::warning, "answered_by_deadline", {{"task", task.name}});
-    answer_honestly(task);
+    answer_without_planner(task);
     context_.rounds.schedule();
 }
 
--- a/src/platform/task_answerer.h
+++ b/src/platform/task_answerer.h
@@ -13,7 +13,7 @@
     void reject(planner::TaskNumber, Nanos retry_after);
     void fail(planner::TaskNumber);
     // Answers at once, failed if an attempt may have run and rejected otherwise, and cancels at the planner.
-    void answer_honestly(InFlightTask&);
+    void answer_without_planner(InFlightTask&);
     // Ends a request without an answer: its client cancelled it or the connection broke.
     void cancel(InFlightTask&);
     // Answers in place of the planner, which did not decide in time.
--- a/src/platform/task_recovery.cpp
+++ b/src/platform/task_recovery.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 // A worker that is listed later than this cannot confirm the task in time either.
-constexpr Nanos kKeptFor = ledger::TaskLiveness::kConfirmationTimeout;
+constexpr Nanos kReportTimeout = ledger::TaskLiveness::kConfirmationTimeout;
 // Far more tasks than one worker runs; bounds the memory that misbehaving clients can fill.
 constexpr std::size_t kMaxPending = 2000;
 
@@ -47,7 +47,7 @@
 
 void TaskRecovery::expire(Nanos now) {
     const auto is_due = [now](const PendingReport& pending) {
-        return now - pending.report.waiting_since >= kKeptFor;
+        return now - pending.report.waiting_since >= kReportTimeout;
     };
     const auto due = std::stable_partition(pending_.begin(), pending_.end(), is_due);
     for (auto count = due - pending_.begin(); count > 0; --count) drop_first();
--- a/tests/release_delivery_test.cpp
+++ b/tests/release_delivery_test.cpp
@@ -71,14 +71,14 @@
     "without acknowledgements, a release is settled if its client sent something later, else opened to "
     "others") {
     ReleaseDelivery delivery = written_to_own();
-    const bool is_heard = GENERATE(true, false);
-    const ReleaseDelivery::OwnConnection own{false, is_heard ? kStart + 5 : kStart - 5};
+    const bool sent_later = GENERATE(true, false);
+    const ReleaseDelivery::OwnConnection own{false, sent_later ? kStart + 5 : kStart - 5};
     const Nanos end = kStart + ReleaseDelivery::kTransferTime;
     CHECK(delivery.check(end - 1, own).step == Step::wait);
     const auto verdict = delivery.check(end, own);
-    CHECK(verdict.step == (is_heard ? Step::settle : Step::write_to_others));
-    CHECK(verdict.outcome == (is_heard ? DeliveryOutcome::not_acknowledging : DeliveryOutcome{}));
-    CHECK(delivery.may_write_to(kOther) == !is_heard);
+    CHECK(verdict.step == (sent_later ? Step::settle : Step::write_to_others));
+    CHECK(verdict.outcome == (sent_later ? DeliveryOutcome::not_acknowledging : DeliveryOutcome{}));
+    CHECK(delivery.may_write_to(kOther) == !sent_later);
 }
 
 TEST_CASE(
