--- a/src/platform/adoption_controller.cpp
+++ b/src/platform/adoption_controller.cpp
@@ -62,8 +62,8 @@
 }
 
 // A report that differs only in its connection comes from the same client, whose earlier connection may be
-// dead without this side knowing, or from another client at its address; the task stays with its current
-// connection. A report that differs in anything else comes from another client.
+// dead without this side knowing, or from another client at its address. A report that differs in anything
+// else comes from another client. The task stays with its current connection unless is_likelier_owner().
 void AdoptionController::report_known(InFlightTask& task, const RunningTaskReport& report,
                                       ClientConnection* client) {
     const bool is_same = task.running && task.client_address == report.client_address &&
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -51,7 +51,7 @@
     void end(ClientCloseReason);
     // Whether the client may have closed the connection or cancelled a request in data that is still unread.
     bool may_have_disconnected() const;
-    // Open requests and running tasks; connections without any are evicted first.
+    // A connection with open requests is not evicted. Of the others, those without running tasks go first.
     void add_open_request() { ++open_requests_; }
     void remove_open_request() { --open_requests_; }
     // `confirmed`: the task's worker has confirmed that it runs.
--- a/src/platform/client_handler.h
+++ b/src/platform/client_handler.h
@@ -20,8 +20,8 @@
     virtual void on_health_check() = 0;   // called after the reply
     // Whether a descriptor is available for one more connection; may close a connection to a worker for it.
     virtual bool make_room_for_client() = 0;
-    // Called once per connection, before the first message that clients send and health checkers do not is
-    // handled.
+    // Called once per connection, when a message shows that the peer is a client and not a health checker;
+    // before that message is handled.
     virtual void on_client_identified(ClientConnection&) = 0;
     // The client acknowledges the release of that task.
     virtual void on_release_ack(ClientConnection&, std::uint64_t task) = 0;
--- a/src/platform/release_controller.cpp
+++ b/src/platform/release_controller.cpp
@@ -25,7 +25,7 @@
 ReleaseController::ReleaseController(const ServerContext& context, ClientServer& clients)
     : context_(context), clients_(clients) {}
 
-// ---------------------------------------------------------------- new ends
+// ---------------------------------------------------------------- sending
 
 void ReleaseController::send_release(std::uint64_t id, const std::string& task_name,
                                      platform_codec::Cause cause, const ReleaseRecipient& recipient) {
@@ -57,7 +57,7 @@
     if (const auto surplus = owed_.take_surplus()) log_settled(*surplus, DeliveryOutcome::superseded);
 }
 
-// ---------------------------------------------------------------- writing
+// ---------------------------------------------------------------- writing to connections
 
 void ReleaseController::write_where_allowed(OwedRelease& release, MessageKind kind) {
     const ReleaseDelivery& delivery = release.delivery;
@@ -107,7 +107,7 @@
     });
 }
 
-// ---------------------------------------------------------------- settling
+// ---------------------------------------------------------------- settling and sweeping
 
 void ReleaseController::on_task_placed(const std::string& task_name, const ClientConnection& client) {
     owed_.erase_if([&](const OwedRelease& release) {
--- a/src/platform/task_recovery.h
+++ b/src/platform/task_recovery.h
@@ -15,8 +15,7 @@
     std::uint64_t id = 0;
     PlacementRequest request;
     std::string client_address;
-    // Since when the client waits for a message: the report, or the connect if nothing was ever written to
-    // it.
+    // Start of the client's wait: its report, or its connect if nothing was ever written to it.
     Nanos waiting_since = 0;
 };
 
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -178,7 +178,7 @@
     TestClient& known = fixture.connect(1);
     fixture.request(known, 5);
     TestClient& reported = fixture.connect(2);
-    fixture.request(reported, 6);  // used later
+    fixture.request(reported, 6);  // used more recently
     fixture.handler.requests[0].first->add_running_task(false);
     fixture.handler.requests[0].first->confirm_running_task();
     fixture.handler.requests[1].first->add_running_task(false);
