--- a/src/platform/task_answerer.cpp
+++ b/src/platform/task_answerer.cpp
@@ -19,7 +19,7 @@
 
 void TaskAnswerer::answer(InFlightTask& task, Answer wanted, Nanos retry_after) {
     if (task.record->answer != Answer::none) return;
-    // What may have run is not to be rejected, whoever asks.
+    // A task that may have run must not be rejected, even if the planner rejects it.
     const bool check = wanted == Answer::rejected;
     lifecycle_.send_answer(task, check ? context_.ledger.honest_answer(*task.record) : wanted, retry_after);
     if (!task.record->in_flight) return lifecycle_.discard(task);
@@ -35,7 +35,7 @@
     lifecycle_.end_attempt(task, AttemptOutcome::cancelled, OutcomeReason::unspecified, {}, true);
 }
 
-void TaskAnswerer::answer_honestly(InFlightTask& task) {
+void TaskAnswerer::answer_without_planner(InFlightTask& task) {
     const planner::TaskNumber number = task.record->number;
     answer(task, context_.ledger.honest_answer(*task.record), 0);
     context_.planner().cancel(context_.now(), number);
@@ -45,7 +45,7 @@
     if (task.record->answer != Answer::none) return;
     ++context_.ledger.statistics().answered_by_deadline;
     context_.log(log::Level::warning, "answered_by_deadline", {{"task", task.name}});
-    answer_honestly(task);
+    answer_without_planner(task);
     context_.rounds.schedule();
 }
 
