--- a/src/net/libevent_listener.cpp
+++ b/src/net/libevent_listener.cpp
@@ -18,9 +18,10 @@
 
 namespace {
 constexpr int kBacklog = 1024;
-// As many as may wait: an error that lasts must not keep the loop for good.
+// Limit of errors in one accept_pending() call: one for each connection that the backlog may hold. An error
+// that persists must not block the loop forever.
 constexpr int kMaxAcceptFailures = kBacklog;
-// How long nothing is accepted after the process has run out of file descriptors.
+// How long accepting is paused after accept(2) failed.
 constexpr Nanos kAcceptErrorPause = 50 * kMillisecond;
 }  // namespace
 
@@ -45,7 +46,8 @@
         evconnlistener_new_bind(loop_.base(), &on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                 kBacklog, local->get(), static_cast<int>(local->length));
     if (!listener_) {
-        const bool is_in_use = errno == EADDRINUSE || errno == EADDRNOTAVAIL;  // as somebody has set it up
+        const bool is_in_use =
+            errno == EADDRINUSE || errno == EADDRNOTAVAIL;  // wrong listen address, not a shortage
         return ListenError{address, std::strerror(errno), is_resource_shortage(errno) && !is_in_use};
     }
     resume_event_ = event_new(loop_.base(), -1, EV_TIMEOUT, &on_resume, this);
@@ -60,8 +62,8 @@
     return to_string(local);
 }
 
-// An error that is not for want of resources belongs to one connection, or to one call: accept(2) passes on
-// what went wrong with a connection that waited, and the ones behind it are as good as before.
+// An accept(2) error other than a resource shortage concerns a single pending connection or a single call, so
+// the connections behind it in the backlog are still accepted.
 bool LibeventListener::accept_pending() {
     for (int failures = 0; failures < kMaxAcceptFailures;) {
         const evutil_socket_t descriptor =
@@ -89,8 +91,8 @@
     handler_(std::move(stream));
 }
 
-// As a rule no file descriptor is left. New connections wait in the kernel's queue while a few are closed:
-// trying again at once would spin.
+// Usually the process is out of file descriptors. Accepting is paused, since a retry at once would spin;
+// meanwhile new connections wait in the kernel's backlog until other descriptors are closed.
 void LibeventListener::on_accept_error(evconnlistener* source, void* self) {
     evconnlistener_disable(source);
     const timeval pause = to_timeval(kAcceptErrorPause);
--- a/src/net/libevent_listener.h
+++ b/src/net/libevent_listener.h
@@ -29,7 +29,7 @@
 
 private:
     LibeventListener(LibeventLoop&, AcceptHandler);
-    // Nothing, or why the address can't be listened on.
+    // Binds and listens; returns an error if that fails.
     [[nodiscard]] std::optional<ListenError> bind(const std::string& address);
     void hand_over(evutil_socket_t);
     static void on_accept(evconnlistener*, evutil_socket_t, sockaddr*, int length, void* self);
--- a/src/net/libevent_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-// A poll that took so long found nothing at first, and woke for what came.
+// A poll that took at least this long blocked, and returned on a new event.
 constexpr Nanos kBlockingPoll = kMillisecond;
 
 Nanos read_clock(clockid_t which) {
@@ -25,7 +25,7 @@
     return static_cast<Nanos>(time.tv_sec) * kSecond + time.tv_nsec;
 }
 
-// The time of day less the monotonic clock.
+// The system's time of day minus the monotonic clock.
 Nanos read_clock_offset() { return read_clock(CLOCK_REALTIME) - read_clock(CLOCK_MONOTONIC); }
 
 event_base* make_event_base() {
@@ -33,7 +33,7 @@
     event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
     event_base* base = event_base_new_with_config(config);
     event_config_free(config);
-    if (!base) throw std::runtime_error("no event loop can be had from the system");
+    if (!base) throw std::runtime_error("libevent can't create an event loop");
     return base;
 }
 
@@ -122,7 +122,8 @@
 }
 
 void LibeventLoop::flush_after_pass(LibeventStream& stream) {
-    if (to_flush_.empty()) event_active(flush_event_, EV_TIMEOUT, 0);  // behind what is active already
+    // The flush runs after the callbacks that are active already.
+    if (to_flush_.empty()) event_active(flush_event_, EV_TIMEOUT, 0);
     to_flush_.push_back(&stream);
 }
 
@@ -133,7 +134,7 @@
 
 void LibeventLoop::flush_streams() {
     flushing_.swap(to_flush_);
-    // A flush may destroy this and other streams, which cancel_flush() makes null.
+    // A flush may destroy this stream or others; cancel_flush() then sets their entries to null.
     for (std::size_t i = 0; i < flushing_.size(); ++i)
         if (LibeventStream* const stream = std::exchange(flushing_[i], nullptr)) stream->flush();
     flushing_.clear();
--- a/src/net/libevent_loop.h
+++ b/src/net/libevent_loop.h
@@ -1,4 +1,4 @@
-// The event loop on real sockets, with libevent.
+// The event loop for real sockets, based on libevent.
 #pragma once
 #include <functional>
 #include <memory>
@@ -17,7 +17,8 @@
 
 class LibeventLoop final : public EventLoop {
 public:
-    // Ignores SIGPIPE in the whole process. Throws std::runtime_error where the system gives no event loop.
+    // Sets SIGPIPE to be ignored in the whole process. Throws std::runtime_error if libevent can't create an
+    // event loop.
     LibeventLoop();
     ~LibeventLoop() override;
     LibeventLoop(const LibeventLoop&) = delete;
@@ -33,18 +34,19 @@
     std::unique_ptr<Timer> make_timer(std::function<void()>) override;
     void stop() override;
 
-    // Until stop().
+    // Runs the loop until stop() is called.
     void run();
-    // One poll and the callbacks of what it found; with `wait` the poll blocks until there is something.
+    // Polls once and runs the callbacks of the events found; with `wait` the poll blocks until there is an
+    // event.
     void run_once(bool wait);
-    // Calls `callback` within the loop for each arrival of the signal, as long as the loop lives.
+    // Calls `callback` from the loop each time the signal arrives, for the lifetime of the loop.
     void on_signal(int number, std::function<void()> callback);
 
-    // ---- for its streams, listeners and timers
+    // ---- Used by streams, listeners and timers of this loop.
     event_base* base() { return base_; }
-    // Must be called first by each libevent callback: the first one of a pass tells when the poll returned.
+    // Each libevent callback must call it first: the first call in a pass records when the poll returned.
     void on_callback();
-    // Flushes the stream after the callbacks that are active in this pass.
+    // Calls the stream's flush() after the callbacks that are active in this pass.
     void flush_after_pass(LibeventStream&);
     // Must be called before a stream is destroyed.
     void cancel_flush(LibeventStream&);
@@ -56,13 +58,13 @@
 
     event_base* base_;
     event* flush_event_ = nullptr;
-    std::vector<LibeventStream*> to_flush_, flushing_;  // null: destroyed meanwhile
-    // now() is the monotonic clock plus the offset of the start: all placers of a fleet cut the time into the
-    // same periods, and a clock that is set later moves nothing.
+    std::vector<LibeventStream*> to_flush_, flushing_;  // null: the stream was destroyed
+    // now() is the monotonic clock plus the offset to the time of day at the start, so that all placers of a
+    // fleet divide time into the same periods, and a later change of the system clock does not affect now().
     UnixClock unix_clock_;
     std::vector<std::unique_ptr<Signal>> signals_;
     bool stopping_ = false;
-    bool callback_ran_ = false;  // in this pass
+    bool callback_ran_ = false;  // whether a libevent callback has run in this pass
     Nanos poll_began_at_ = 0, polled_at_ = 0, previous_poll_at_ = 0;
 };
 
--- a/src/net/libevent_stream.cpp
+++ b/src/net/libevent_stream.cpp
@@ -21,7 +21,7 @@
 
 namespace {
 
-// Far longer than a partition of some seconds, after which the connection goes on; see tcp(7).
+// Long enough that a connection survives a network partition of a few seconds; see tcp(7).
 constexpr int kKeepaliveIdleSeconds = 10, kKeepaliveIntervalSeconds = 5, kKeepaliveCount = 4;
 constexpr unsigned kUserTimeoutMs = 20'000;
 
@@ -29,7 +29,7 @@
 
 LibeventStream::LibeventStream(LibeventLoop& loop, evutil_socket_t descriptor)
     : loop_(loop), bufferevent_(bufferevent_socket_new(loop.base(), descriptor, BEV_OPT_CLOSE_ON_FREE)) {
-    if (!bufferevent_) throw std::runtime_error("no memory for a stream");
+    if (!bufferevent_) throw std::runtime_error("bufferevent_socket_new: out of memory");
     bufferevent_set_max_single_read(bufferevent_, kMaxReadSize);
     if (descriptor >= 0) disable_nagle();
 }
@@ -37,7 +37,7 @@
 LibeventStream::~LibeventStream() {
     if (destroyed_) *destroyed_ = true;
     loop_.cancel_flush(*this);
-    // What the kernel takes now still goes out.
+    // Bytes that the kernel accepts in this call are still sent.
     if (!pending_.empty() && state_ == State::established) send_pending();
     close_connecting();
     bufferevent_free(bufferevent_);
@@ -50,7 +50,8 @@
     if (state_ == State::established) bufferevent_enable(bufferevent_, EV_READ | EV_WRITE);
 }
 
-// Without the bufferevent's own connect, which does not tell a refusal from what went wrong on this side.
+// Does not use bufferevent_socket_connect(), which does not distinguish a refusal by the peer from a local
+// error.
 void LibeventStream::connect(const std::string& address) {
     state_ = State::connecting;
     std::optional<SocketAddress> to = parse_socket_address(address);
@@ -95,15 +96,15 @@
     event_add(connect_event_, &at_once);
 }
 
-// Only while connecting, or where that failed.
+// Has an effect only while the connection is being established, or after that has failed.
 void LibeventStream::close_connecting() {
     if (connect_event_) event_free(std::exchange(connect_event_, nullptr));
     if (connecting_ >= 0) evutil_closesocket(std::exchange(connecting_, -1));
 }
 
-// What is written in one pass leaves in one call at its end. Left to the bufferevent alone, each write would
-// cost two more system calls to change what is waited for, and another pass of the loop; the bufferevent is
-// used only where the kernel takes no more.
+// Buffers the bytes: all that is written in one pass of the loop is sent with one system call at its end.
+// With the bufferevent alone, each write would cost two more system calls to change the polled events, and
+// another pass. The bufferevent is used only for the bytes that the kernel does not accept.
 void LibeventStream::write(std::string_view bytes) {
     if (write_shut_down_ || state_ == State::aborted) return;
     written_ += bytes.size();
@@ -184,12 +185,13 @@
     const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
     if (descriptor < 0) return;
     const ssize_t sent = send(descriptor, pending_.data(), pending_.size(), MSG_NOSIGNAL | MSG_DONTWAIT);
-    // The bufferevent meets an error again, and reports it to the handler in a pass of its own.
+    // An error is ignored here: the bufferevent gets it again and reports it to the handler in a later pass.
     if (sent > 0) pending_.erase(0, static_cast<std::size_t>(sent));
 }
 
-// Guards against peers that vanish without a reset: what is written to them is never acknowledged, and an
-// idle connection shows nothing at all. Where the system knows no such option the connection is as before.
+// Guards against peers that vanish without a reset: they never acknowledge the bytes written to them, and an
+// idle connection shows no error at all. Failures of setsockopt() are ignored: the connection then works
+// without the option.
 void LibeventStream::detect_dead_peer() {
     const evutil_socket_t descriptor = bufferevent_getfd(bufferevent_);
     const int enabled = 1;
--- a/src/net/libevent_stream.h
+++ b/src/net/libevent_stream.h
@@ -17,19 +17,21 @@
 
 class LibeventStream final : public Stream {
 public:
-    // Owns the descriptor; -1: connect() will open one. The loop must outlive the stream.
+    // Takes ownership of the descriptor; -1: connect() opens one. The loop must outlive the stream.
     LibeventStream(LibeventLoop&, evutil_socket_t);
     ~LibeventStream() override;
     LibeventStream(const LibeventStream&) = delete;
     LibeventStream& operator=(const LibeventStream&) = delete;
 
-    // Begins to read. The handler must outlive the stream.
+    // Starts reading if the connection is established. The handler must outlive the stream.
     void set_handler(StreamHandler&);
-    // Expects a handler. Every failure is reported through its on_closed(), in a later pass of the loop.
+    // set_handler() must be called first. Every failure is reported by a call of the handler's on_closed() in
+    // a later pass of the loop.
     void connect(const std::string& address);
-    // Of an accepted one: a peer that has vanished ends it in time, though nothing resets it.
+    // Enables TCP keepalive and the TCP user timeout on an accepted connection, so that it is closed after
+    // its peer vanished without a reset.
     void detect_dead_peer();
-    // Called by the loop at the end of a pass in which something was written. May destroy the stream.
+    // Called by the loop at the end of a pass in which bytes were written. May destroy the stream.
     void flush();
 
     void write(std::string_view) override;
@@ -60,15 +62,16 @@
     StreamHandler* handler_ = nullptr;
     State state_ = State::established;
     bool write_shut_down_ = false;
-    // Written in this pass or before the connection was up, and not handed to the kernel or the bufferevent
-    // yet.
+    // Bytes written in this pass or before the connection was established, and not yet passed to the kernel
+    // or the bufferevent.
     std::string pending_;
     std::uint64_t written_ = 0;
-    // While connecting: the socket, which the bufferevent gets once it is up, and what waits for it.
+    // While connecting: the socket, which is passed to the bufferevent once the connection is established,
+    // and the event that reports the result.
     evutil_socket_t connecting_ = -1;
     event* connect_event_ = nullptr;
     CloseReason connect_failure_ = CloseReason::refused;
-    bool* destroyed_ = nullptr;  // points into on_read() while the handler is called
+    bool* destroyed_ = nullptr;  // while on_read() calls the handler: its flag, set by the destructor
 };
 
 }  // namespace whinpost::net
--- a/src/net/libevent_timer.cpp
+++ b/src/net/libevent_timer.cpp
@@ -32,8 +32,8 @@
 void LibeventTimer::on_timeout(evutil_socket_t, short, void* self) {
     auto* timer = static_cast<LibeventTimer*>(self);
     timer->loop_.on_callback();
-    // libevent counts from the time at which this pass of the loop began, so what is armed late in a long
-    // pass comes early.
+    // libevent measures the timeout from the time at which the pass of the loop began, so a timer that is
+    // armed late in a long pass fires early. It is then armed again for the rest.
     if (timer->loop_.now() < timer->at_) return timer->arm(timer->at_);
     timer->callback_();
 }
--- a/src/net/libevent_timer.h
+++ b/src/net/libevent_timer.h
@@ -13,7 +13,7 @@
 
 class LibeventLoop;
 
-// Rounded up to the microsecond, so that a timer never fires early; a negative duration is zero.
+// Rounds up to whole microseconds, so that a timer never fires early; a negative duration becomes zero.
 timeval to_timeval(Nanos duration);
 
 class LibeventTimer final : public Timer {
--- a/src/net/socket_address.h
+++ b/src/net/socket_address.h
@@ -15,10 +15,10 @@
     const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
 };
 
-// Takes IP addresses only, no host names. Port 0 is accepted, which libevent's own parser does not do.
+// Parses an IP address and port; host names are rejected. Port 0 is accepted, unlike in libevent's parser.
 [[nodiscard]] std::optional<SocketAddress> parse_socket_address(const std::string& text);
 
-// Expects an IPv4 or IPv6 address.
+// The address must be of family AF_INET or AF_INET6.
 std::string to_string(const SocketAddress&);
 
 }  // namespace whinpost::net
--- a/src/net/socket_error.h
+++ b/src/net/socket_error.h
@@ -1,13 +1,13 @@
-// What the errors of socket calls say, by the manual pages of Linux.
+// Classifies the errno values of socket calls, according to the Linux manual pages.
 #pragma once
 #include "net/stream.h"
 
 namespace whinpost::net {
 
-// This process or machine lacks something for now: descriptors, ports, memory, or permission to use them.
+// True if the process or machine temporarily lacks file descriptors, ports or memory.
 bool is_resource_shortage(int error);
 
-// Why a connection was not established, from the error of socket(), connect() or SO_ERROR.
+// Maps the error of socket(), connect() or SO_ERROR to the reason why no connection was established.
 CloseReason connect_failure(int error);
 
 }  // namespace whinpost::net
--- a/src/net/stream.cpp
+++ b/src/net/stream.cpp
@@ -7,13 +7,13 @@
         case CloseReason::by_peer:
             return "closed by the peer";
         case CloseReason::reset:
-            return "broken off";
+            return "connection reset";
         case CloseReason::refused:
             return "refused";
         case CloseReason::unreachable:
-            return "not reached";
+            return "unreachable";
         case CloseReason::out_of_resources:
-            return "no descriptor, port or memory left";
+            return "out of file descriptors, ports or memory";
     }
     return "unknown";
 }
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -1,8 +1,8 @@
-// Time, timers and streams, as servers, planner and emulator see them. Two implementations: libevent with
-// real sockets (net/libevent_loop.h) and a simulated network in virtual time
-// (simulation/simulated_network.h). Nothing here knows the meaning of a message.
+// Interfaces of the event loop, timers and byte streams that servers, planner and emulator use. There are two
+// implementations: libevent with real sockets (net/libevent_loop.h) and a simulated network in virtual time
+// (simulation/simulated_network.h). This layer does not interpret messages.
 //
-// One loop is one thread. Its streams, listeners and timers may be used from its own callbacks only.
+// A loop runs in one thread. Its streams, listeners and timers may be used only from its own callbacks.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -17,48 +17,52 @@
 namespace whinpost::net {
 
 enum class CloseReason {
-    by_peer,  // the peer closed it, and all that it sent was read
-    reset,    // broken off
-    refused,  // never established: no process listens at the address
-    // Never established, and nothing is known of the peer: it gave no answer, or there is no way to it.
+    by_peer,  // the peer closed the connection, and all bytes that it sent were read
+    reset,    // the connection was reset, or an I/O error or timeout ended it
+    refused,  // not established: no process listens at the address
+    // Not established, and the state of the peer is unknown: it did not answer, or there is no route to it.
     unreachable,
-    out_of_resources  // never established: this machine lacks a file descriptor, a port or memory for it
+    out_of_resources  // not established: this machine lacks a file descriptor, a port or memory for it
 };
 std::string_view to_string(CloseReason);
 
-// How many bytes are read from one stream in one pass, so that a flood on one does not keep the others
-// waiting. libevent 2.1 reads no more at once, whatever it is asked for.
+// Most bytes read from one stream in one pass, so that a flood on one stream does not delay the others.
+// libevent 2.1 never reads more than this at once, even if a larger limit is set.
 constexpr std::size_t kMaxReadSize = 4096;
 
-// Called with what happens on one stream. The stream may be destroyed within any of these calls.
+// Callbacks for the events of one stream. The stream may be destroyed within any of these calls.
 class StreamHandler {
 public:
     virtual ~StreamHandler() = default;
     virtual void on_connected() {}  // only for a stream made by EventLoop::dial()
-    // Gets the bytes that were read and not consumed yet, and returns how many it has consumed. Called again
-    // with the rest once more has come.
+    // Receives the bytes that were read and are not consumed yet, and returns how many it has consumed. The
+    // rest is passed again, followed by the new bytes, after the next read.
     virtual std::size_t on_received(std::string_view) = 0;
-    virtual void on_drained() {}  // all that was written has been handed to the kernel
+    virtual void on_drained() {}  // all written bytes have been passed to the kernel
     virtual void on_closed(CloseReason) = 0;
 };
 
-// A connection. Destroying it closes it: what the kernel has been handed is still sent, the rest is dropped.
+// A connection. The destructor closes it: bytes that the kernel has accepted are still sent, the rest is
+// dropped.
 class Stream {
 public:
     virtual ~Stream() = default;
     virtual void write(std::string_view) = 0;
-    virtual std::size_t unsent() const = 0;         // bytes written and not handed to the kernel yet
-    virtual std::uint64_t handed_over() const = 0;  // bytes handed to the kernel since the start; only grows
-    virtual void set_reading(bool on) = 0;  // off: nothing is received, and the peer's window fills up
-    // True while bytes of the peer wait in the kernel. Closing now would make the kernel reset the
-    // connection, which also destroys what the peer has not received yet.
+    virtual std::size_t unsent() const = 0;  // bytes written and not yet passed to the kernel
+    virtual std::uint64_t handed_over()
+        const = 0;  // bytes passed to the kernel since the start; never decreases
+    // Off: no bytes are read, and TCP flow control stops the peer.
+    virtual void set_reading(bool on) = 0;
+    // True while the kernel holds bytes from the peer that were not read. Closing now would make the kernel
+    // reset the connection, and the peer would lose bytes that were sent and that it has not received yet.
     virtual bool has_unread() const = 0;
-    // The peer has closed or half-closed its side; what it wrote before may still be unread.
+    // True if the peer has closed or half-closed the connection; bytes that it sent before may still be
+    // unread.
     virtual bool peer_closed() const = 0;
-    // Half-close: the peer sees the end once all that was written has left. Receiving goes on; what is
-    // written later is dropped. on_closed() is called when the peer has closed too.
+    // Half-close: the peer sees the end of the stream after all bytes written so far. Receiving continues;
+    // later writes are dropped. on_closed() is called when the peer has closed its side too.
     virtual void shutdown_write() = 0;
-    // Closes with a reset: what the peer has not received yet never reaches it.
+    // Closes with a reset: bytes that the peer has not received yet are discarded.
     virtual void abort() = 0;
     virtual std::string peer() const = 0;
 };
@@ -66,19 +70,19 @@
 class Listener {
 public:
     virtual ~Listener() = default;
-    virtual std::string address() const = 0;  // the one really listened on, with its port
-    // Calls the handler, within this call, for each connection that the kernel has accepted already. False
-    // where some may be left, for want of resources: to be called again later.
+    virtual std::string address() const = 0;  // the bound address, with the port that the system chose for 0
+    // Accepts the connections in the kernel's backlog and calls the handler for each, before it returns.
+    // False if some may remain, for lack of resources or after too many errors: to be called again later.
     [[nodiscard]] virtual bool accept_pending() = 0;
 };
 
-// Why an address can't be listened on.
+// Why listening on an address failed.
 struct ListenError {
-    std::string address;    // as it was asked for
-    std::string reason;     // the system's text for it, or what is wrong with the address
-    bool may_pass = false;  // the machine lacks descriptors or memory for now: worth another try
+    std::string address;    // as passed to listen()
+    std::string reason;     // the system's error text, or that the address is invalid
+    bool may_pass = false;  // the machine temporarily lacks descriptors or memory: retry
 };
-// The reason alone: the address is the caller's to name.
+// The reason without the address, which the caller adds.
 std::string to_string(const ListenError&);
 
 using AcceptHandler = std::function<void(std::unique_ptr<Stream>)>;
@@ -87,7 +91,7 @@
 class Timer {
 public:
     virtual ~Timer() = default;
-    // Replaces an earlier deadline. The callback is never called before it.
+    // Sets the deadline, in place of an earlier one. The callback is never called before it.
     virtual void arm(Nanos at) = 0;
     virtual void disarm() = 0;
 };
@@ -96,35 +100,36 @@
 public:
     virtual ~EventLoop() = default;
     virtual Nanos now() const = 0;  // never goes backwards
-    // The moment on this loop's clock at which the time of day was `unix_time`, whatever steps the system's
-    // clock has made since the start; now() at the latest.
+    // The time on this loop's clock at which the system's time of day was `unix_time`, also if the system
+    // clock was stepped since the start. A result in the future is replaced with now().
     virtual Nanos from_unix_time(Nanos unix_time) const = 0;
-    // When this pass of the loop polled the kernel: what has come since then is not known yet.
+    // When this pass of the loop polled the kernel: later events are not known yet.
     virtual Nanos polled_at() const = 0;
-    // What is read in this pass arrived no earlier than this. It is the time of the pass's own poll if that
-    // had to block, and else of the poll before: bytes may have waited in the kernel while the loop was busy.
+    // A lower bound for the arrival time of the bytes read in this pass: the time of this pass's poll if that
+    // blocked, else of the previous poll, since bytes may have waited in the kernel while the loop was busy.
     virtual Nanos unseen_since() const = 0;
-    // `address` is host:port, the host an IP address; port 0 asks for any free one. The handler is called
-    // with each accepted connection until the listener is destroyed.
+    // `address` is host:port, the host an IP address; port 0 selects any free port. The handler is
+    // called for each accepted connection until the listener is destroyed.
     [[nodiscard]] virtual ListenResult listen(const std::string& address, AcceptHandler) = 0;
-    // Never null; a failure is reported by a later call of on_closed(). The handler must outlive the stream.
+    // Opens a connection. Never returns null; a failure is reported by a later call of on_closed(). The
+    // handler must outlive the stream.
     virtual std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) = 0;
-    // Sets the handler of a stream that a listener gave: once, before anything is received. The handler must
-    // outlive the stream.
+    // Sets the handler of an accepted stream: to be called once, before any byte is received. The handler
+    // must outlive the stream.
     virtual void attach(Stream&, StreamHandler&) = 0;
     virtual std::unique_ptr<Timer> make_timer(std::function<void()>) = 0;
-    virtual void stop() = 0;  // run() returns after this pass
+    virtual void stop() = 0;  // makes run() return after this pass
 };
 
-// ---- frames: the message's length in four bytes, the most significant first, then the message
+// ---- Frames: the length of the message as a 4-byte big-endian integer, then the message.
 
-// Far over any message of the protocols (a list of 10,000 workers is under 1 MiB), and small enough to
-// buffer.
+// Larger than any message of the protocols (an endpoint list of 10,000 workers is under 1 MiB), and small
+// enough to buffer.
 constexpr std::size_t kMaxFrameSize = 4 << 20;
 
-// Calls `handle(std::string_view) -> bool` with each complete frame of `in`, until it returns false. Returns
-// how many bytes were consumed. `too_long` is set where a frame's length is over `max_size`; nothing after it
-// is read.
+// Calls `handle(std::string_view) -> bool` with the message of each complete frame in `in`, until it returns
+// false. Returns the number of bytes consumed. If a frame's length exceeds `max_size`, sets `too_long` and
+// stops there.
 template <class Handler>
 std::size_t decode_frames(std::string_view in, std::size_t max_size, bool& too_long, Handler handle) {
     std::size_t at = 0;
@@ -145,7 +150,8 @@
     return at;
 }
 
-// Appends a protobuf message (or anything with the same two functions) as one frame.
+// Appends a message as one frame. `Message` is a protobuf message or a type with ByteSizeLong() and
+// SerializeWithCachedSizesToArray().
 template <class Message>
 void encode_frame(std::string& out, const Message& message) {
     const std::size_t size = message.ByteSizeLong();
--- a/src/net/unix_clock.cpp
+++ b/src/net/unix_clock.cpp
@@ -7,7 +7,7 @@
 namespace whinpost::net {
 namespace {
 
-// Less than this is the clock's drift, or the time between reading the two.
+// A smaller change of the offset is clock drift, or the time between the two clock reads.
 constexpr Nanos kLeastStep = 20 * kMillisecond;
 constexpr std::size_t kMaxPeriods = 64;
 
--- a/src/net/unix_clock.h
+++ b/src/net/unix_clock.h
@@ -1,4 +1,4 @@
-// Translates times of day into moments of a clock that is never set.
+// Converts times of day (Unix time) to a steady clock.
 #pragma once
 #include <deque>
 
@@ -6,19 +6,21 @@
 
 namespace whinpost::net {
 
-// The time of day may be stepped at any moment, forward or back. Each step begins a new period with an offset
-// of its own; a time of day is translated by the period in which it occurred. No clock is read here.
+// The system's time of day may be stepped at any time, forward or back. Each step starts a new period with
+// its own offset, and a time of day is converted with the offset of the period in which it occurred. Reads no
+// clock itself.
 class UnixClock {
 public:
-    // `offset`: the time of day less the steady clock.
+    // `offset`: the time of day minus the steady clock.
     UnixClock(Nanos steady_now, Nanos offset) : periods_{{steady_now, offset}}, initial_offset_(offset) {}
 
-    // To be called often: a step is dated by the call that finds it.
+    // To be called often: a step counts as made at the first call after it.
     void update(Nanos steady_now, Nanos offset);
-    // On the steady clock, `steady_now` at the latest. Where a time of day occurred twice, the later moment;
-    // where a step left it out, the moment of the step.
+    // Converts `unix_time` to the steady clock; a result after `steady_now` is replaced with `steady_now`. A
+    // time of day that occurred twice is converted to the later occurrence, and one that a step skipped to
+    // the time of the step.
     Nanos to_steady(Nanos unix_time, Nanos steady_now) const;
-    // Of the start: what is added to the steady clock to make it look like the time of day.
+    // The offset passed to the constructor.
     Nanos initial_offset() const { return initial_offset_; }
 
 private:
