--- a/src/config/config_error.h
+++ b/src/config/config_error.h
@@ -1,4 +1,4 @@
-// What is wrong with a configuration file.
+// Errors in a configuration file.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -8,14 +8,14 @@
 
 struct ConfigError {
     std::string file;
-    std::uint32_t line = 0;  // 0: not known, or the file as a whole
-    std::string key;         // with the tables it stands in, as "placer.zone"; "file": the file as a whole
-    std::string problem;     // what was expected
+    std::uint32_t line = 0;  // 0: unknown, or the error concerns the whole file
+    std::string key;         // with the enclosing tables, as "placer.zone"; "file": the whole file
+    std::string problem;     // what is wrong, and which value is expected
 
     bool operator==(const ConfigError&) const = default;
 };
 
-// As operators read it: "placer.toml:4: placer.zone: must be one of placer.zones".
+// The text for operators: "placer.toml:4: placer.zone: must be one of placer.zones".
 std::string to_string(const ConfigError&);
 
 using ConfigErrors = std::vector<ConfigError>;
--- a/src/config/document.cpp
+++ b/src/config/document.cpp
@@ -36,7 +36,7 @@
 std::optional<std::string> read_text_file(const std::string& path) {
     std::error_code ignored;
     std::ifstream in(path, std::ios::binary);
-    // A folder opens like a file, and throws when it is read.
+    // A directory can be opened like a file, but reading it throws.
     if (!in || std::filesystem::is_directory(path, ignored)) return std::nullopt;
     return std::string(std::istreambuf_iterator<char>(in), {});
 }
@@ -52,7 +52,7 @@
         state->root = toml::parse(text);
     } catch (const toml::parse_error& error) {
         state->add_error(error.source().begin.line, "file", error.description());
-    } catch (const std::runtime_error& error) {  // an assertion of the library's, which knows no line
+    } catch (const std::runtime_error& error) {  // TOML_ASSERT in toml.h, which gives no line
         state->add_error(0, "file", error.what());
     }
     return Document(std::move(state));
@@ -69,7 +69,7 @@
 Table Document::root() { return Table(state_.get(), &state_->root, ""); }
 
 ConfigErrors Document::take_errors() {
-    // A file that does not parse has no keys to be unknown.
+    // If parsing failed, there are no keys to check.
     if (state_->errors.empty() || !state_->root.empty()) add_unknown_keys(*state_, state_->root, "");
     std::stable_sort(state_->errors.begin(), state_->errors.end(),
                      [](const ConfigError& one, const ConfigError& other) { return one.line < other.line; });
--- a/src/config/document.h
+++ b/src/config/document.h
@@ -1,6 +1,6 @@
-// A TOML file that is checked whole before any of it is used. Each part of the program reads its own table
-// through Table. Errors are gathered, so that an operator sees all of them at once; a key that nobody has
-// read is an error too.
+// A TOML file. Each part of the program reads its own table through Table. Errors are collected, so that an
+// operator sees all of them at once, and the values are to be used only if there are none. A key that no part
+// has read is an error too.
 #pragma once
 #include <memory>
 #include <optional>
@@ -12,23 +12,23 @@
 
 namespace whinpost::config {
 
-// The whole text of a file; nothing where it can't be read, as a folder can't.
+// The content of a file; nullopt if it can't be read, for example because it is a directory.
 std::optional<std::string> read_text_file(const std::string& path);
 
 class Document {
 public:
-    // Both always give a document: a file that can't be read or parsed is one that holds nothing but an
-    // error.
+    // Both always return a document. If the file can't be read or parsed, the document has no keys, and
+    // take_errors() returns the error.
     [[nodiscard]] static Document read(const std::string& path);
-    // `name`: the file's, in errors.
+    // `name`: the file name, for errors.
     [[nodiscard]] static Document parse(std::string_view text, std::string name);
     ~Document();
     Document(Document&&) noexcept;
 
-    // Valid as long as the document.
+    // Valid for the lifetime of the document.
     [[nodiscard]] Table root();
-    // To be called after everything has been read: all errors in the order of the file, each once. Empty if
-    // there are none. Gives them up: another call starts anew.
+    // To be called after all tables have been read. Returns all errors in the order of their lines, without
+    // duplicates, and removes them from the document.
     [[nodiscard]] ConfigErrors take_errors();
 
 private:
--- a/src/config/document_state.h
+++ b/src/config/document_state.h
@@ -1,4 +1,4 @@
-// Private to config/: what a document and its tables share.
+// Private to config/: the state that a document shares with its tables.
 #pragma once
 #include <cstdint>
 #include <set>
@@ -21,7 +21,7 @@
     }
 };
 
-// "key" within the table of that path; the root's path is empty.
+// The path of `key` in the table at `path`; the root's path is empty.
 inline std::string join_path(const std::string& path, std::string_view key) {
     return path.empty() ? std::string(key) : path + "." + std::string(key);
 }
--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -87,7 +87,7 @@
 std::vector<WorkerKind> worker_kinds(Table root) {
     std::vector<WorkerKind> kinds;
     for (Table& table : root.tables("machine_kind")) {
-        table.string("name");  // for people only
+        table.string("name");  // required, but used by no part of the placer
         const double cores = table.number("cores", 0.01, 1e6);
         const double memory = table.number("memory", 0.01, 1e9);
         kinds.push_back({cores, memory});
--- a/src/config/placer_file.h
+++ b/src/config/placer_file.h
@@ -1,4 +1,4 @@
-// The tables of a placer's file, each read as the plain values that one part of the program takes.
+// Reads the tables of a placer's configuration file into the settings structs of the program's parts.
 #pragma once
 #include <string>
 #include <tl/expected.hpp>
@@ -15,7 +15,7 @@
 struct PlacerSettings {
     std::string name, listen;
     int zone = 0, zones = 0;
-    std::uint64_t seed = 0;  // 0: drawn at each start
+    std::uint64_t seed = 0;  // 0: the program chooses a random seed at each start
 };
 struct NamedQueueGroup {
     std::string name;
@@ -33,10 +33,10 @@
     log::Format format = log::Format::text;
 };
 
-// Each takes the document's root and reads its own tables of it. What is wrong is found in
-// Document::take_errors() afterwards.
+// Each function takes the document's root and reads its own tables. Errors are added to the document; see
+// Document::take_errors().
 PlacerSettings placer_settings(Table root);
-// `kinds`: how many kinds of workers the file names.
+// `kinds`: the number of worker kinds in the file.
 std::vector<NamedQueueGroup> queue_groups(Table root, std::size_t kinds);
 std::vector<WorkerKind> worker_kinds(Table root);
 WorkerAcceptance worker_acceptance(Table root);
@@ -49,7 +49,7 @@
 DialLimits dial_limits(Table root);
 LogSettings log_settings(Table root);
 
-// Everything that a placer reads from its file.
+// All settings in a placer's file.
 struct PlacerFile {
     PlacerSettings placer;
     std::vector<WorkerKind> worker_kinds;
@@ -64,9 +64,9 @@
     DialLimits dial_limits;
     LogSettings log;
 };
-// Never gives a file with errors: what it gives can be run.
+// Returns the settings only if the file has no errors.
 [[nodiscard]] tl::expected<PlacerFile, ConfigErrors> read_placer_file(Document&);
-// The same for its errors alone; none: the file can be run.
+// Returns only the errors; empty if the file is valid.
 [[nodiscard]] ConfigErrors check(Document&);
 
 }  // namespace whinpost::config
--- a/src/config/table.h
+++ b/src/config/table.h
@@ -1,4 +1,4 @@
-// One table of a TOML document, read key by key as plain values that are in range.
+// One table of a TOML document. Its values are read by key and checked.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -12,14 +12,14 @@
 
 struct DocumentState;
 
-// A getter marks its key as known. A value that is missing or out of range becomes an error of the document,
-// and the getter returns one that is in range; a getter with a `fallback` returns that for a missing key,
-// which is then no error. Valid as long as its document.
+// A getter marks its key as known. If the value is missing, has the wrong type or is out of range, the getter
+// adds an error to the document and returns a default. A getter with a `fallback` returns that for a missing
+// key, which is then not an error. A table is valid for the lifetime of its document.
 class Table {
 public:
     bool has(std::string_view key) const;
-    Table table(std::string_view key);                // an empty one if the key is missing
-    std::vector<Table> tables(std::string_view key);  // [[key]]; none if the key is missing
+    Table table(std::string_view key);                // an empty table if the key is missing
+    std::vector<Table> tables(std::string_view key);  // the array of tables [[key]]; empty if it is missing
 
     std::string string(std::string_view key);
     std::string string(std::string_view key, std::string_view fallback);
@@ -28,28 +28,28 @@
     std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most);
     std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most, std::int64_t fallback);
     bool boolean(std::string_view key, bool fallback);
-    // The key's ending is the unit of its value: _ms, or _s for any other.
+    // The unit is milliseconds if the key ends in _ms, else seconds.
     Nanos duration(std::string_view key, Nanos least, Nanos most);
     Nanos duration(std::string_view key, Nanos least, Nanos most, Nanos fallback);
-    // The index of the value among the words.
+    // The index in `words` of the value.
     std::size_t choice(std::string_view key, const std::vector<std::string_view>& words);
     std::size_t choice(std::string_view key, const std::vector<std::string_view>& words,
                        std::size_t fallback);
     std::vector<std::string> strings(std::string_view key);
-    std::string address(std::string_view key);  // an IP address and a port
+    std::string address(std::string_view key);  // "IP:PORT", as parse_socket_address() takes it
 
-    // An error that the caller has found.
+    // Adds an error that the caller has found.
     void add_error(std::string_view key, std::string_view problem);
 
 private:
     friend class Document;
     Table(DocumentState* document, const void* table, std::string path)
         : document_(document), table_(table), path_(std::move(path)) {}
-    const void* find(std::string_view key);           // marks it as known; null if missing
-    const void* find_required(std::string_view key);  // a missing one is an error
+    const void* find(std::string_view key);           // marks the key as known; null if missing
+    const void* find_required(std::string_view key);  // as find(); adds an error if missing
 
     DocumentState* document_;
-    const void* table_;  // a toml::table, or null for one that is not there; toml++ stays out of this header
+    const void* table_;  // a toml::table, null if missing; void, so that this header does not include toml++
     std::string path_;
 };
 
--- a/src/config/toml.h
+++ b/src/config/toml.h
@@ -1,6 +1,6 @@
-// toml++, with its assertions made exceptions in all builds: 3.3 asserts that a table's name begins with a
-// character of a key, and a file can make that untrue (found by fuzzing). Include this, never
-// <toml++/toml.h>.
+// Includes toml++ with its assertions turned into exceptions in all builds. Version 3.3 asserts that the name
+// of a table starts with a valid character, and an invalid file makes the assertion fail (found by fuzzing).
+// Always include this header instead of <toml++/toml.h>.
 #pragma once
 #include <stdexcept>
 
@@ -9,8 +9,8 @@
             : throw std::runtime_error("is not well-formed TOML (in the name of a table or key)"))
 #pragma GCC diagnostic push
 #ifndef __clang__
-#pragma GCC diagnostic ignored \
-    "-Wterminate"  // some assertions stand in noexcept functions: there it ends as before
+// Some assertions are in noexcept functions; there a failure still terminates the program.
+#pragma GCC diagnostic ignored "-Wterminate"
 #endif
 #pragma push_macro("NDEBUG")
 #undef NDEBUG
--- a/src/discovery/event_stream.cpp
+++ b/src/discovery/event_stream.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kDataField = "data:";
 constexpr double kMaxCell = 1e9;
-constexpr double kMaxStartMs = 9e12;           // beyond it nanoseconds overflow
-constexpr std::size_t kMaxLineSize = 4 << 20;  // far more than a snapshot of some thousand workers
+constexpr double kMaxStartMs = 9e12;           // larger values overflow in nanoseconds
+constexpr std::size_t kMaxLineSize = 4 << 20;  // far larger than a snapshot of a few thousand workers
 
 std::optional<double> number_at(const Json& object, const char* key) {
     const auto it = object.find(key);
@@ -29,7 +29,7 @@
     return it->get<std::string>();
 }
 
-// A name's index among the known ones; -1: it is not there.
+// The index of `name` in `names`; -1 if it is not there.
 int index_of(const std::vector<std::string>& names, const std::string& name) {
     const auto it = std::find(names.begin(), names.end(), name);
     return it == names.end() ? -1 : static_cast<int>(it - names.begin());
@@ -42,7 +42,8 @@
     return std::nullopt;
 }
 
-// False where one of the two is not finite. Without two numbers it says nothing.
+// Returns false if one of the two numbers is not finite. An entry whose `free` is not an array of two numbers
+// leaves `update` unchanged.
 bool parse_free_resources(const Json& entry, EndpointUpdate& update) {
     const auto free = entry.find("free");
     if (free == entry.end() || !free->is_array() || free->size() != 2) return true;
@@ -125,7 +126,7 @@
 
 struct EventStreamParser::HttpParser {
     http_parser http;
-    std::string body;  // of what was fed last
+    std::string body;  // decoded by the current feed() call
     bool done = false;
 };
 
--- a/src/discovery/event_stream.h
+++ b/src/discovery/event_stream.h
@@ -1,5 +1,5 @@
-// Discovery on the platform: an HTTP response that carries server-sent events, to changes of the endpoint
-// list. Incremental; no I/O.
+// Incremental parser for the platform's discovery: an HTTP response with server-sent events, each of which
+// may carry changes of the endpoint list. No I/O.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -14,7 +14,7 @@
 
 namespace whinpost::discovery {
 
-// One worker as an event names it; what it does not say stays as it was.
+// The update of one worker in an event; a field without a value is unchanged.
 struct EndpointUpdate {
     std::string worker;
     std::optional<std::string> address;
@@ -26,11 +26,11 @@
 
 struct WatchEvent {
     std::int64_t sequence = 0;
-    bool has_endpoints = false;  // else it is of no known sort and only its number counts
-    bool is_snapshot = false;    // the entire list: workers that it does not name are gone
+    bool has_endpoints = false;  // false: the event is of an unknown kind, and only its sequence matters
+    bool is_snapshot = false;    // the list is complete: workers that are not in it are gone
     std::vector<EndpointUpdate> endpoints;
-    // Entries that were left out: without a worker's name, or with a zone or kind that the settings don't
-    // name.
+    // The number of entries that were skipped: without a worker's name, with an unknown zone, kind or health,
+    // or with free resources that are not finite.
     int invalid_entries = 0;
 };
 
@@ -40,24 +40,24 @@
 };
 std::string_view to_string(WatchEventError::Kind);
 
-// Reads `{"offset":N,"topology":{...}}`; zones and kinds become their index in these names.
+// Parses `{"offset":N,"topology":{...}}`; the names of zones and kinds become indices into `zones` and
+// `kinds`.
 [[nodiscard]] tl::expected<WatchEvent, WatchEventError> parse_watch_event(
     std::string_view json, const std::vector<std::string>& zones, const std::vector<std::string>& kinds);
 
-// The request that is answered with the events after `last_sequence`.
+// The HTTP request for the stream of events after `last_sequence`.
 std::string watch_request(std::string_view address, std::int64_t last_sequence);
 
-// The response on one connection.
+// Parses the response on one connection.
 class EventStreamParser {
 public:
     EventStreamParser();
     ~EventStreamParser();
-    // Calls `on_event` with the data of every complete event; an incomplete one is kept for the next call,
-    // and dropped with the parser. False where the response can't be read, is no success, or has come to its
-    // end.
+    // Calls `on_event` with the data of every complete event; an incomplete event is kept for the next call.
+    // Returns false if the response is malformed, its status is not 200, or it has ended.
     [[nodiscard]] bool feed(std::string_view bytes,
                             const std::function<void(std::string_view data)>& on_event);
-    std::uint64_t lines() const { return lines_; }  // complete ones, so far
+    std::uint64_t lines() const { return lines_; }  // complete lines received so far
 
 private:
     struct HttpParser;
--- a/src/log/logger.cpp
+++ b/src/log/logger.cpp
@@ -13,7 +13,7 @@
 
 constexpr unsigned char kDelete = 0x7f;
 
-// Quoted and escaped in the same way in both formats.
+// Both formats quote and escape in the same way.
 void append_quoted(std::string& out, std::string_view text) {
     out += '"';
     for (const char symbol : text) {
@@ -55,7 +55,7 @@
     void operator()(double number) const {
         char text[32];
         std::snprintf(text, sizeof text, "%.6g", number);
-        out += std::isfinite(number) ? text : "null";  // JSON knows no others
+        out += std::isfinite(number) ? text : "null";  // JSON has no infinity and no NaN
     }
 };
 
--- a/src/log/logger.h
+++ b/src/log/logger.h
@@ -1,4 +1,4 @@
-// Structured log lines: each is one event with named fields, as key=value pairs or as a JSON object.
+// Structured logging: each line is one event with named fields, as key=value pairs or as a JSON object.
 #pragma once
 #include <cstdint>
 #include <initializer_list>
@@ -17,7 +17,7 @@
 enum class Level { debug, info, warning, error, off };
 enum class Format { text, json };
 
-// Holds views of its key and of a text value: for use within one full expression.
+// Refers to its key and text value without a copy: valid within one full expression only.
 struct Field {
     Field(std::string_view name, std::string_view text) : key(name), value(text) {}
     Field(std::string_view name, const std::string& text) : key(name), value(std::string_view(text)) {}
@@ -33,16 +33,16 @@
     std::variant<std::string_view, std::int64_t, double, bool> value;
 };
 
-// The text of one line without time and level: for tests, and for what is written elsewhere in the same form.
+// Formats one line without time and level, for tests and for other outputs in the same format.
 std::string format_line(Format, std::string_view event, std::initializer_list<Field>);
 
-// Copies share one sink. Not for several threads.
+// Copies share one sink. Not thread-safe.
 class Logger {
 public:
     Logger();               // logs nothing
     Logger(Level, Format);  // to standard error, written by the calling thread
     ~Logger();
-    // For callers whose fields are expensive to work out.
+    // For callers whose fields are expensive to compute.
     bool enabled(Level) const;
     void operator()(Level, std::string_view event, std::initializer_list<Field>) const;
 
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// What describes a deployment's shape. Of [links] only the drain grace does.
+// The keys that describe a deployment's shape. Of [links] only drain_grace_ms belongs to the shape.
 constexpr std::string_view kShapeLists[] = {"machine_kind", "queue_group"};
 constexpr std::string_view kShapeTables[] = {"acceptance", "cold", "launches", "prices"};
 constexpr std::string_view kLinks = "links";
@@ -38,7 +38,7 @@
     return nullptr;
 }
 
-// Checks the shape by itself, so that its errors carry its own lines.
+// Checks the shape file separately, so that errors refer to the lines of that file.
 config::ConfigErrors check_shape(const NamedText& shape) {
     config::Document document = config::Document::parse(shape.text, shape.name);
     config::Table root = document.root();
@@ -54,12 +54,13 @@
     return document.take_errors();
 }
 
-// Merges a shape into an old file and notes what becomes of each key. Both have passed their checks.
+// Merges a shape into an old file and records for each key whether it was carried, replaced or left behind.
+// Both files must have passed their checks.
 class Migration {
 public:
     Migration(const NamedText& old, MigrationResult& result) : old_(old), result_(result) {}
 
-    // `merged` is the old file at first.
+    // `merged` must hold the old file; it is changed in place.
     void merge(toml::table& merged, const toml::table& shape) {
         note_old_tables(merged, shape);
         for (auto&& [key, node] : shape) {
--- a/src/migrate/migrate.h
+++ b/src/migrate/migrate.h
@@ -1,5 +1,5 @@
-// Rewrites a placer's file for a deployment of another shape: what describes the shape comes from a file of
-// its own, everything else from the old file. Takes and gives text; the caller reads and writes the files.
+// Rewrites a placer's configuration for a deployment of another shape: the keys that describe the shape come
+// from a separate file, all others from the old file. Works on texts; the caller reads and writes the files.
 #pragma once
 #include <string>
 #include <vector>
@@ -9,16 +9,16 @@
 namespace whinpost::migrate {
 
 struct NamedText {
-    std::string name;  // the file's, in errors and notes
+    std::string name;  // the file name, for errors and reports
     std::string text;
 };
 
-// One line each for the operator, with file, line and key where it has them.
+// The strings in the lists are report lines for the operator, with file, line and key where they are known.
 struct MigrationResult {
     std::string text;                      // the new file; empty if there are errors
-    std::vector<std::string> carried;      // taken over from the old file
-    std::vector<std::string> replaced;     // by the shape: what stood, what stands now
-    std::vector<std::string> left_behind;  // in the old file, and in no way in the new one: with the reason
+    std::vector<std::string> carried;      // keys taken from the old file
+    std::vector<std::string> replaced;     // keys set by the shape, with old and new value
+    std::vector<std::string> left_behind;  // keys of the old file that the new one lacks, with the reason
     config::ConfigErrors errors;
 };
 
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -218,7 +218,8 @@
 
 namespace {
 
-// The value that a name of a load report stands for, and whether it is given; null for other names.
+// Points to the members of a load report for one field name: its value and its presence flag. Both are null
+// for an unknown name.
 struct ReportField {
     double* value = nullptr;
     bool* is_given = nullptr;
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -1,7 +1,8 @@
-// The settings of a deployment, as the simulator's first message and the platform's file give them, read into
-// the arguments of scheduler and ledger. Both sides read through here, so that they can't differ. Keys that
-// nobody asks for pass; a wrong value is an error that names its key. No I/O, no value of its own, and no
-// library but the standard one, since the simulator adapter must build without any.
+// Reads a deployment's settings into the argument types of scheduler and ledger. The simulator adapter takes
+// them from the simulator's first message and the platform server from its file; both use this module, so
+// that they interpret settings alike. Unknown keys are ignored; an invalid value is an error that names its
+// key. No I/O, no global state, and no library but the standard one, since the simulator adapter must
+// build without dependencies.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,22 +15,23 @@
 
 namespace whinpost::settings {
 
-// Thrown by every getter here for a value that is missing or wrong. An exception, since settings are read
-// only while a program starts, which such an error ends. The text is `SOURCE: KEY PROBLEM`.
+// Thrown by every function here for a missing or invalid value. An exception, since settings are read only
+// while a program starts, and such an error ends the program. The message is `SOURCE: KEY PROBLEM`.
 struct SettingsError : std::runtime_error {
     SettingsError(std::string source, std::string key, std::string problem);
     std::string source, key, problem;
 };
 
-// Values by key, as `classes.0.aim_us` or `family_info.cpu_of_kind` (a list: its values with commas between
-// them; a list of objects has its length under `.count`). Absent is "-" or empty.
+// Values by key, for example `classes.0.aim_us` or `family_info.cpu_of_kind`. The values of a list are
+// separated with commas; the length of a list of objects is stored under the key with `.count` appended. A
+// value that is "-" or empty counts as missing.
 class Settings {
 public:
-    // `source` names the file or message in errors.
+    // `source`: the name of the file or message, for errors.
     explicit Settings(std::string source) : source_(std::move(source)) {}
-    // The first value of a key holds.
+    // A later value for the same key is ignored.
     void put(std::string key, std::string value) { values_.emplace(std::move(key), std::move(value)); }
-    // `key=value` pairs with one space between them.
+    // Puts `key=value` pairs that are separated with single spaces.
     void put_pairs(std::string_view text);
 
     bool has(const std::string& key) const;
@@ -39,15 +41,16 @@
         return has(key) ? number_at(key) : absent;
     }
     double positive_number(const std::string& key) const;
-    // Given in whole microseconds; what is beyond the point is cut off.
+    // The value is in microseconds; a fraction is truncated.
     Nanos duration(const std::string& key) const;
     Nanos duration_or_zero(const std::string& key) const { return has(key) ? duration(key) : 0; }
     bool boolean(const std::string& key) const;
     bool boolean_or(const std::string& key, bool absent) const { return has(key) ? boolean(key) : absent; }
     std::vector<std::string_view> list(const std::string& key) const;
-    // The value of one queue group in a list; the last serves for the rest.
+    // The element at `index` of a list, for example of one queue group; the last element if the list is
+    // shorter, and `absent` if the list is missing.
     std::string_view nth(const std::string& key, std::size_t index, std::string_view absent) const;
-    // `value` as a number; `key` is for the error.
+    // Parses `value` as a number; `key` is named in the error.
     double number(const std::string& key, std::string_view value) const;
     [[noreturn]] void fail(std::string_view key, std::string_view problem) const;
 
@@ -66,8 +69,8 @@
 Prices prices(const Settings&);
 int zone(const Settings&);
 
-// A load report, pairs `name:value` with `separator` between them; names that say nothing here pass. False
-// where it can't be read or a value is no finite number; the report is then to be discarded.
+// Parses a load report: `name:value` pairs that are separated with `separator`. Unknown names are ignored.
+// Returns false if a pair is malformed or its value is not a finite number; `report` is then to be discarded.
 [[nodiscard]] bool parse_load_report(std::string_view text, char separator, LoadReport&);
 
 }  // namespace whinpost::settings
--- a/src/timer_wheel/timer_wheel.cpp
+++ b/src/timer_wheel/timer_wheel.cpp
@@ -33,7 +33,7 @@
 }
 
 void TimerWheel::insert(Timer& timer) {
-    // Rounded up: a timer may come late by a tick, never early.
+    // Rounded up: a timer may fire up to a tick late, but never early.
     const std::int64_t tick = std::max(tick_, (timer.deadline_ + kTick - 1) / kTick);
     int level = 0;
     while (level + 1 < kLevels && (tick >> (kBits * (level + 1))) != (tick_ >> (kBits * (level + 1))))
@@ -57,7 +57,7 @@
     insert(timer);
 }
 
-// Takes all of a slot's timers onto a list of its own: what is done with them may fill the same slot again.
+// Moves all timers of a slot to the list `detached`, since handling them may add timers to the same slot.
 void TimerWheel::detach(int level, std::size_t slot, Head& detached) {
     Head& head = slots_[static_cast<std::size_t>(level)][slot];
     detached.previous_ = detached.next_ = &detached;
@@ -80,7 +80,8 @@
     detached.previous_ = detached.next_ = nullptr;
 }
 
-// At the edge of a level's slot, the levels above hand down what stands in theirs.
+// When the lowest level wraps around, moves the timers of the current slot of the next level down, and of
+// each further level as long as the one below it wraps around too.
 void TimerWheel::cascade() {
     if (tick_ & (kSlots - 1)) return;
     for (int level = 1; level < kLevels; ++level) {
@@ -115,26 +116,27 @@
 void TimerWheel::run_timers(Nanos now) {
     const std::int64_t last = now / kTick;
     while (tick_ <= last) {
-        // Straight to the next tick at which anything stands or a level turns over.
+        // Advances to the next tick that has timers, or at which the lowest level wraps around.
         const std::int64_t turn_over = (tick_ | (kSlots - 1)) + 1;
         const int slot = first_used(0, static_cast<std::size_t>(tick_ & (kSlots - 1)));
         const std::int64_t to = slot < 0 ? turn_over : (tick_ & ~std::int64_t{kSlots - 1}) | slot;
         if (to > last) {
-            // Stops at the edge of the slot; what stands further on keeps its place.
+            // Later timers keep their slots.
             tick_ = last + 1;
             cascade();
             return;
         }
         tick_ = to;
         if (slot < 0) {
-            if (armed_ == 0) {  // nothing to move: no need to walk there
+            if (armed_ == 0) {  // no timers to cascade on the way to `last`
                 tick_ = last + 1;
                 return;
             }
             cascade();
             continue;
         }
-        // What a timer arms for this very tick or earlier is put off to the next one: no turn without end.
+        // Timers armed by these callbacks for this tick or earlier go to the next tick, since timers that arm
+        // themselves for now would make the loop endless.
         Head detached;
         detach(0, static_cast<std::size_t>(slot), detached);
         ++tick_;
--- a/src/timer_wheel/timer_wheel.h
+++ b/src/timer_wheel/timer_wheel.h
@@ -1,7 +1,6 @@
-// Deadlines in a hierarchical timing wheel (G. Varghese, A. Lauck: "Hashed and hierarchical timing wheels",
-// SOSP 1987, scheme 7). Arming and disarming cost the same whatever the number of timers, which is what a
-// placer needs: nearly every deadline it sets is taken back before it comes. No clock: the caller passes the
-// time.
+// Hierarchical timing wheel (G. Varghese, A. Lauck: "Hashed and hierarchical timing wheels", SOSP 1987,
+// scheme 7). The cost of arming and disarming does not depend on the number of timers: a placer cancels
+// nearly every deadline that it sets. The wheel reads no clock; the caller passes the time.
 #pragma once
 #include <array>
 #include <cstddef>
@@ -13,15 +12,15 @@
 
 class TimerWheel;
 
-// One deadline. Derive from it or use it as a member of what it is for; it takes itself out of its wheel when
-// destroyed. Not copied, not moved: the wheel points to it.
+// One deadline; derive from it to handle its expiry. The destructor removes it from its wheel. It can't be
+// copied or moved, since the wheel points to it.
 class Timer {
 public:
     Timer() = default;
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     virtual ~Timer() { disarm(); }
-    virtual void on_deadline(Nanos now) = 0;  // may arm this or any other timer again, or destroy this one
+    virtual void on_deadline(Nanos now) = 0;  // may arm any timer, or destroy this one
 
     bool armed() const { return next_ != nullptr; }
     Nanos deadline() const { return deadline_; }
@@ -36,12 +35,12 @@
     std::uint16_t slot_ = 0;
 };
 
-// Calls each timer's on_deadline() in the first run_timers() at or after its deadline: in the order of their
-// ticks, and within a tick in the order in which they were inserted there.
+// Calls each timer's on_deadline() in the first run_timers() at or after its deadline. Timers fire in the
+// order of their ticks, and within a tick in the order in which they were inserted into its slot.
 class TimerWheel {
 public:
-    // One millisecond: a small part of any queue timeout, and the least that the event loop's own wait
-    // resolves.
+    // One millisecond is short compared to any queue timeout, and is the resolution of the event loop's poll
+    // timeout.
     static constexpr Nanos kTick = kMillisecond;
 
     explicit TimerWheel(Nanos now);
@@ -49,16 +48,19 @@
     TimerWheel(const TimerWheel&) = delete;
     TimerWheel& operator=(const TimerWheel&) = delete;
 
-    void arm(Timer&, Nanos at);  // an armed timer is moved; a deadline that has passed is due at the next run
-    void run_timers(Nanos now);  // `now` never goes backwards; an earlier one is taken as the last
+    // Moves the timer if it is armed. A deadline in the past is due at the next tick.
+    void arm(Timer&, Nanos at);
+    // Does nothing if `now` is earlier than in the last call.
+    void run_timers(Nanos now);
     std::size_t armed_timers() const { return armed_; }
-    // No timer is due before this time; 0 if none is armed. Exact for those within 256 ticks, else early by
-    // at most what one slot of the level spans: a run then only moves timers down a level.
+    // A lower bound for the next deadline; 0 if no timer is armed. It is exact for deadlines within 256
+    // ticks, else early by at most the span of one slot of the timer's level: a run at that time only moves
+    // timers down a level.
     Nanos next_deadline() const;
 
 private:
     friend class Timer;
-    static constexpr int kLevels = 5, kBits = 8, kSlots = 1 << kBits;  // 256^5 ms: 34 years
+    static constexpr int kLevels = 5, kBits = 8, kSlots = 1 << kBits;  // spans 256^5 ms = 34 years
     struct Head final : Timer {
         void on_deadline(Nanos) override {}
     };
@@ -69,7 +71,7 @@
     void cascade();
     int first_used(int level, std::size_t from) const;
 
-    std::int64_t tick_;  // all before it has been run
+    std::int64_t tick_;  // the next tick to run
     std::size_t armed_ = 0;
     std::array<std::array<Head, kSlots>, kLevels> slots_;
     std::array<std::array<std::uint64_t, kSlots / 64>, kLevels> used_{};
