--- a/apps/embedded_placer.h
+++ b/apps/embedded_placer.h
@@ -1,5 +1,5 @@
-// A placer in one process: its server and its planner with a direct call between them, made from a file that
-// was checked whole.
+// A placer whose server and planner run in the same process and call each other directly. It is created from
+// a configuration file that has passed all checks.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -18,9 +18,9 @@
     std::function<std::unique_ptr<ledger::Ledger>(std::vector<QueueGroup>, RetrySettings, SlowStartSettings)>;
 
 struct EmbeddedPlacerOptions {
-    std::uint64_t seed = 0;         // used where the file gives none
-    std::uint64_t incarnation = 0;  // tells this life of the placer from earlier ones
-    LedgerFactory make_ledger;      // empty: the program's own; tests use one that allows what it must not
+    std::uint64_t seed = 0;         // used if the file sets no seed
+    std::uint64_t incarnation = 0;  // differs at each start of the placer
+    LedgerFactory make_ledger;      // empty: ledger::Ledger; tests pass one that does not enforce its rules
 };
 
 class EmbeddedPlacer {
--- a/apps/emulator_main.cpp
+++ b/apps/emulator_main.cpp
@@ -1,5 +1,5 @@
-// The project's own workers, discovery service and clients, with real placers: plays scripted days and
-// rehearses incidents.
+// The emulator's command: runs emulated workers, discovery service and clients with real placers, to play
+// scripted days and to rehearse incidents.
 #include <google/protobuf/stubs/logging.h>
 
 #include <CLI/CLI.hpp>
@@ -20,9 +20,10 @@
 
 constexpr int kNotPlayed = 2;
 constexpr const char* kExitStatus =
-    "Exit status: 0 rules kept and all expected met, 1 not, 2 it could not be played.";
+    "Exit status: 0 no rule was broken and all expectations were met, 1 otherwise, 2 the scenario could not "
+    "be run.";
 
-// The first comment of a scenario says what it is about.
+// The description of a scenario is the comment at the start of its file.
 std::string description_of(const std::string& text) {
     std::string out;
     for (std::size_t at = 0; at < text.size() && text[at] == '#';) {
@@ -47,12 +48,13 @@
 };
 
 CLI::App* add_play(CLI::App& app, simulation::RehearsalOptions& options) {
-    CLI::App* play = app.add_subcommand("play", "Play a scripted day on loopback and check the rules");
-    play->add_option("day", options.scenario, "The day's script (TOML)")->required();
-    play->add_option("--program", options.program, "The placer's program")->capture_default_str();
+    CLI::App* play =
+        app.add_subcommand("play", "Play a scripted day on the loopback network and check the rules");
+    play->add_option("day", options.scenario, "The script of the day (TOML)")->required();
+    play->add_option("--program", options.program, "The placer program")->capture_default_str();
     play->add_option("--dir", options.out,
-                     "Where placers' files and logs go; a new one under /tmp if not given");
-    play->add_option("--seed", options.seed, "Another seed than the script's");
+                     "Directory for the placers' files and logs; default: a new one under /tmp");
+    play->add_option("--seed", options.seed, "Seed, in place of the one in the script");
     play->footer(kExitStatus);
     return play;
 }
@@ -60,43 +62,45 @@
 CLI::App* add_rehearse(CLI::App& app, RehearseCommand& command) {
     simulation::RehearsalOptions& options = command.options;
     CLI::App* rehearse = app.add_subcommand(
-        "rehearse", "Rehearse an incident: play a scenario, report, and check what it expects");
-    rehearse->add_option("scenario", options.scenario, "A scenario's name (--list) or file (TOML)");
-    rehearse->add_option("--seed", options.seed, "Another seed than the scenario's");
-    rehearse->add_option("--placers", options.placers, "Another number of placers");
-    rehearse->add_option("--nodes", options.workers, "Another number of nodes");
+        "rehearse",
+        "Rehearse an incident: play a scenario, write a report and check the scenario's expectations");
+    rehearse->add_option("scenario", options.scenario, "Name (see --list) or file (TOML) of the scenario");
+    rehearse->add_option("--seed", options.seed, "Seed, in place of the one in the scenario");
+    rehearse->add_option("--placers", options.placers,
+                         "Number of placers, in place of the one in the scenario");
+    rehearse->add_option("--nodes", options.workers, "Number of nodes, in place of the one in the scenario");
     rehearse
         ->add_option("--on", command.environment,
-                     "virtual: simulated network and time; sockets: loopback, placers as processes")
+                     "virtual: simulated network and time; sockets: loopback network, placers as processes")
         ->check(CLI::IsMember({"virtual", "sockets"}))
         ->capture_default_str();
     rehearse->add_option("--out", options.out,
-                         "A directory for report.json, the plots and, on sockets, the logs");
+                         "Directory for report.json, the plots and, with --on sockets, the logs");
     rehearse->add_option("--explain", options.explain,
-                         "Afterwards, all that was seen of one container or node");
+                         "After the run, print all events of this container or node");
     rehearse
         ->add_option("--planner", options.planner,
-                     "whinpost, or a baseline: random, least_asked, two_choices")
+                     "whinpost, or one of the baselines random, least_asked, two_choices")
         ->capture_default_str();
-    rehearse->add_option("--program", options.program, "The placer's program, on sockets")
+    rehearse->add_option("--program", options.program, "The placer program, for --on sockets")
         ->capture_default_str();
     rehearse->add_option("--draw", command.draw_seed,
-                         "Draw a scenario from ranges with this seed, keep it in a file, play it");
-    rehearse->add_flag("--big", command.big, "Draw one of a deployment's size");
-    rehearse->add_flag("--list", command.list, "The scenarios that come with the program");
-    rehearse->add_flag("--quiet", options.quiet, "No progress");
+                         "Generate a random scenario with this seed, write it to a file and play it");
+    rehearse->add_flag("--big", command.big, "With --draw: a scenario of the size of a deployment");
+    rehearse->add_flag("--list", command.list, "List the bundled scenarios");
+    rehearse->add_flag("--quiet", options.quiet, "Print no progress");
     rehearse->footer(kExitStatus);
     return rehearse;
 }
 
-// Generates the scenario, and returns the file in which it is kept.
+// Generates a scenario, writes it to a file and returns the path.
 std::string draw_scenario(const RehearseCommand& command) {
     const std::string& dir = command.options.out;
     if (!dir.empty()) std::filesystem::create_directories(dir);
     std::string path =
         (dir.empty() ? "" : dir + "/") + "drawn-" + std::to_string(command.draw_seed) + ".toml";
     std::ofstream(path) << simulation::generate_scenario(command.draw_seed, command.big);
-    std::cout << "kept as " << path << '\n';
+    std::cout << "scenario written to " << path << '\n';
     return path;
 }
 
@@ -105,8 +109,7 @@
     command.options.sockets = command.environment == "sockets";
     if (command.draw) command.options.scenario = draw_scenario(command);
     if (command.options.scenario.empty()) {
-        std::cerr << "rehearse: name a scenario (--list shows those that come with the program), or "
-                     "--draw one\n";
+        std::cerr << "rehearse: no scenario given; name one (see --list) or generate one with --draw\n";
         return kNotPlayed;
     }
     return simulation::run_rehearsal(command.options, std::cout, std::cerr);
@@ -115,7 +118,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-    CLI::App app{"whinpost-emulator: stand-ins for nodes, list service and owners, with real placers"};
+    CLI::App app{"whinpost-emulator: runs real placers with emulated nodes, list service and owners"};
     app.require_subcommand(1);
     const std::string placer_program = (std::filesystem::path(argv[0]).parent_path() / "whinpost").string();
     simulation::RehearsalOptions day;
--- a/apps/migrate.cpp
+++ b/apps/migrate.cpp
@@ -31,7 +31,7 @@
     return std::nullopt;
 }
 
-// Empty, or the system's error text.
+// Returns the system's error text, or an empty string on success.
 std::string write_all(int descriptor, const std::string& text) {
     for (std::size_t written = 0; written < text.size();) {
         const ssize_t bytes = ::write(descriptor, text.data() + written, text.size() - written);
@@ -42,8 +42,9 @@
     return "";
 }
 
-// Written under another name, then linked to its own: the link fails where a file exists, so none is
-// overwritten, and a file of that name is never half written. Empty, or the system's error text.
+// Writes a temporary file and links it to `path`: link(2) fails if the path exists, so no file is
+// overwritten, and the new file is never incomplete. Returns the system's error text, or an empty string on
+// success.
 std::string write_new_file(const std::string& path, const std::string& text) {
     std::string temporary = path + ".XXXXXX";
     const int descriptor = mkstemp(temporary.data());
@@ -64,7 +65,8 @@
 
 int migrate(const MigrateOptions& options) {
     const auto old = read(options.old_path);
-    const auto shape = read(options.shape_path);  // also if the other can't be read: both are reported
+    // Read also if the old file can't be read, so that errors of both files are reported.
+    const auto shape = read(options.shape_path);
     if (!old || !shape) return kError;
     const whinpost::migrate::MigrationResult result =
         whinpost::migrate::migrate_configuration(*old, *shape, options.new_path);
@@ -72,7 +74,7 @@
     if (!result.errors.empty()) return kError;
     std::error_code ignored;
     if (std::filesystem::exists(std::filesystem::symlink_status(options.new_path, ignored)))
-        return fail(options.new_path, "stands already, and is not overwritten");
+        return fail(options.new_path, "already exists, and is not overwritten");
     if (!options.dry_run) {
         const std::string error = write_new_file(options.new_path, result.text);
         if (!error.empty()) return fail(options.new_path, "can't be written: " + error);
--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -21,7 +21,7 @@
 namespace whinpost::apps {
 namespace {
 
-// A start that lacks descriptors or memory is tried again for some seconds.
+// A start that fails for lack of descriptors or memory is retried for 5 seconds.
 constexpr int kStartTries = 50;
 constexpr std::chrono::milliseconds kStartRetryInterval{100};
 
@@ -35,8 +35,8 @@
     return {views.begin(), views.end()};
 }
 
-// Everything that the settings say, read and checked before anything is opened. The order of the members is
-// the order in which they are checked.
+// All settings of the deployment, read and checked before any socket is opened. They are checked in the order
+// of the members.
 struct Deployment {
     explicit Deployment(const platform::BootstrapConfig& config)
         : groups(settings::queue_groups(config.settings())), kinds(settings::worker_kinds(config.settings())),
@@ -75,8 +75,9 @@
     Prices prices;
 };
 
-// Reads the file again on SIGHUP. One that is wrong changes nothing. It may be half written at that moment,
-// or its reading fail for a while, and no second signal comes: so it is tried again some times.
+// Reads the configuration file again on SIGHUP. An invalid file changes nothing. The file may be incomplete
+// at the time of the signal, or reading may fail temporarily, and no second signal follows: reading is
+// retried up to kTries times.
 class ConfigReloader {
 public:
     ConfigReloader(net::EventLoop& loop, std::string path, platform::DiscoveryWatch& watch,
@@ -114,7 +115,7 @@
     int tries_left_ = 0;
 };
 
-// The machine lacks what a start needs, for now.
+// The start failed for a temporary lack of resources.
 class StartBlocked : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
@@ -153,7 +154,8 @@
     server.set_planner(planner);
     for (const std::string& event : config->initial_events())
         server.discovery_watch().apply_initial_event(event);
-    // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
+    // The signal handlers are set before the server listens: otherwise a signal that arrives after clients
+    // have connected would kill the process while they wait for answers.
     ConfigReloader reloader(loop, path, server.discovery_watch(), log);
     loop.on_signal(SIGHUP, [&reloader] { reloader.on_signal(); });
     const auto drain = [&] { server.drain([&loop] { loop.stop(); }); };
@@ -161,7 +163,7 @@
     loop.on_signal(SIGINT, drain);
     listen_for_clients(server, listen);
     server.discovery_watch().follow(config->discovery_address(), config->last_sequence());
-    config.reset();  // the initial events may be large
+    config.reset();  // frees the initial events, which may be large
     log(log::Level::info, "serving", {{"listen", listen}});
     loop.run();
     return 0;
--- a/apps/platform.h
+++ b/apps/platform.h
@@ -1,4 +1,5 @@
-// `whinpost platform`: one placer on the platform's protocol, as its environment variables and its file say.
+// The command `whinpost platform`: runs one placer with the platform's protocol, configured by the
+// environment variables GW_NAME, GW_LISTEN and GW_CONFIG and the file that GW_CONFIG names.
 #pragma once
 #include "log/logger.h"
 
--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -17,7 +17,7 @@
     return 1;
 }
 
-// Never 0, which means "none" for a seed.
+// Never returns 0, which means "not set" for a seed.
 std::uint64_t draw_number(std::random_device& device) {
     return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
 }
@@ -49,7 +49,7 @@
     }
     bool draining = false;
     const auto drain = [&] {
-        if (std::exchange(draining, true)) return loop.stop();  // the second signal: at once
+        if (std::exchange(draining, true)) return loop.stop();  // second signal: stop without draining
         placer.server.drain([&loop] { loop.stop(); });
     };
     loop.on_signal(SIGTERM, drain);
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -1,4 +1,4 @@
-// The operators' command.
+// The `whinpost` command.
 #include <google/protobuf/stubs/logging.h>
 #include <unistd.h>
 
@@ -41,36 +41,41 @@
 };
 
 void add_migrate(CLI::App& app, Commands& commands, apps::MigrateOptions& options) {
-    commands.migrate = app.add_subcommand(
-        "migrate", "Write a configuration's counterpart for a deployment of another shape");
-    commands.migrate->add_option("old", options.old_path, "The configuration that stands (TOML)")->required();
-    commands.migrate->add_option("--shape", options.shape_path, "What describes the new deployment (TOML)")
+    commands.migrate =
+        app.add_subcommand("migrate", "Rewrite a configuration for a deployment of another shape");
+    commands.migrate->add_option("old", options.old_path, "The old configuration (TOML)")->required();
+    commands.migrate->add_option("--shape", options.shape_path, "The shape of the new deployment (TOML)")
         ->required();
-    commands.migrate->add_option("--out", options.new_path, "The file to write; it must not stand yet")
+    commands.migrate->add_option("--out", options.new_path, "The file to write; it must not exist yet")
         ->required();
-    commands.migrate->add_flag("--dry-run", options.dry_run, "Say the same, and change nothing");
-    commands.migrate->footer("Exit status: 0 all carried, 1 written but something left behind, 2 an error.");
+    commands.migrate->add_flag("--dry-run", options.dry_run, "Print the report, but write no file");
+    commands.migrate->footer(
+        "Exit status: 0 written and all keys carried or replaced, 1 written but some keys left behind, 2 an "
+        "error.");
 }
 
 void add_platform(CLI::App& app, Commands& commands, std::string& log_level) {
     commands.platform = app.add_subcommand(
-        "platform", "Run one placer on the platform's protocol, as GW_NAME, GW_LISTEN and GW_CONFIG say");
-    commands.platform->add_option("--log", log_level, "The least that is logged")
+        "platform",
+        "Run one placer with the platform's protocol, configured by GW_NAME, GW_LISTEN and GW_CONFIG");
+    commands.platform->add_option("--log", log_level, "Lowest level that is logged")
         ->check(CLI::IsMember({"debug", "info", "warning", "error", "off"}));
-    commands.platform->footer("SIGHUP: reads the file again. SIGTERM: answers all that is owed, then ends.");
+    commands.platform->footer(
+        "SIGHUP: reads the file again. SIGTERM or SIGINT: sends all outstanding answers, then exits.");
 }
 
 Commands add_commands(CLI::App& app, Options& options) {
     Commands commands;
-    commands.run = app.add_subcommand("run", "Run one placer: edge and planner in this process");
+    commands.run = app.add_subcommand("run", "Run one placer: server and planner in this process");
     commands.run->add_option("file", options.path, "The placer's configuration (TOML)")->required();
     commands.run->footer(
-        "SIGTERM or SIGINT: takes no new containers, gives every answer that is owed, ends. A second: at "
-        "once.");
-    commands.check = app.add_subcommand("check", "Check a configuration, and say all that is wrong with it");
+        "SIGTERM or SIGINT: accepts no new containers, sends all outstanding answers, then exits. A second "
+        "signal: exits at once.");
+    commands.check = app.add_subcommand("check", "Check a configuration and print all errors in it");
     commands.check->add_option("file", options.path, "The placer's configuration (TOML)")->required();
-    commands.rehearse =
-        app.add_subcommand("rehearse", "Rehearse an incident with stand-ins (rehearse --help says how)");
+    commands.rehearse = app.add_subcommand(
+        "rehearse",
+        "Rehearse an incident with emulated nodes, list service and owners (see rehearse --help)");
     commands.rehearse->prefix_command();
     commands.rehearse->set_help_flag();
     add_migrate(app, commands, options.migrate);
@@ -78,8 +83,8 @@
     return commands;
 }
 
-// The emulator is a program of its own, in the same folder, and never linked into this one. Returns only if
-// it can't be started.
+// Runs the emulator, a separate program in the same directory that is never linked into this one. Returns
+// only if the emulator can't be started.
 int exec_emulator(const char* self, std::vector<std::string> arguments) {
     const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-emulator").string();
     arguments.insert(arguments.begin(), {program, "rehearse"});
@@ -89,12 +94,13 @@
     argv.push_back(nullptr);
     execvp(program.c_str(), argv.data());
     std::cerr << program << ": " << std::strerror(errno)
-              << " (the stand-ins' program stands beside this one)\n";
+              << " (the emulator must be in the same directory as this program)\n";
     return 2;
 }
 
 int run_or_check(const Commands& commands, const std::string& path) {
-    // A message that can't be parsed is logged by the endpoint that read it, in the log's own form.
+    // Turns off protobuf's own log: the endpoint that reads a malformed message logs it in the program's
+    // format.
     google::protobuf::SetLogHandler(nullptr);
     try {
         return commands.check->parsed() ? apps::check(path) : apps::run(path);
--- a/tests/migrate_test.cpp
+++ b/tests/migrate_test.cpp
@@ -1,4 +1,4 @@
-// The counterpart of a file for another shape, and the command that writes it.
+// Migration of a configuration to another shape, and the command `whinpost migrate`.
 #include "migrate/migrate.h"
 
 #include <sys/wait.h>
@@ -117,7 +117,7 @@
 
 }  // namespace
 
-TEST_CASE("the shape's tables replace the old ones, all else is carried, and what has no place is said") {
+TEST_CASE("the tables of the shape replace the old ones, and all other tables are carried") {
     const migrate::MigrationResult c = of(kOld, kShape);
     REQUIRE(c.errors.empty());
     config::Document d = config::Document::parse(c.text, "new.toml");
@@ -141,7 +141,7 @@
     CHECK(joined(c.carried).find("old.toml:1: placer") != std::string::npos);
 }
 
-TEST_CASE("what the shape has no place for is left behind, with its line and why") {
+TEST_CASE("keys that are not in the shape are reported as left behind, with line and reason") {
     const migrate::MigrationResult c =
         of(kOld + "\n[[queue_group]]\nname = \"batch\"\neffect = \"idempotent\"\nstart_target_ms = 5000\n",
            with(kShape, "free_means = \"not_asked_for\"\n", ""));
@@ -152,7 +152,7 @@
     CHECK(c.text.find("batch") == std::string::npos);
 }
 
-TEST_CASE("what is wrong in either file is named with file, line and key, and nothing comes of it") {
+TEST_CASE("errors in either file are reported with file, line and key, and no new text is returned") {
     struct Wrong {
         std::string old, shape, says;
     };
@@ -177,13 +177,13 @@
     CHECK(c.text.empty());
 }
 
-TEST_CASE("the command writes a file whole or not at all, over none, and changes nothing in a dry run") {
+TEST_CASE("the command never overwrites a file or leaves a partial one, and a dry run writes no file") {
     Folder f;
     f.put("old.toml", kOld);
     f.put("shape.toml", kShape);
     const std::string usual = "old.toml --shape shape.toml --out new.toml";
     CHECK(f.run(usual + " --dry-run") == 0);
-    CHECK(f.files() == 4);  // the two, and what it said
+    CHECK(f.files() == 4);  // the two configurations, standard output and standard error
     const std::string said = f.get("said");
     CHECK(f.run(usual) == 0);
     CHECK(with(said, "would be written", "written") == f.get("said"));
@@ -193,7 +193,7 @@
     const std::string before = f.get("new.toml");
     f.put("shape.toml", with(kShape, "cores = 24", "cores = 30"));
     CHECK(f.run(usual) == 2);
-    CHECK(f.get("wrong").find("new.toml:0: file: stands already") != std::string::npos);
+    CHECK(f.get("wrong").find("new.toml:0: file: already exists") != std::string::npos);
     CHECK(f.get("new.toml") == before);
     f.put("shape.toml", with(kShape, "free_means = \"not_asked_for\"\n", ""));
     CHECK(f.run("old.toml --shape shape.toml --out second.toml") == 1);
