--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,6 +1,7 @@
-// What users and other programs rely on stays as it was: bytes of each message of both protocols, keys and
-// forms of each file, sub-commands and options, variables, the deploy file. The expected texts under
-// fixtures/ were written by 23b611a; a change of one of them is a change for users.
+// Checks that the interfaces for users and other programs are unchanged: the bytes of each message of both
+// protocols, the keys and formats of each file, sub-commands and options, environment variables, and the
+// deploy file. Commit 23b611a wrote the expected texts under fixtures/; a change of one of them is a change
+// for users.
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/message.h>
 #include <sys/wait.h>
@@ -40,7 +41,8 @@
 
 fs::path fixture(const std::string& name) { return fs::path(WHINPOST_SOURCE) / "tests" / "fixtures" / name; }
 
-// The text is also left in the build folder, where it can be compared as a whole.
+// Compares `actual` with the fixture line by line. Also writes it to the build directory, for a diff of the
+// files.
 void check_unchanged(const std::string& name, const std::string& actual) {
     std::ofstream(fs::path(WHINPOST_BINARY) / ("actual-" + name), std::ios::binary) << actual;
     std::istringstream expected(read_file(fixture(name))), found(actual);
@@ -71,7 +73,7 @@
     return out;
 }
 
-// ---- protobuf
+// ---- Protobuf messages.
 
 using google::protobuf::FieldDescriptor;
 using google::protobuf::Message;
@@ -106,7 +108,7 @@
         case FieldDescriptor::CPPTYPE_MESSAGE:
             return fill(*reflection.MutableMessage(&message, &field));
         default:
-            FAIL("a field of a type that no message had");
+            FAIL("field " << field.full_name() << " has a type that fill_field() can't set");
     }
 }
 
@@ -115,7 +117,8 @@
     for (int i = 0; i < descriptor.field_count(); ++i) fill_field(message, *descriptor.field(i));
 }
 
-// One line for each message that an envelope may carry, every field set: its number there, and its bytes.
+// Returns one line for each message that an envelope may hold: its field number and its bytes with every
+// field set.
 template <class Envelope>
 std::string messages_in(const std::string& name) {
     std::string out;
@@ -130,7 +133,7 @@
     return out;
 }
 
-// Every value that each enumeration may take on the wire.
+// Appends the number of every value of the enumeration.
 void numbers_of(const google::protobuf::EnumDescriptor& of, std::string& out) {
     for (int i = 0; i < of.value_count(); ++i) out += " " + std::to_string(of.value(i)->number());
 }
@@ -147,7 +150,7 @@
     return out + "\n";
 }
 
-// ---- values read from files, one a line
+// ---- Values read from files, one per line.
 
 class Values {
 public:
@@ -215,7 +218,7 @@
     for (const WorkerKind& k : kinds) values.add("kind cores", k.cores).add("kind memory", k.memory);
 }
 
-// ---- programs
+// ---- Programs.
 
 struct Ran {
     int status = -1;
@@ -233,7 +236,8 @@
     return out;
 }
 
-// The names in a help text: options, sub-commands and positional arguments stand first on an indented line.
+// Extracts the names in a help text: options, sub-commands and positional arguments come first on a line that
+// is indented by two spaces.
 std::string names_in_help(const std::string& program, const std::string& called, const std::string& words) {
     const Ran ran = run(program + " " + words + " --help");
     CHECK(ran.status == 0);
@@ -251,7 +255,7 @@
 
 }  // namespace
 
-TEST_CASE("each message of the own protocol has the bytes it had") {
+TEST_CASE("the bytes of each message of whinpost's protocol are unchanged") {
     check_unchanged("messages.txt",
                     messages_in<v1::ToWorker>("to_node") + messages_in<v1::FromWorker>("from_node") +
                         messages_in<v1::ToClient>("to_owner") + messages_in<v1::FromClient>("from_owner") +
@@ -259,7 +263,8 @@
                         messages_in<v1::FromDiscovery>("from_list") + enumerations());
 }
 
-TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
+TEST_CASE(
+    "the bytes of each message of the platform's protocol are unchanged, and decode to the same message") {
     using platform_codec::MessageType;
     std::string out;
     for (const MessageType type :
@@ -299,7 +304,7 @@
     check_unchanged("platform-messages.txt", out);
 }
 
-TEST_CASE("a placer's configuration with every key is read as it was") {
+TEST_CASE("a placer's configuration with every key is read as the same values") {
     config::Document file = config::Document::read(fixture("placer.toml").string());
     CHECK(config::check(file).empty());
     config::Document again = config::Document::read(fixture("placer.toml").string());
@@ -338,7 +343,7 @@
     check_unchanged("placer-values.txt", values.text());
 }
 
-TEST_CASE("a shape replaces what it replaced") {
+TEST_CASE("the result of a migration is unchanged") {
     const migrate::NamedText old{"old.toml", read_file(fixture("placer.toml"))};
     const migrate::NamedText shape{"shape.toml", read_file(fixture("shape.toml"))};
     const migrate::MigrationResult c = migrate::migrate_configuration(old, shape, "new.toml");
@@ -350,7 +355,7 @@
     check_unchanged("migrated.txt", out);
 }
 
-TEST_CASE("the platform's file with every key is read as it was") {
+TEST_CASE("the platform's configuration with every key is read as the same values") {
     const platform::BootstrapConfig file =
         platform::BootstrapConfig::parse(read_file(fixture("platform.json")), "platform.json");
     Values values;
@@ -376,7 +381,7 @@
     check_unchanged("platform-values.txt", values.text());
 }
 
-TEST_CASE("a scenario with every fault and expectation, and a day, are read as they were") {
+TEST_CASE("a scenario with every fault and expectation and a day's script are read as the same values") {
     const std::string name = GENERATE("scenario", "day");
     const auto scenario = emulator::parse_scenario(read_file(fixture(name + ".toml")), name + ".toml");
     INFO((scenario ? "" : to_string(scenario.error()[0])));
@@ -424,13 +429,13 @@
                     values.text() + emulator::placer_configuration(plan, 1, "10.0.0.1:1", "10.0.0.2:2"));
 }
 
-TEST_CASE("a raw file of capacity points is read and written as it was") {
+TEST_CASE("a file of raw capacity points is read and written unchanged") {
     const bench::ScaleRecord record = bench::read_record(fixture("capacity.json").string());
     check_unchanged("capacity-table.txt", bench::table(record));
     check_unchanged("capacity.json", bench::to_json(record));
 }
 
-TEST_CASE("a fuzz corpus as it was written is read whole") {
+TEST_CASE("all files of a fuzz corpus are parsed completely") {
     std::size_t files = 0;
     for (const auto& entry : fs::recursive_directory_iterator(fixture("corpus"))) {
         if (!entry.is_regular_file()) continue;
@@ -447,7 +452,7 @@
                 CHECK_NOTHROW(platform::BootstrapConfig::parse(bytes, "corpus"));
                 continue;
             }
-            if (from == 2) continue;  // an event of discovery: read_event has tests of its own
+            if (from == 2) continue;  // a discovery event: event_stream_test covers these
             const auto decoded =
                 platform_codec::decode_all(bytes, [](const platform_codec::Message&) { return true; });
             done = decoded.consumed;
@@ -473,7 +478,7 @@
     CHECK(files == 15);
 }
 
-TEST_CASE("programs have the sub-commands and options they had") {
+TEST_CASE("the programs' sub-commands and options are unchanged") {
     const std::string apps = std::string(WHINPOST_BINARY) + "/apps/";
     std::string out;
     for (const char* words : {"", "run", "check", "rehearse", "migrate", "platform"})
@@ -483,7 +488,7 @@
     check_unchanged("options.txt", out);
 }
 
-TEST_CASE("the platform's variables are named where they are missing") {
+TEST_CASE("a missing environment variable of the platform is named in the error") {
     const std::string program = std::string(WHINPOST_BINARY) + "/apps/whinpost platform";
     const std::string bare = "env -u GW_CONFIG -u GW_LISTEN -u GW_NAME ";
     std::string set;
@@ -498,7 +503,7 @@
     CHECK(ran.said == "whinpost platform: x: can't be read\n");
 }
 
-TEST_CASE("the deploy file has the keys and forms that its readers expect, and names files that are there") {
+TEST_CASE("the deploy file has the expected keys and value types, and its paths exist") {
     const toml::table deploy = toml::parse(read_file(fs::path(WHINPOST_SOURCE) / "deploy" / "balancer.toml"));
     std::string keys;
     for (auto&& [key, value] : deploy) keys += std::string(key.str()) + " ";
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("a whole file is read as the plain values that each part takes") {
+TEST_CASE("a complete file is read into the settings of each part") {
     CHECK(errors_of(kGood).empty());
     config::Document d = config::Document::parse(kGood, "f.toml");
     const config::PlacerSettings me = config::placer_settings(d.root());
@@ -64,7 +64,7 @@
     CHECK(groups.at(0).queue_group.deduplication_window == 1500 * kMillisecond);
 }
 
-TEST_CASE("what is wrong is named with file, line, key and what was expected") {
+TEST_CASE("each error names file, line, key and the expected value") {
     struct Wrong {
         std::string from, to, says;
     };
@@ -98,7 +98,7 @@
     CHECK(all.find(w.says) != std::string::npos);
 }
 
-TEST_CASE("all that is wrong is said at once, in the order of the file") {
+TEST_CASE("all errors are reported at once, in the order of the file") {
     std::string text = with("name = \"p\"", "nmae = 1");
     text.replace(text.find("memory = 32.5"), 13, "memory = 0");
     const config::ConfigErrors found = errors_of(text);
@@ -108,8 +108,8 @@
     CHECK(to_string(found[2]).find(":13: machine_kind[0].memory") != std::string::npos);
 }
 
-TEST_CASE("a day's script without zones, and faults that name one, is refused without more ado") {
-    // Found by fuzzing: a zone's nodes were looked for among no zones.
+TEST_CASE("a day's script without zones and with a fault in a zone is rejected with errors for both") {
+    // Found by fuzzing: the nodes of the fault's zone were looked up in an empty list of zones.
     const auto scenario = emulator::parse_scenario(
         "[day]\n[fleet]\nnodes = 3\n[[fault]]\nat_s = 0\ndo = \"drain\"\nzone = \"a\"\n", "d.toml");
     REQUIRE_FALSE(scenario);
@@ -118,14 +118,14 @@
     CHECK(all.find("d.toml:7: fault[0].zone: must be one of fleet.zones") != std::string::npos);
 }
 
-TEST_CASE("a folder in a file's place is a problem, not a crash") {
+TEST_CASE("a directory instead of a file is reported as an error") {
     config::Document d = config::Document::read(WHINPOST_SOURCE);
     const config::ConfigErrors found = config::check(d);
     REQUIRE_FALSE(found.empty());
     CHECK(to_string(found[0]).find(":0: file: can't be read") != std::string::npos);
 }
 
-TEST_CASE("a file that says nothing of notes of pressure means that they come") {
+TEST_CASE("notes_pressure is true by default") {
     config::Document d = config::Document::parse(kGood, "f.toml");
     CHECK(config::worker_acceptance(d.root()).reports_pressure);
     config::Document other =
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -1,4 +1,5 @@
-// The loop on real sockets: what its contract says and the simulated one is held to as well.
+// The contract of net::EventLoop, checked for the loop on real sockets and, where it applies, the simulated
+// loop.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -39,7 +40,7 @@
     std::function<void()> then;
 };
 
-// Either loop, run until `done` or for long enough that something is wrong.
+// Runs the real or the simulated loop until a condition holds; fails the test after 20 s.
 struct Ground {
     explicit Ground(bool real) {
         if (real) event = std::make_unique<net::LibeventLoop>();
@@ -74,7 +75,7 @@
 
 }  // namespace
 
-TEST_CASE("streams carry bytes both ways, in order, and tell how they end") {
+TEST_CASE("streams transfer bytes in order in both directions and report why they were closed") {
     Ground g(GENERATE(true, false));
     End near, far;
     const auto listening = g.far().listen(g.any(), [&](std::unique_ptr<net::Stream> s) {
@@ -94,7 +95,7 @@
     g.until([&] { return near.stream->unsent() == 0; });
     CHECK(near.stream->handed_over() == much.size());
 
-    SECTION("closed: the other end reads all, then the end") {
+    SECTION("after a close the peer reads all bytes, then the end of the stream") {
         near.stream->write("last");
         g.until([&] { return near.stream->unsent() == 0; });
         near.stream.reset();
@@ -102,8 +103,7 @@
         CHECK(far.how == net::CloseReason::by_peer);
         CHECK(far.got.ends_with("last"));
     }
-    SECTION(
-        "a peer that does not read: what the kernel does not take stays countable, and an abort drops it") {
+    SECTION("bytes that the kernel does not accept are counted as unsent, and abort() drops them") {
         far.stream->set_reading(false);
         for (int i = 0; i < 200; ++i) near.stream->write(std::string(64 << 10, 'x'));
         bool waited = false;
@@ -119,8 +119,7 @@
     }
 }
 
-TEST_CASE(
-    "a dial that nobody answers is told as refused, and an address that is taken can't be listened on") {
+TEST_CASE("a dial to an address without a listener is refused, and listening on an address in use fails") {
     Ground g(GENERATE(true, false));
     End near;
     std::string address;
@@ -138,7 +137,7 @@
     CHECK_FALSE(near.up);
 }
 
-TEST_CASE("a half-close that is asked for before the connection is up follows once it is") {
+TEST_CASE("a half-close requested before the connection is established takes effect afterwards") {
     Ground g(true);
     End near, far;
     const auto listening = g.far().listen(g.any(), [&](std::unique_ptr<net::Stream> s) {
@@ -155,7 +154,7 @@
     CHECK(far.got == (with_bytes ? "last" : ""));
 }
 
-TEST_CASE("timers come in their order, can be moved and taken back") {
+TEST_CASE("timers fire in the order of their deadlines, and can be moved and disarmed") {
     Ground g(GENERATE(true, false));
     std::vector<int> order;
     const auto a = g.near().make_timer([&] { order.push_back(1); }),
@@ -171,7 +170,7 @@
     CHECK(order == std::vector<int>{2, 1});
 }
 
-TEST_CASE("without a descriptor left, dials say so, and those who ask are let in once there is one") {
+TEST_CASE("without free descriptors dials fail, and waiting connections are accepted once there are some") {
     net::LibeventLoop loop;
     End first, second, served;
     const auto listener = loop.listen("127.0.0.1:0",
@@ -181,7 +180,7 @@
                                       })
                               .value();
     first.stream =
-        loop.dial(listener->address(), first);  // its descriptor is had; the accepting side's will not be
+        loop.dial(listener->address(), first);  // it has a descriptor, but the accepting side will get none
     rlimit before{}, none{};
     getrlimit(RLIMIT_NOFILE, &before);
     const int next = dup(0);
@@ -206,7 +205,7 @@
     CHECK(served.stream);
 }
 
-TEST_CASE("a timer that is armed late in a pass of the loop is never early") {
+TEST_CASE("a timer that is armed late in a pass of the loop never fires early") {
     net::LibeventLoop loop;
     Nanos deadline = 0, called_at = 0;
     auto timer = loop.make_timer([&] {
--- a/tests/event_stream_test.cpp
+++ b/tests/event_stream_test.cpp
@@ -1,4 +1,4 @@
-// Discovery's event stream and its events.
+// Parsing of the discovery event stream and of its events.
 #include "discovery/event_stream.h"
 
 #include <catch2/catch.hpp>
@@ -7,7 +7,7 @@
 
 using namespace whinpost;
 
-TEST_CASE("events are read from any pieces, and an incomplete one is not") {
+TEST_CASE("events are parsed from byte-sized pieces, and an incomplete event is not delivered") {
     const std::string all = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
     const std::string body = ": hello\nid: 4\ndata: {\"a\":1}\n\nid: 5\ndata: {\"b\"";
     std::string bytes = all;
@@ -22,7 +22,7 @@
     CHECK(!discovery::EventStreamParser().feed("\x01\x02 noise", [](std::string_view) {}));
 }
 
-TEST_CASE("entries keep apart what an event says and what it leaves out") {
+TEST_CASE("an endpoint update has values only for the fields in its entry, and invalid entries are counted") {
     const auto event = discovery::parse_watch_event(
         R"({"offset":41,"topology":{"seq":7,"whole":false,"hosts":[{"host":"s-1","health":"leaving"},
            {"host":"s-2","dial":"10.1.0.9:3868","site":"east","class":"std","block":2,"health":"active","born_ms":5,
--- a/tests/logger_test.cpp
+++ b/tests/logger_test.cpp
@@ -1,4 +1,4 @@
-// The form of log lines.
+// The format of log lines.
 #include "log/logger.h"
 
 #include <catch2/catch.hpp>
@@ -6,14 +6,14 @@
 
 using namespace whinpost::log;
 
-TEST_CASE("a log line in text quotes only values that need it") {
+TEST_CASE("the text format quotes only values that need it") {
     CHECK(format_line(Format::text, "started", {{"worker", "w-1"}, {"text", "a b"}, {"empty", ""}}) ==
           R"(event=started worker=w-1 text="a b" empty="")");
     CHECK(format_line(Format::text, "started", {{"count", 3}, {"ok", true}, {"share", 0.25}}) ==
           "event=started count=3 ok=true share=0.25");
 }
 
-TEST_CASE("a log line in JSON escapes its texts and knows no infinite numbers") {
+TEST_CASE("the JSON format escapes strings and writes null for an infinite number") {
     CHECK(format_line(Format::json, "failed", {{"text", "a\"b\\c\nd\x01"}, {"count", -1}}) ==
           R"("event":"failed","text":"a\"b\\c\nd\u0001","count":-1)");
     CHECK(format_line(Format::json, "failed", {{"share", std::numeric_limits<double>::infinity()}}) ==
--- a/tests/settings_test.cpp
+++ b/tests/settings_test.cpp
@@ -1,4 +1,4 @@
-// Settings: values by key, and errors that name source, key and problem.
+// Reading of settings by key, and the errors for missing and invalid values.
 #include "settings/settings.h"
 
 #include <catch2/catch.hpp>
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-TEST_CASE("an error carries source, key and problem, and its text is made of them") {
+TEST_CASE("an error holds source, key and problem, and its message consists of them") {
     Settings values("INIT");
     values.put_pairs("negative=-1 word=soon absent=-");
     const SettingsError missing = error_of(values, "absent");
@@ -34,7 +34,8 @@
     CHECK(error_of(values, "word").problem == "is not a number");
 }
 
-TEST_CASE("durations are whole microseconds, lists repeat their last value, the first value of a key holds") {
+TEST_CASE(
+    "durations are whole microseconds, lists repeat their last element, the first value of a key is kept") {
     Settings values("file");
     values.put("time", "2.9");
     values.put("time", "7");
@@ -46,7 +47,7 @@
     CHECK(values.nth("nothing", 0, "absent") == "absent");
 }
 
-TEST_CASE("a load report gives what it names; a value that is no finite number spoils it") {
+TEST_CASE("a load report sets the fields it names, and is invalid if a value is not a finite number") {
     LoadReport report;
     CHECK(settings::parse_load_report("x0:1.5;queue:3;other:x", ';', report));
     CHECK(report.has_free_cores);
--- a/tests/timer_wheel_test.cpp
+++ b/tests/timer_wheel_test.cpp
@@ -1,4 +1,4 @@
-// The timing wheel beside a plain ordered map of deadlines.
+// Compares the timing wheel with an ordered map of deadlines.
 #include "timer_wheel/timer_wheel.h"
 
 #include <catch2/catch.hpp>
@@ -25,8 +25,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "each timer fires in the first run at or after its deadline's tick, never before, as in a plain map") {
+TEST_CASE("each timer fires in the first run at or after its deadline's tick, as in an ordered map") {
     const auto seed = GENERATE(take(40, random(1u, 1u << 30)));
     std::ranlux24_base chance(seed);
     const auto roll = [&chance](std::int64_t n) {
@@ -36,15 +35,14 @@
     Nanos now = 1'700'000'000 * kSecond + roll(kSecond);
     TimerWheel w(now);
     std::vector<std::unique_ptr<RecordingTimer>> timers;
-    std::map<RecordingTimer*, std::int64_t>
-        plain;  // the tick in which each is due: one that has been turned is past
+    std::map<RecordingTimer*, std::int64_t> plain;  // the tick in which each armed timer is due
     std::int64_t turned = now / TimerWheel::kTick - 1;
     for (int i = 0; i < 60; ++i) timers.push_back(std::make_unique<RecordingTimer>());
     for (int step = 0; step < 2000; ++step) {
         RecordingTimer& t = *timers[static_cast<std::size_t>(roll(60))];
         const auto what = roll(10);
         if (what < 5) {
-            // From what has passed to far beyond the levels below.
+            // From deadlines in the past to deadlines in the upper levels.
             const Nanos spans[] = {-kSecond, 5 * kMillisecond, 300 * kMillisecond, 100 * kSecond,
                                    40'000 * kSecond};
             const Nanos at = now + (roll(4) ? roll(std::abs(spans[roll(5)]) + 1) : spans[roll(5)]);
@@ -76,8 +74,7 @@
     }
 }
 
-TEST_CASE(
-    "a timer that arms itself for the same moment fires again in a later run, not endlessly in the same") {
+TEST_CASE("a timer that arms itself for the current time fires again in a later run, not in the same one") {
     TimerWheel w(0);
     RecordingTimer t;
     t.on = &w;
@@ -89,7 +86,7 @@
     CHECK(t.fired == 2);
 }
 
-TEST_CASE("timers destroyed by another's call in the same run do not fire") {
+TEST_CASE("a timer that another timer's callback destroys in the same run does not fire") {
     TimerWheel w(0);
     auto victim = std::make_unique<RecordingTimer>();
     struct Killer : timer_wheel::Timer {
