--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -116,7 +116,7 @@
 };
 
 // The start failed for a temporary lack of resources.
-class StartBlocked : public std::runtime_error {
+class TemporaryStartError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
@@ -125,7 +125,7 @@
     try {
         return std::make_unique<net::LibeventLoop>();
     } catch (const std::runtime_error& error) {
-        throw StartBlocked(error.what());
+        throw TemporaryStartError(error.what());
     }
 }
 
@@ -133,7 +133,7 @@
     const auto listening = server.listen(address);
     if (listening) return;
     const std::string reason = address + ": " + to_string(listening.error());
-    if (listening.error().may_pass) throw StartBlocked("GW_LISTEN: " + reason);
+    if (listening.error().is_temporary) throw TemporaryStartError("GW_LISTEN: " + reason);
     throw platform::BootstrapError("GW_LISTEN", "", reason);
 }
 
@@ -175,8 +175,8 @@
     for (int tries_left = kStartTries;; std::this_thread::sleep_for(kStartRetryInterval)) {
         try {
             return serve(level);
-        } catch (const StartBlocked& blocked) {
-            std::cerr << "whinpost platform: " << blocked.what() << '\n';
+        } catch (const TemporaryStartError& error) {
+            std::cerr << "whinpost platform: " << error.what() << '\n';
             if (--tries_left == 0) return 1;
         } catch (const std::exception& error) {
             std::cerr << "whinpost platform: " << error.what() << '\n';
--- a/src/net/libevent_listener.cpp
+++ b/src/net/libevent_listener.cpp
@@ -69,7 +69,7 @@
         const evutil_socket_t descriptor =
             accept4(evconnlistener_get_fd(listener_), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor >= 0) {
-            hand_over(descriptor);
+            accept_connection(descriptor);
             continue;
         }
         if (errno == EAGAIN || errno == EWOULDBLOCK) return true;
@@ -82,10 +82,10 @@
 void LibeventListener::on_accept(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* self) {
     auto* listener = static_cast<LibeventListener*>(self);
     listener->loop_.on_callback();
-    listener->hand_over(descriptor);
+    listener->accept_connection(descriptor);
 }
 
-void LibeventListener::hand_over(evutil_socket_t descriptor) {
+void LibeventListener::accept_connection(evutil_socket_t descriptor) {
     auto stream = std::make_unique<LibeventStream>(loop_, descriptor);
     stream->detect_dead_peer();
     handler_(std::move(stream));
--- a/src/net/libevent_listener.h
+++ b/src/net/libevent_listener.h
@@ -31,7 +31,7 @@
     LibeventListener(LibeventLoop&, AcceptHandler);
     // Binds and listens; returns an error if that fails.
     [[nodiscard]] std::optional<ListenError> bind(const std::string& address);
-    void hand_over(evutil_socket_t);
+    void accept_connection(evutil_socket_t);
     static void on_accept(evconnlistener*, evutil_socket_t, sockaddr*, int length, void* self);
     static void on_accept_error(evconnlistener*, void* self);
     static void on_resume(evutil_socket_t, short events, void* self);
--- a/src/net/libevent_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 // A poll that took at least this long blocked, and returned on a new event.
-constexpr Nanos kBlockingPoll = kMillisecond;
+constexpr Nanos kMinBlockingPoll = kMillisecond;
 
 Nanos read_clock(clockid_t which) {
     timespec time{};
@@ -81,7 +81,7 @@
 }
 
 Nanos LibeventLoop::unseen_since() const {
-    return polled_at_ - poll_began_at_ >= kBlockingPoll ? polled_at_ : previous_poll_at_;
+    return polled_at_ - poll_began_at_ >= kMinBlockingPoll ? polled_at_ : previous_poll_at_;
 }
 
 ListenResult LibeventLoop::listen(const std::string& address, AcceptHandler handler) {
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -78,9 +78,9 @@
 
 // Why listening on an address failed.
 struct ListenError {
-    std::string address;    // as passed to listen()
-    std::string reason;     // the system's error text, or that the address is invalid
-    bool may_pass = false;  // the machine temporarily lacks descriptors or memory: retry
+    std::string address;        // as passed to listen()
+    std::string reason;         // the system's error text, or that the address is invalid
+    bool is_temporary = false;  // the machine temporarily lacks descriptors or memory: retry
 };
 // The reason without the address, which the caller adds.
 std::string to_string(const ListenError&);
--- a/src/net/unix_clock.cpp
+++ b/src/net/unix_clock.cpp
@@ -8,29 +8,29 @@
 namespace {
 
 // A smaller change of the offset is clock drift, or the time between the two clock reads.
-constexpr Nanos kLeastStep = 20 * kMillisecond;
+constexpr Nanos kMinStep = 20 * kMillisecond;
 constexpr std::size_t kMaxPeriods = 64;
 
 }  // namespace
 
 void UnixClock::update(Nanos steady_now, Nanos offset) {
-    if (std::abs(offset - periods_.back().offset) < kLeastStep) return;
+    if (std::abs(offset - periods_.back().offset) < kMinStep) return;
     periods_.push_back({steady_now, offset});
     if (periods_.size() > kMaxPeriods) periods_.pop_front();
 }
 
 Nanos UnixClock::to_steady(Nanos unix_time, Nanos steady_now) const {
-    Nanos period_end = steady_now, not_past = 0;
-    bool found_bound = false;
+    Nanos period_end = steady_now, limit = 0;
+    bool found_limit = false;
     for (auto period = periods_.rbegin(); period != periods_.rend(); ++period) {
         const Nanos moment = unix_time - period->offset;
         const bool is_first = std::next(period) == periods_.rend();
         const bool has_begun = moment >= period->began_at || is_first;
         if (has_begun && moment <= period_end) return moment;
-        if (has_begun && !std::exchange(found_bound, true)) not_past = period_end;
+        if (has_begun && !std::exchange(found_limit, true)) limit = period_end;
         period_end = period->began_at;
     }
-    return not_past;
+    return limit;
 }
 
 }  // namespace whinpost::net
