--- a/src/config/placer_file.cpp
+++ b/src/config/placer_file.cpp
@@ -170,16 +170,16 @@
 worker_connection::ConnectionSettings connection_settings(Table root) {
     Table table = root.table("links");
     worker_connection::ConnectionSettings links;
-    const Nanos least = 10 * kMillisecond;
-    const Nanos most = 3600 * kSecond;
-    links.dial_timeout = table.duration("dial_time_out_ms", least, most, links.dial_timeout);
-    links.greeting_timeout = table.duration("greet_time_out_ms", least, most, links.greeting_timeout);
-    links.silent_after = table.duration("silent_after_ms", least, most, links.silent_after);
-    links.initial_backoff = table.duration("first_pause_ms", kMillisecond, most, links.initial_backoff);
-    links.max_backoff = table.duration("longest_pause_ms", kMillisecond, most, links.max_backoff);
+    const Nanos min = 10 * kMillisecond;
+    const Nanos max = 3600 * kSecond;
+    links.dial_timeout = table.duration("dial_time_out_ms", min, max, links.dial_timeout);
+    links.greeting_timeout = table.duration("greet_time_out_ms", min, max, links.greeting_timeout);
+    links.silent_after = table.duration("silent_after_ms", min, max, links.silent_after);
+    links.initial_backoff = table.duration("first_pause_ms", kMillisecond, max, links.initial_backoff);
+    links.max_backoff = table.duration("longest_pause_ms", kMillisecond, max, links.max_backoff);
     if (links.max_backoff < links.initial_backoff)
         table.add_error("longest_pause_ms", "must not be under first_pause_ms");
-    links.drain_grace = table.duration("drain_grace_ms", least, most, links.drain_grace);
+    links.drain_grace = table.duration("drain_grace_ms", min, max, links.drain_grace);
     return links;
 }
 
--- a/src/config/table.cpp
+++ b/src/config/table.cpp
@@ -82,31 +82,30 @@
     return has(key) ? string(key) : std::string(fallback);
 }
 
-double Table::number(std::string_view key, double least, double most) {
+double Table::number(std::string_view key, double min, double max) {
     const toml::node* node = as_node(find_required(key));
-    if (!node) return least;
+    if (!node) return min;
     const std::optional<double> value = node->is_number() ? node->value<double>() : std::nullopt;
-    if (value && std::isfinite(*value) && *value >= least && *value <= most) return *value;
-    add_error(key, "must be a number from " + format_number(least) + " to " + format_number(most));
-    return least;
+    if (value && std::isfinite(*value) && *value >= min && *value <= max) return *value;
+    add_error(key, "must be a number from " + format_number(min) + " to " + format_number(max));
+    return min;
 }
 
-double Table::number(std::string_view key, double least, double most, double fallback) {
-    return has(key) ? number(key, least, most) : fallback;
+double Table::number(std::string_view key, double min, double max, double fallback) {
+    return has(key) ? number(key, min, max) : fallback;
 }
 
-std::int64_t Table::integer(std::string_view key, std::int64_t least, std::int64_t most) {
+std::int64_t Table::integer(std::string_view key, std::int64_t min, std::int64_t max) {
     const toml::node* node = as_node(find_required(key));
-    if (!node) return least;
+    if (!node) return min;
     const auto* value = node->as_integer();
-    if (value && value->get() >= least && value->get() <= most) return value->get();
-    add_error(key, "must be a whole number from " + std::to_string(least) + " to " + std::to_string(most));
-    return least;
+    if (value && value->get() >= min && value->get() <= max) return value->get();
+    add_error(key, "must be a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+    return min;
 }
 
-std::int64_t Table::integer(std::string_view key, std::int64_t least, std::int64_t most,
-                            std::int64_t fallback) {
-    return has(key) ? integer(key, least, most) : fallback;
+std::int64_t Table::integer(std::string_view key, std::int64_t min, std::int64_t max, std::int64_t fallback) {
+    return has(key) ? integer(key, min, max) : fallback;
 }
 
 bool Table::boolean(std::string_view key, bool fallback) {
@@ -117,31 +116,31 @@
     return fallback;
 }
 
-Nanos Table::duration(std::string_view key, Nanos least, Nanos most) {
+Nanos Table::duration(std::string_view key, Nanos min, Nanos max) {
     const auto unit = static_cast<double>(key.ends_with("_ms") ? kMillisecond : kSecond);
-    return static_cast<Nanos>(
-        number(key, static_cast<double>(least) / unit, static_cast<double>(most) / unit) * unit);
+    return static_cast<Nanos>(number(key, static_cast<double>(min) / unit, static_cast<double>(max) / unit) *
+                              unit);
 }
 
-Nanos Table::duration(std::string_view key, Nanos least, Nanos most, Nanos fallback) {
-    return has(key) ? duration(key, least, most) : fallback;
+Nanos Table::duration(std::string_view key, Nanos min, Nanos max, Nanos fallback) {
+    return has(key) ? duration(key, min, max) : fallback;
 }
 
-std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& words) {
+std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& choices) {
     const toml::node* node = as_node(find_required(key));
     if (!node) return 0;
     const auto* value = node->as_string();
-    for (std::size_t i = 0; value && i < words.size(); ++i)
-        if (value->get() == words[i]) return i;
+    for (std::size_t i = 0; value && i < choices.size(); ++i)
+        if (value->get() == choices[i]) return i;
     std::string expected = "must be one of";
-    for (const std::string_view word : words) expected += " \"" + std::string(word) + "\"";
+    for (const std::string_view name : choices) expected += " \"" + std::string(name) + "\"";
     add_error(key, expected);
     return 0;
 }
 
-std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& words,
+std::size_t Table::choice(std::string_view key, const std::vector<std::string_view>& choices,
                           std::size_t fallback) {
-    return has(key) ? choice(key, words) : fallback;
+    return has(key) ? choice(key, choices) : fallback;
 }
 
 std::vector<std::string> Table::strings(std::string_view key) {
--- a/src/config/table.h
+++ b/src/config/table.h
@@ -23,17 +23,17 @@
 
     std::string string(std::string_view key);
     std::string string(std::string_view key, std::string_view fallback);
-    double number(std::string_view key, double least, double most);
-    double number(std::string_view key, double least, double most, double fallback);
-    std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most);
-    std::int64_t integer(std::string_view key, std::int64_t least, std::int64_t most, std::int64_t fallback);
+    double number(std::string_view key, double min, double max);
+    double number(std::string_view key, double min, double max, double fallback);
+    std::int64_t integer(std::string_view key, std::int64_t min, std::int64_t max);
+    std::int64_t integer(std::string_view key, std::int64_t min, std::int64_t max, std::int64_t fallback);
     bool boolean(std::string_view key, bool fallback);
     // The unit is milliseconds if the key ends in _ms, else seconds.
-    Nanos duration(std::string_view key, Nanos least, Nanos most);
-    Nanos duration(std::string_view key, Nanos least, Nanos most, Nanos fallback);
-    // The index in `words` of the value.
-    std::size_t choice(std::string_view key, const std::vector<std::string_view>& words);
-    std::size_t choice(std::string_view key, const std::vector<std::string_view>& words,
+    Nanos duration(std::string_view key, Nanos min, Nanos max);
+    Nanos duration(std::string_view key, Nanos min, Nanos max, Nanos fallback);
+    // The index in `choices` of the value.
+    std::size_t choice(std::string_view key, const std::vector<std::string_view>& choices);
+    std::size_t choice(std::string_view key, const std::vector<std::string_view>& choices,
                        std::size_t fallback);
     std::vector<std::string> strings(std::string_view key);
     std::string address(std::string_view key);  // "IP:PORT", as parse_socket_address() takes it
--- a/src/migrate/migrate.cpp
+++ b/src/migrate/migrate.cpp
@@ -62,7 +62,7 @@
 
     // `merged` must hold the old file; it is changed in place.
     void merge(toml::table& merged, const toml::table& shape) {
-        note_old_tables(merged, shape);
+        classify_old_tables(merged, shape);
         for (auto&& [key, node] : shape) {
             const std::string name(key.str());
             if (name == kLinks) {
@@ -79,7 +79,7 @@
         return old_.name + ":" + std::to_string(node.source().begin.line) + ": " + key;
     }
 
-    void note_old_tables(const toml::table& from, const toml::table& shape) {
+    void classify_old_tables(const toml::table& from, const toml::table& shape) {
         for (auto&& [key, node] : from) {
             const std::string name(key.str());
             const toml::node* replacement = shape.get(name);
--- a/src/settings/settings.cpp
+++ b/src/settings/settings.cpp
@@ -73,9 +73,9 @@
         rest = rest.substr(comma + 1);
     }
 }
-std::string_view Settings::nth(const std::string& key, std::size_t index, std::string_view absent) const {
+std::string_view Settings::nth(const std::string& key, std::size_t index, std::string_view fallback) const {
     const auto all = list(key);
-    return all.empty() ? absent : all[std::min(index, all.size() - 1)];
+    return all.empty() ? fallback : all[std::min(index, all.size() - 1)];
 }
 double Settings::number(const std::string& key, std::string_view value) const {
     double number{};
@@ -114,8 +114,8 @@
 
 QueueGroup queue_group(const Settings& settings, std::size_t index) {
     const std::string prefix = group_prefix(index);
-    const auto per_group = [&settings, index](const std::string& key, std::string_view absent) {
-        return settings.number(key, settings.nth(key, index, absent));
+    const auto per_group = [&settings, index](const std::string& key, std::string_view fallback) {
+        return settings.number(key, settings.nth(key, index, fallback));
     };
     QueueGroup group;
     group.effect = effect(settings, prefix + "semantics");
--- a/src/settings/settings.h
+++ b/src/settings/settings.h
@@ -37,19 +37,21 @@
     bool has(const std::string& key) const;
     std::string_view text(const std::string& key) const;
     double number_at(const std::string& key) const { return number(key, text(key)); }
-    double number_or(const std::string& key, double absent) const {
-        return has(key) ? number_at(key) : absent;
+    double number_or(const std::string& key, double fallback) const {
+        return has(key) ? number_at(key) : fallback;
     }
     double positive_number(const std::string& key) const;
     // The value is in microseconds; a fraction is truncated.
     Nanos duration(const std::string& key) const;
     Nanos duration_or_zero(const std::string& key) const { return has(key) ? duration(key) : 0; }
     bool boolean(const std::string& key) const;
-    bool boolean_or(const std::string& key, bool absent) const { return has(key) ? boolean(key) : absent; }
+    bool boolean_or(const std::string& key, bool fallback) const {
+        return has(key) ? boolean(key) : fallback;
+    }
     std::vector<std::string_view> list(const std::string& key) const;
     // The element at `index` of a list, for example of one queue group; the last element if the list is
-    // shorter, and `absent` if the list is missing.
-    std::string_view nth(const std::string& key, std::size_t index, std::string_view absent) const;
+    // shorter, and `fallback` if the list is missing.
+    std::string_view nth(const std::string& key, std::size_t index, std::string_view fallback) const;
     // Parses `value` as a number; `key` is named in the error.
     double number(const std::string& key, std::string_view value) const;
     [[noreturn]] void fail(std::string_view key, std::string_view problem) const;
--- a/src/timer_wheel/timer_wheel.cpp
+++ b/src/timer_wheel/timer_wheel.cpp
@@ -38,8 +38,8 @@
     int level = 0;
     while (level + 1 < kLevels && (tick >> (kBits * (level + 1))) != (tick_ >> (kBits * (level + 1))))
         ++level;
-    const std::int64_t farthest = ((tick_ >> (kBits * level)) | (kSlots - 1));
-    const auto slot = static_cast<std::size_t>(std::min(tick >> (kBits * level), farthest) & (kSlots - 1));
+    const std::int64_t last_slot = ((tick_ >> (kBits * level)) | (kSlots - 1));
+    const auto slot = static_cast<std::size_t>(std::min(tick >> (kBits * level), last_slot) & (kSlots - 1));
     Head& head = slots_[static_cast<std::size_t>(level)][slot];
     timer.slot_ = static_cast<std::uint16_t>((static_cast<std::size_t>(level) << kBits) | slot);
     timer.next_ = &head;
@@ -69,7 +69,7 @@
     used_[static_cast<std::size_t>(level)][slot / 64] &= ~(std::uint64_t{1} << (slot % 64));
 }
 
-void TimerWheel::spill(int level, std::size_t slot) {
+void TimerWheel::redistribute(int level, std::size_t slot) {
     Head detached;
     detach(level, slot, detached);
     while (detached.next_ != &detached) {
@@ -86,7 +86,7 @@
     if (tick_ & (kSlots - 1)) return;
     for (int level = 1; level < kLevels; ++level) {
         const std::int64_t at = tick_ >> (kBits * level);
-        spill(level, static_cast<std::size_t>(at & (kSlots - 1)));
+        redistribute(level, static_cast<std::size_t>(at & (kSlots - 1)));
         if (at & (kSlots - 1)) break;
     }
 }
@@ -117,9 +117,9 @@
     const std::int64_t last = now / kTick;
     while (tick_ <= last) {
         // Advances to the next tick that has timers, or at which the lowest level wraps around.
-        const std::int64_t turn_over = (tick_ | (kSlots - 1)) + 1;
+        const std::int64_t wrap_around = (tick_ | (kSlots - 1)) + 1;
         const int slot = first_used(0, static_cast<std::size_t>(tick_ & (kSlots - 1)));
-        const std::int64_t to = slot < 0 ? turn_over : (tick_ & ~std::int64_t{kSlots - 1}) | slot;
+        const std::int64_t to = slot < 0 ? wrap_around : (tick_ & ~std::int64_t{kSlots - 1}) | slot;
         if (to > last) {
             // Later timers keep their slots.
             tick_ = last + 1;
--- a/src/timer_wheel/timer_wheel.h
+++ b/src/timer_wheel/timer_wheel.h
@@ -67,7 +67,7 @@
     void insert(Timer&);
     void unlink(Timer&);
     void detach(int level, std::size_t slot, Head& detached);
-    void spill(int level, std::size_t slot);
+    void redistribute(int level, std::size_t slot);
     void cascade();
     int first_used(int level, std::size_t from) const;
 
