--- a/apps/emulator_main.cpp
+++ b/apps/emulator_main.cpp
@@ -18,7 +18,7 @@
 
 using namespace whinpost;
 
-constexpr int kNotPlayed = 2;
+constexpr int kExitNotRun = 2;
 constexpr const char* kExitStatus =
     "Exit status: 0 no rule was broken and all expectations were met, 1 otherwise, 2 the scenario could not "
     "be run.";
@@ -43,11 +43,11 @@
 struct RehearseCommand {
     simulation::RehearsalOptions options;
     std::string environment = "virtual";
-    bool list = false, draw = false, big = false;
-    std::uint64_t draw_seed = 0;
+    bool list = false, generate = false, large = false;
+    std::uint64_t generator_seed = 0;
 };
 
-CLI::App* add_play(CLI::App& app, simulation::RehearsalOptions& options) {
+CLI::App* add_play_command(CLI::App& app, simulation::RehearsalOptions& options) {
     CLI::App* play =
         app.add_subcommand("play", "Play a scripted day on the loopback network and check the rules");
     play->add_option("day", options.scenario, "The script of the day (TOML)")->required();
@@ -59,7 +59,7 @@
     return play;
 }
 
-CLI::App* add_rehearse(CLI::App& app, RehearseCommand& command) {
+CLI::App* add_rehearse_command(CLI::App& app, RehearseCommand& command) {
     simulation::RehearsalOptions& options = command.options;
     CLI::App* rehearse = app.add_subcommand(
         "rehearse",
@@ -84,9 +84,9 @@
         ->capture_default_str();
     rehearse->add_option("--program", options.program, "The placer program, for --on sockets")
         ->capture_default_str();
-    rehearse->add_option("--draw", command.draw_seed,
+    rehearse->add_option("--draw", command.generator_seed,
                          "Generate a random scenario with this seed, write it to a file and play it");
-    rehearse->add_flag("--big", command.big, "With --draw: a scenario of the size of a deployment");
+    rehearse->add_flag("--big", command.large, "With --draw: a scenario of the size of a deployment");
     rehearse->add_flag("--list", command.list, "List the bundled scenarios");
     rehearse->add_flag("--quiet", options.quiet, "Print no progress");
     rehearse->footer(kExitStatus);
@@ -94,12 +94,12 @@
 }
 
 // Generates a scenario, writes it to a file and returns the path.
-std::string draw_scenario(const RehearseCommand& command) {
+std::string write_generated_scenario(const RehearseCommand& command) {
     const std::string& dir = command.options.out;
     if (!dir.empty()) std::filesystem::create_directories(dir);
     std::string path =
-        (dir.empty() ? "" : dir + "/") + "drawn-" + std::to_string(command.draw_seed) + ".toml";
-    std::ofstream(path) << simulation::generate_scenario(command.draw_seed, command.big);
+        (dir.empty() ? "" : dir + "/") + "drawn-" + std::to_string(command.generator_seed) + ".toml";
+    std::ofstream(path) << simulation::generate_scenario(command.generator_seed, command.large);
     std::cout << "scenario written to " << path << '\n';
     return path;
 }
@@ -107,10 +107,10 @@
 int rehearse(RehearseCommand& command) {
     if (command.list) return list_scenarios();
     command.options.sockets = command.environment == "sockets";
-    if (command.draw) command.options.scenario = draw_scenario(command);
+    if (command.generate) command.options.scenario = write_generated_scenario(command);
     if (command.options.scenario.empty()) {
         std::cerr << "rehearse: no scenario given; name one (see --list) or generate one with --draw\n";
-        return kNotPlayed;
+        return kExitNotRun;
     }
     return simulation::run_rehearsal(command.options, std::cout, std::cerr);
 }
@@ -124,18 +124,18 @@
     simulation::RehearsalOptions day;
     day.sockets = true;
     day.program = placer_program;
-    const CLI::App* play_command = add_play(app, day);
+    const CLI::App* play_command = add_play_command(app, day);
     RehearseCommand rehearsal;
     rehearsal.options.program = placer_program;
-    const CLI::App* rehearse_command = add_rehearse(app, rehearsal);
+    const CLI::App* rehearse_command = add_rehearse_command(app, rehearsal);
     CLI11_PARSE(app, argc, argv);
     google::protobuf::SetLogHandler(nullptr);
-    rehearsal.draw = rehearse_command->count("--draw") > 0;
+    rehearsal.generate = rehearse_command->count("--draw") > 0;
     try {
         if (play_command->parsed()) return simulation::run_rehearsal(day, std::cout, std::cerr);
         return rehearse(rehearsal);
     } catch (const std::exception& error) {
         std::cerr << "whinpost-emulator: " << error.what() << '\n';
-        return kNotPlayed;
+        return kExitNotRun;
     }
 }
--- a/apps/migrate.cpp
+++ b/apps/migrate.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-enum ExitStatus { kAllCarried = 0, kSomethingLeftBehind = 1, kError = 2 };
+enum ExitStatus { kComplete = 0, kKeysLeftBehind = 1, kError = 2 };
 
 int fail(const std::string& path, const std::string& problem) {
     std::cerr << to_string(config::ConfigError{path, 0, "file", problem}) << '\n';
@@ -83,7 +83,7 @@
     print("replaced by the shape", result.replaced);
     print("left behind", result.left_behind);
     std::cout << options.new_path << (options.dry_run ? ": would be written\n" : ": written\n");
-    return result.left_behind.empty() ? kAllCarried : kSomethingLeftBehind;
+    return result.left_behind.empty() ? kComplete : kKeysLeftBehind;
 }
 
 }  // namespace whinpost::apps
--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -18,7 +18,7 @@
 }
 
 // Never returns 0, which means "not set" for a seed.
-std::uint64_t draw_number(std::random_device& device) {
+std::uint64_t random_nonzero(std::random_device& device) {
     return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
 }
 
@@ -37,8 +37,8 @@
     config::Document document = config::Document::read(path);
     std::random_device device;
     EmbeddedPlacerOptions options;
-    options.seed = draw_number(device);
-    options.incarnation = draw_number(device);
+    options.seed = random_nonzero(device);
+    options.incarnation = random_nonzero(device);
     const auto made = EmbeddedPlacer::make(loop, document, options);
     if (!made) return print_errors(made.error());
     EmbeddedPlacer& placer = **made;
--- a/apps/whinpost_main.cpp
+++ b/apps/whinpost_main.cpp
@@ -40,7 +40,7 @@
     CLI::App* platform = nullptr;
 };
 
-void add_migrate(CLI::App& app, Commands& commands, apps::MigrateOptions& options) {
+void add_migrate_command(CLI::App& app, Commands& commands, apps::MigrateOptions& options) {
     commands.migrate =
         app.add_subcommand("migrate", "Rewrite a configuration for a deployment of another shape");
     commands.migrate->add_option("old", options.old_path, "The old configuration (TOML)")->required();
@@ -54,7 +54,7 @@
         "error.");
 }
 
-void add_platform(CLI::App& app, Commands& commands, std::string& log_level) {
+void add_platform_command(CLI::App& app, Commands& commands, std::string& log_level) {
     commands.platform = app.add_subcommand(
         "platform",
         "Run one placer with the platform's protocol, configured by GW_NAME, GW_LISTEN and GW_CONFIG");
@@ -78,15 +78,16 @@
         "Rehearse an incident with emulated nodes, list service and owners (see rehearse --help)");
     commands.rehearse->prefix_command();
     commands.rehearse->set_help_flag();
-    add_migrate(app, commands, options.migrate);
-    add_platform(app, commands, options.log_level);
+    add_migrate_command(app, commands, options.migrate);
+    add_platform_command(app, commands, options.log_level);
     return commands;
 }
 
 // Runs the emulator, a separate program in the same directory that is never linked into this one. Returns
 // only if the emulator can't be started.
-int exec_emulator(const char* self, std::vector<std::string> arguments) {
-    const std::string program = (std::filesystem::path(self).parent_path() / "whinpost-emulator").string();
+int exec_emulator(const char* own_path, std::vector<std::string> arguments) {
+    const std::string program =
+        (std::filesystem::path(own_path).parent_path() / "whinpost-emulator").string();
     arguments.insert(arguments.begin(), {program, "rehearse"});
     std::vector<char*> argv;
     argv.reserve(arguments.size() + 1);
