--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -66,7 +66,7 @@
     return out;
 }
 
-std::string bytes_of(const std::string& hex_digits) {
+std::string unhex(const std::string& hex_digits) {
     std::string out;
     for (std::size_t i = 0; i + 1 < hex_digits.size(); i += 2)
         out += static_cast<char>(std::stoi(hex_digits.substr(i, 2), nullptr, 16));
@@ -120,7 +120,7 @@
 // Returns one line for each message that an envelope may hold: its field number and its bytes with every
 // field set.
 template <class Envelope>
-std::string messages_in(const std::string& name) {
+std::string encoded_messages(const std::string& name) {
     std::string out;
     const auto& descriptor = *Envelope::descriptor();
     for (int i = 0; i < descriptor.field_count(); ++i) {
@@ -134,18 +134,19 @@
 }
 
 // Appends the number of every value of the enumeration.
-void numbers_of(const google::protobuf::EnumDescriptor& of, std::string& out) {
-    for (int i = 0; i < of.value_count(); ++i) out += " " + std::to_string(of.value(i)->number());
+void append_enum_numbers(const google::protobuf::EnumDescriptor& enumeration, std::string& out) {
+    for (int i = 0; i < enumeration.value_count(); ++i)
+        out += " " + std::to_string(enumeration.value(i)->number());
 }
 
 std::string enumerations() {
     std::string out = "enumerations";
     for (const auto* file : {v1::FromWorker::descriptor()->file(), v1::FromClient::descriptor()->file(),
                              v1::FromDiscovery::descriptor()->file(), v1::LoadReport::descriptor()->file()}) {
-        for (int i = 0; i < file->enum_type_count(); ++i) numbers_of(*file->enum_type(i), out);
+        for (int i = 0; i < file->enum_type_count(); ++i) append_enum_numbers(*file->enum_type(i), out);
         for (int i = 0; i < file->message_type_count(); ++i)
             for (int k = 0; k < file->message_type(i)->enum_type_count(); ++k)
-                numbers_of(*file->message_type(i)->enum_type(k), out);
+                append_enum_numbers(*file->message_type(i)->enum_type(k), out);
     }
     return out + "\n";
 }
@@ -220,17 +221,17 @@
 
 // ---- Programs.
 
-struct Ran {
+struct CommandResult {
     int status = -1;
-    std::string said;
+    std::string output;
 };
 
-Ran run(const std::string& command) {
-    Ran out;
+CommandResult run(const std::string& command) {
+    CommandResult out;
     FILE* pipe = popen((command + " 2>&1").c_str(), "r");
     REQUIRE(pipe);
     char buffer[4096];
-    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.said.append(buffer, n);
+    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.output.append(buffer, n);
     const int status = pclose(pipe);
     out.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return out;
@@ -238,17 +239,18 @@
 
 // Extracts the names in a help text: options, sub-commands and positional arguments come first on a line that
 // is indented by two spaces.
-std::string names_in_help(const std::string& program, const std::string& called, const std::string& words) {
-    const Ran ran = run(program + " " + words + " --help");
-    CHECK(ran.status == 0);
-    std::istringstream lines(ran.said);
+std::string names_in_help(const std::string& program, const std::string& label,
+                          const std::string& arguments) {
+    const CommandResult result = run(program + " " + arguments + " --help");
+    CHECK(result.status == 0);
+    std::istringstream lines(result.output);
     std::string out, line;
     while (std::getline(lines, line)) {
         if (line.size() < 3 || line.compare(0, 2, "  ") != 0 || line[2] == ' ') continue;
         std::string name = line.substr(2, line.find("  ", 2) - 2);
         if (const std::size_t at = name.find(WHINPOST_BINARY); at != std::string::npos)
             name.replace(at, std::string(WHINPOST_BINARY).size(), "BUILD");
-        out += called + " " + words + ": " + name + "\n";
+        out += label + " " + arguments + ": " + name + "\n";
     }
     return out;
 }
@@ -256,11 +258,12 @@
 }  // namespace
 
 TEST_CASE("the bytes of each message of whinpost's protocol are unchanged") {
-    check_unchanged("messages.txt",
-                    messages_in<v1::ToWorker>("to_node") + messages_in<v1::FromWorker>("from_node") +
-                        messages_in<v1::ToClient>("to_owner") + messages_in<v1::FromClient>("from_owner") +
-                        messages_in<v1::ToDiscovery>("to_list") +
-                        messages_in<v1::FromDiscovery>("from_list") + enumerations());
+    check_unchanged("messages.txt", encoded_messages<v1::ToWorker>("to_node") +
+                                        encoded_messages<v1::FromWorker>("from_node") +
+                                        encoded_messages<v1::ToClient>("to_owner") +
+                                        encoded_messages<v1::FromClient>("from_owner") +
+                                        encoded_messages<v1::ToDiscovery>("to_list") +
+                                        encoded_messages<v1::FromDiscovery>("from_list") + enumerations());
 }
 
 TEST_CASE(
@@ -310,14 +313,14 @@
     config::Document again = config::Document::read(fixture("placer.toml").string());
     config::Table root = again.root();
     Values values;
-    const config::PlacerSettings named = config::placer_settings(root);
-    values.add("name", named.name).add("listen", named.listen).add("zone", named.zone);
-    values.add("zones", named.zones).add("seed", named.seed);
+    const config::PlacerSettings placer = config::placer_settings(root);
+    values.add("name", placer.name).add("listen", placer.listen).add("zone", placer.zone);
+    values.add("zones", placer.zones).add("seed", placer.seed);
     const config::DiscoveryService list = config::discovery_service(root);
     values.add("list", list.address).add("on request", list.settings.poll);
     values.add("ask every", list.settings.poll_interval);
-    const config::LogSettings saying = config::log_settings(root);
-    values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.format));
+    const config::LogSettings log = config::log_settings(root);
+    values.add("level", static_cast<int>(log.level)).add("form", static_cast<int>(log.format));
     const auto kinds = config::worker_kinds(root);
     add_kinds(values, kinds);
     std::vector<QueueGroup> groups;
@@ -328,8 +331,8 @@
     add_groups(values, groups);
     add_acceptance(values, config::worker_acceptance(root));
     add_slow_start(values, config::slow_start_settings(root));
-    const RetrySettings launches = config::retry_settings(root);
-    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
+    const RetrySettings retry = config::retry_settings(root);
+    values.add("launches most", retry.max_attempts).add("can stop", retry.can_cancel);
     add_prices(values, config::prices(root));
     const admission::AdmissionLimits limits = config::admission_limits(root);
     values.add("waiting", limits.max_waiting).add("waiting an owner", limits.max_waiting_per_client);
@@ -338,8 +341,8 @@
     values.add("dial time out", links.dial_timeout).add("greet time out", links.greeting_timeout);
     values.add("silent after", links.silent_after).add("first pause", links.initial_backoff);
     values.add("longest pause", links.max_backoff).add("drain grace", links.drain_grace);
-    const config::DialLimits dialling = config::dial_limits(root);
-    values.add("dials at once", dialling.concurrent).add("dials a second", dialling.per_second);
+    const config::DialLimits dial_limits = config::dial_limits(root);
+    values.add("dials at once", dial_limits.concurrent).add("dials a second", dial_limits.per_second);
     check_unchanged("placer-values.txt", values.text());
 }
 
@@ -370,8 +373,8 @@
     add_slow_start(values, settings::slow_start_settings(settings));
     const DiscoverySettings list = settings::discovery_settings(settings);
     values.add("on request", list.poll).add("ask every", list.poll_interval);
-    const RetrySettings launches = settings::retry_settings(settings);
-    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
+    const RetrySettings retry = settings::retry_settings(settings);
+    values.add("launches most", retry.max_attempts).add("can stop", retry.can_cancel);
     add_prices(values, settings::prices(settings));
     values.add("zone", settings::zone(settings));
     for (const auto name : settings.list("flavors")) values.add("flavor", name);
@@ -442,7 +445,7 @@
         ++files;
         INFO(entry.path());
         const std::string folder = entry.path().parent_path().filename().string();
-        std::string bytes = bytes_of(read_file(entry.path()));
+        std::string bytes = unhex(read_file(entry.path()));
         bool bad = false;
         std::size_t done = 0;
         if (folder == "platform_endpoint") {
@@ -481,10 +484,10 @@
 TEST_CASE("the programs' sub-commands and options are unchanged") {
     const std::string apps = std::string(WHINPOST_BINARY) + "/apps/";
     std::string out;
-    for (const char* words : {"", "run", "check", "rehearse", "migrate", "platform"})
-        out += names_in_help(apps + "whinpost", "whinpost", words);
-    for (const char* words : {"", "play", "rehearse"})
-        out += names_in_help(apps + "whinpost-emulator", "emulator", words);
+    for (const char* arguments : {"", "run", "check", "rehearse", "migrate", "platform"})
+        out += names_in_help(apps + "whinpost", "whinpost", arguments);
+    for (const char* arguments : {"", "play", "rehearse"})
+        out += names_in_help(apps + "whinpost-emulator", "emulator", arguments);
     check_unchanged("options.txt", out);
 }
 
@@ -493,14 +496,14 @@
     const std::string bare = "env -u GW_CONFIG -u GW_LISTEN -u GW_NAME ";
     std::string set;
     for (const std::string name : {"GW_CONFIG", "GW_LISTEN", "GW_NAME"}) {
-        const Ran ran = run(bare + set + program);
-        CHECK(ran.status == 1);
-        CHECK(ran.said == "whinpost platform: " + name + ": is not set\n");
+        const CommandResult result = run(bare + set + program);
+        CHECK(result.status == 1);
+        CHECK(result.output == "whinpost platform: " + name + ": is not set\n");
         set += name + "=x ";
     }
-    const Ran ran = run(bare + set + program);
-    CHECK(ran.status == 1);
-    CHECK(ran.said == "whinpost platform: x: can't be read\n");
+    const CommandResult result = run(bare + set + program);
+    CHECK(result.status == 1);
+    CHECK(result.output == "whinpost platform: x: can't be read\n");
 }
 
 TEST_CASE("the deploy file has the expected keys and value types, and its paths exist") {
--- a/tests/config_test.cpp
+++ b/tests/config_test.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr const char* kGood = R"([placer]
+constexpr const char* kValid = R"([placer]
 name = "p"
 listen = "127.0.0.1:7400"
 zone = "b"
@@ -32,8 +32,8 @@
 )";
 
 config::ConfigErrors errors_of(const std::string& text) {
-    config::Document d = config::Document::parse(text, "f.toml");
-    return config::check(d);
+    config::Document document = config::Document::parse(text, "f.toml");
+    return config::check(document);
 }
 
 std::string joined(const config::ConfigErrors& errors) {
@@ -42,8 +42,8 @@
     return all;
 }
 
-std::string with(const std::string& from, const std::string& to) {
-    std::string text = kGood;
+std::string with_replacement(const std::string& from, const std::string& to) {
+    std::string text = kValid;
     const std::size_t at = text.find(from);
     REQUIRE(at != std::string::npos);
     return text.replace(at, from.size(), to);
@@ -52,23 +52,23 @@
 }  // namespace
 
 TEST_CASE("a complete file is read into the settings of each part") {
-    CHECK(errors_of(kGood).empty());
-    config::Document d = config::Document::parse(kGood, "f.toml");
-    const config::PlacerSettings me = config::placer_settings(d.root());
-    CHECK(me.zone == 1);
-    const auto kinds = config::worker_kinds(d.root());
+    CHECK(errors_of(kValid).empty());
+    config::Document document = config::Document::parse(kValid, "f.toml");
+    const config::PlacerSettings placer = config::placer_settings(document.root());
+    CHECK(placer.zone == 1);
+    const auto kinds = config::worker_kinds(document.root());
     CHECK(kinds.at(0).memory == 32.5);
-    const auto groups = config::queue_groups(d.root(), 1);
+    const auto groups = config::queue_groups(document.root(), 1);
     CHECK(groups.at(0).queue_group.effect == Effect::keyed);
     CHECK(groups.at(0).queue_group.deduplicated_by == FailureDomain::cell);
     CHECK(groups.at(0).queue_group.deduplication_window == 1500 * kMillisecond);
 }
 
 TEST_CASE("each error names file, line, key and the expected value") {
-    struct Wrong {
-        std::string from, to, says;
+    struct InvalidInput {
+        std::string from, to, message;
     };
-    const auto w = GENERATE(values<Wrong>({
+    const auto invalid = GENERATE(values<InvalidInput>({
         {"name = \"p\"", "nmae = \"p\"", "f.toml:2: placer.nmae: is not a known key"},
         {"name = \"p\"", "nmae = \"p\"", "f.toml:1: placer.name: is missing"},
         {"cores = 16", "cores = \"16\"",
@@ -93,19 +93,19 @@
         {"[[machine_kind]]", "[machine_kind]", "f.toml:10: machine_kind: must be a list of tables"},
         {"[[machine_kind]]", "[[machine_knid]]", "machine_kind: must name one kind of machine or more"},
     }));
-    const std::string all = joined(errors_of(with(w.from, w.to)));
+    const std::string all = joined(errors_of(with_replacement(invalid.from, invalid.to)));
     INFO(all);
-    CHECK(all.find(w.says) != std::string::npos);
+    CHECK(all.find(invalid.message) != std::string::npos);
 }
 
 TEST_CASE("all errors are reported at once, in the order of the file") {
-    std::string text = with("name = \"p\"", "nmae = 1");
+    std::string text = with_replacement("name = \"p\"", "nmae = 1");
     text.replace(text.find("memory = 32.5"), 13, "memory = 0");
-    const config::ConfigErrors found = errors_of(text);
-    REQUIRE(found.size() == 3);
-    CHECK(to_string(found[0]).find(":1: placer.name") != std::string::npos);
-    CHECK(to_string(found[1]).find(":2: placer.nmae") != std::string::npos);
-    CHECK(to_string(found[2]).find(":13: machine_kind[0].memory") != std::string::npos);
+    const config::ConfigErrors errors = errors_of(text);
+    REQUIRE(errors.size() == 3);
+    CHECK(to_string(errors[0]).find(":1: placer.name") != std::string::npos);
+    CHECK(to_string(errors[1]).find(":2: placer.nmae") != std::string::npos);
+    CHECK(to_string(errors[2]).find(":13: machine_kind[0].memory") != std::string::npos);
 }
 
 TEST_CASE("a day's script without zones and with a fault in a zone is rejected with errors for both") {
@@ -119,17 +119,17 @@
 }
 
 TEST_CASE("a directory instead of a file is reported as an error") {
-    config::Document d = config::Document::read(WHINPOST_SOURCE);
-    const config::ConfigErrors found = config::check(d);
-    REQUIRE_FALSE(found.empty());
-    CHECK(to_string(found[0]).find(":0: file: can't be read") != std::string::npos);
+    config::Document document = config::Document::read(WHINPOST_SOURCE);
+    const config::ConfigErrors errors = config::check(document);
+    REQUIRE_FALSE(errors.empty());
+    CHECK(to_string(errors[0]).find(":0: file: can't be read") != std::string::npos);
 }
 
 TEST_CASE("notes_pressure is true by default") {
-    config::Document d = config::Document::parse(kGood, "f.toml");
-    CHECK(config::worker_acceptance(d.root()).reports_pressure);
+    config::Document document = config::Document::parse(kValid, "f.toml");
+    CHECK(config::worker_acceptance(document.root()).reports_pressure);
     config::Document other =
-        config::Document::parse(std::string(kGood) + "[acceptance]\nnotes_pressure = false\n", "f.toml");
+        config::Document::parse(std::string(kValid) + "[acceptance]\nnotes_pressure = false\n", "f.toml");
     CHECK_FALSE(config::worker_acceptance(other.root()).reports_pressure);
     CHECK(config::check(other).empty());
 }
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -15,194 +15,198 @@
 
 namespace {
 
-struct End : net::StreamHandler {
+struct RecordingHandler : net::StreamHandler {
     void on_connected() override {
-        up = true;
-        if (then) then();
+        connected = true;
+        if (on_event) on_event();
     }
     std::size_t on_received(std::string_view in) override {
-        got += in;
-        if (then) then();
+        received += in;
+        if (on_event) on_event();
         return in.size();
     }
-    void on_drained() override { ++drains; }
+    void on_drained() override { ++drain_count; }
     void on_closed(net::CloseReason c) override {
-        over = true;
-        how = c;
+        closed = true;
+        close_reason = c;
         stream.reset();
-        if (then) then();
+        if (on_event) on_event();
     }
     std::unique_ptr<net::Stream> stream;
-    std::string got;
-    bool up = false, over = false;
-    int drains = 0;
-    net::CloseReason how{};
-    std::function<void()> then;
+    std::string received;
+    bool connected = false, closed = false;
+    int drain_count = 0;
+    net::CloseReason close_reason{};
+    std::function<void()> on_event;
 };
 
-// Runs the real or the simulated loop until a condition holds; fails the test after 20 s.
-struct Ground {
-    explicit Ground(bool real) {
-        if (real) event = std::make_unique<net::LibeventLoop>();
+// The loops of a client and a server: one real loop for both, or two simulated processes.
+struct LoopPair {
+    explicit LoopPair(bool real) {
+        if (real) real_loop = std::make_unique<net::LibeventLoop>();
         else {
-            world = std::make_unique<simulation::SimulatedNetwork>(1);
-            a = &world->process("a");
-            b = &world->process("b");
+            network = std::make_unique<simulation::SimulatedNetwork>(1);
+            a = &network->process("a");
+            b = &network->process("b");
         }
     }
-    net::EventLoop& near() { return event ? static_cast<net::EventLoop&>(*event) : *a; }
-    net::EventLoop& far() { return event ? static_cast<net::EventLoop&>(*event) : *b; }
-    std::string any() const { return event ? "127.0.0.1:0" : "b:0"; }
-    void until(const std::function<bool()>& done) {
-        if (!event) {
-            for (int i = 0; i < 20'000 && !done(); ++i) world->run_until(world->now() + kMillisecond);
+    net::EventLoop& client_loop() { return real_loop ? static_cast<net::EventLoop&>(*real_loop) : *a; }
+    net::EventLoop& server_loop() { return real_loop ? static_cast<net::EventLoop&>(*real_loop) : *b; }
+    std::string listen_address() const { return real_loop ? "127.0.0.1:0" : "b:0"; }
+    // Fails the test if the condition does not hold within 20 s of the loop's time.
+    void run_until(const std::function<bool()>& done) {
+        if (!real_loop) {
+            for (int i = 0; i < 20'000 && !done(); ++i) network->run_until(network->now() + kMillisecond);
         } else {
             std::unique_ptr<net::Timer> poll;
-            const Nanos give_up = event->now() + 20 * kSecond;
-            poll = event->make_timer([&] {
-                if (done() || event->now() > give_up) event->stop();
-                else poll->arm(event->now() + kMillisecond);
+            const Nanos timeout_at = real_loop->now() + 20 * kSecond;
+            poll = real_loop->make_timer([&] {
+                if (done() || real_loop->now() > timeout_at) real_loop->stop();
+                else poll->arm(real_loop->now() + kMillisecond);
             });
-            poll->arm(event->now());
-            event->run();
+            poll->arm(real_loop->now());
+            real_loop->run();
         }
         REQUIRE(done());
     }
-    std::unique_ptr<net::LibeventLoop> event;
-    std::unique_ptr<simulation::SimulatedNetwork> world;
+    std::unique_ptr<net::LibeventLoop> real_loop;
+    std::unique_ptr<simulation::SimulatedNetwork> network;
     simulation::SimulatedProcess *a = nullptr, *b = nullptr;
 };
 
 }  // namespace
 
 TEST_CASE("streams transfer bytes in order in both directions and report why they were closed") {
-    Ground g(GENERATE(true, false));
-    End near, far;
-    const auto listening = g.far().listen(g.any(), [&](std::unique_ptr<net::Stream> s) {
-        far.stream = std::move(s);
-        g.far().attach(*far.stream, far);
-    });
+    LoopPair loops(GENERATE(true, false));
+    RecordingHandler client, server;
+    const auto listening =
+        loops.server_loop().listen(loops.listen_address(), [&](std::unique_ptr<net::Stream> s) {
+            server.stream = std::move(s);
+            loops.server_loop().attach(*server.stream, server);
+        });
     REQUIRE(listening);
     const auto& listener = *listening;
-    near.stream = g.near().dial(listener->address(), near);
-    g.until([&] { return near.up && far.stream; });
-    std::string much;
-    for (int i = 0; i < 50'000; ++i) much += std::to_string(i) + ",";
-    near.stream->write(much);
-    far.stream->write("back");
-    g.until([&] { return far.got.size() == much.size() && near.got == "back"; });
-    CHECK(far.got == much);
-    g.until([&] { return near.stream->unsent() == 0; });
-    CHECK(near.stream->handed_over() == much.size());
+    client.stream = loops.client_loop().dial(listener->address(), client);
+    loops.run_until([&] { return client.connected && server.stream; });
+    std::string payload;
+    for (int i = 0; i < 50'000; ++i) payload += std::to_string(i) + ",";
+    client.stream->write(payload);
+    server.stream->write("back");
+    loops.run_until([&] { return server.received.size() == payload.size() && client.received == "back"; });
+    CHECK(server.received == payload);
+    loops.run_until([&] { return client.stream->unsent() == 0; });
+    CHECK(client.stream->handed_over() == payload.size());
 
     SECTION("after a close the peer reads all bytes, then the end of the stream") {
-        near.stream->write("last");
-        g.until([&] { return near.stream->unsent() == 0; });
-        near.stream.reset();
-        g.until([&] { return far.over; });
-        CHECK(far.how == net::CloseReason::by_peer);
-        CHECK(far.got.ends_with("last"));
+        client.stream->write("last");
+        loops.run_until([&] { return client.stream->unsent() == 0; });
+        client.stream.reset();
+        loops.run_until([&] { return server.closed; });
+        CHECK(server.close_reason == net::CloseReason::by_peer);
+        CHECK(server.received.ends_with("last"));
     }
     SECTION("bytes that the kernel does not accept are counted as unsent, and abort() drops them") {
-        far.stream->set_reading(false);
-        for (int i = 0; i < 200; ++i) near.stream->write(std::string(64 << 10, 'x'));
+        server.stream->set_reading(false);
+        for (int i = 0; i < 200; ++i) client.stream->write(std::string(64 << 10, 'x'));
         bool waited = false;
-        const auto timer = g.near().make_timer([&] { waited = true; });
-        timer->arm(g.near().now() + 50 * kMillisecond);
-        g.until([&] { return waited; });
-        CHECK(near.stream->unsent() > 0);
-        CHECK(near.stream->handed_over() + near.stream->unsent() == much.size() + (200u << 16));
-        near.stream->abort();
-        far.stream->set_reading(true);
-        g.until([&] { return far.over; });
-        CHECK(far.got.size() < much.size() + (200u << 16));
+        const auto timer = loops.client_loop().make_timer([&] { waited = true; });
+        timer->arm(loops.client_loop().now() + 50 * kMillisecond);
+        loops.run_until([&] { return waited; });
+        CHECK(client.stream->unsent() > 0);
+        CHECK(client.stream->handed_over() + client.stream->unsent() == payload.size() + (200u << 16));
+        client.stream->abort();
+        server.stream->set_reading(true);
+        loops.run_until([&] { return server.closed; });
+        CHECK(server.received.size() < payload.size() + (200u << 16));
     }
 }
 
 TEST_CASE("a dial to an address without a listener is refused, and listening on an address in use fails") {
-    Ground g(GENERATE(true, false));
-    End near;
+    LoopPair loops(GENERATE(true, false));
+    RecordingHandler client;
     std::string address;
     {
-        const auto gone = g.far().listen(g.any(), [](std::unique_ptr<net::Stream>) {}).value();
-        address = gone->address();
-        const auto second = g.far().listen(address, [](std::unique_ptr<net::Stream>) {});
+        const auto listener =
+            loops.server_loop().listen(loops.listen_address(), [](std::unique_ptr<net::Stream>) {}).value();
+        address = listener->address();
+        const auto second = loops.server_loop().listen(address, [](std::unique_ptr<net::Stream>) {});
         REQUIRE_FALSE(second);
         CHECK(to_string(second.error()) == "Address already in use");
         CHECK(second.error().address == address);
     }
-    near.stream = g.near().dial(address, near);
-    g.until([&] { return near.over; });
-    CHECK(near.how == net::CloseReason::refused);
-    CHECK_FALSE(near.up);
+    client.stream = loops.client_loop().dial(address, client);
+    loops.run_until([&] { return client.closed; });
+    CHECK(client.close_reason == net::CloseReason::refused);
+    CHECK_FALSE(client.connected);
 }
 
 TEST_CASE("a half-close requested before the connection is established takes effect afterwards") {
-    Ground g(true);
-    End near, far;
-    const auto listening = g.far().listen(g.any(), [&](std::unique_ptr<net::Stream> s) {
-        far.stream = std::move(s);
-        g.far().attach(*far.stream, far);
-    });
+    LoopPair loops(true);
+    RecordingHandler client, server;
+    const auto listening =
+        loops.server_loop().listen(loops.listen_address(), [&](std::unique_ptr<net::Stream> s) {
+            server.stream = std::move(s);
+            loops.server_loop().attach(*server.stream, server);
+        });
     REQUIRE(listening);
-    near.stream = g.near().dial((*listening)->address(), near);
+    client.stream = loops.client_loop().dial((*listening)->address(), client);
     const bool with_bytes = GENERATE(true, false);
-    if (with_bytes) near.stream->write("last");
-    near.stream->shutdown_write();
-    g.until([&] { return far.over; });
-    CHECK(far.how == net::CloseReason::by_peer);
-    CHECK(far.got == (with_bytes ? "last" : ""));
+    if (with_bytes) client.stream->write("last");
+    client.stream->shutdown_write();
+    loops.run_until([&] { return server.closed; });
+    CHECK(server.close_reason == net::CloseReason::by_peer);
+    CHECK(server.received == (with_bytes ? "last" : ""));
 }
 
 TEST_CASE("timers fire in the order of their deadlines, and can be moved and disarmed") {
-    Ground g(GENERATE(true, false));
+    LoopPair loops(GENERATE(true, false));
     std::vector<int> order;
-    const auto a = g.near().make_timer([&] { order.push_back(1); }),
-               b = g.near().make_timer([&] { order.push_back(2); }),
-               c = g.near().make_timer([&] { order.push_back(3); });
-    const Nanos now = g.near().now();
+    const auto a = loops.client_loop().make_timer([&] { order.push_back(1); }),
+               b = loops.client_loop().make_timer([&] { order.push_back(2); }),
+               c = loops.client_loop().make_timer([&] { order.push_back(3); });
+    const Nanos now = loops.client_loop().now();
     a->arm(now + 30 * kMillisecond);
     b->arm(now + 10 * kMillisecond);
     c->arm(now + 5 * kMillisecond);
     c->disarm();
     a->arm(now + 20 * kMillisecond);
-    g.until([&] { return order.size() == 2; });
+    loops.run_until([&] { return order.size() == 2; });
     CHECK(order == std::vector<int>{2, 1});
 }
 
 TEST_CASE("without free descriptors dials fail, and waiting connections are accepted once there are some") {
     net::LibeventLoop loop;
-    End first, second, served;
+    RecordingHandler first, second, accepted;
     const auto listener = loop.listen("127.0.0.1:0",
                                       [&](std::unique_ptr<net::Stream> s) {
-                                          served.stream = std::move(s);
-                                          loop.attach(*served.stream, served);
+                                          accepted.stream = std::move(s);
+                                          loop.attach(*accepted.stream, accepted);
                                       })
                               .value();
-    first.stream =
-        loop.dial(listener->address(), first);  // it has a descriptor, but the accepting side will get none
-    rlimit before{}, none{};
-    getrlimit(RLIMIT_NOFILE, &before);
-    const int next = dup(0);
-    close(next);
-    none = before;
-    none.rlim_cur = static_cast<rlim_t>(next);
-    REQUIRE(setrlimit(RLIMIT_NOFILE, &none) == 0);
+    // The dialing side gets a descriptor before the limit is lowered, the accepting side gets none.
+    first.stream = loop.dial(listener->address(), first);
+    rlimit old_limit{}, lowered_limit{};
+    getrlimit(RLIMIT_NOFILE, &old_limit);
+    const int lowest_free = dup(0);
+    close(lowest_free);
+    lowered_limit = old_limit;
+    lowered_limit.rlim_cur = static_cast<rlim_t>(lowest_free);
+    REQUIRE(setrlimit(RLIMIT_NOFILE, &lowered_limit) == 0);
     second.stream = loop.dial(listener->address(), second);
     std::unique_ptr<net::Timer> step;
-    Nanos begun = loop.now();
+    Nanos started_at = loop.now();
     step = loop.make_timer([&] {
-        if (loop.now() - begun > 100 * kMillisecond) setrlimit(RLIMIT_NOFILE, &before);
-        if (served.stream || loop.now() - begun > 10 * kSecond) loop.stop();
+        if (loop.now() - started_at > 100 * kMillisecond) setrlimit(RLIMIT_NOFILE, &old_limit);
+        if (accepted.stream || loop.now() - started_at > 10 * kSecond) loop.stop();
         else step->arm(loop.now() + 5 * kMillisecond);
     });
-    step->arm(begun);
+    step->arm(started_at);
     loop.run();
-    setrlimit(RLIMIT_NOFILE, &before);
-    CHECK(second.over);
-    CHECK(second.how == net::CloseReason::out_of_resources);
-    CHECK(first.up);
-    CHECK(served.stream);
+    setrlimit(RLIMIT_NOFILE, &old_limit);
+    CHECK(second.closed);
+    CHECK(second.close_reason == net::CloseReason::out_of_resources);
+    CHECK(first.connected);
+    CHECK(accepted.stream);
 }
 
 TEST_CASE("a timer that is armed late in a pass of the loop never fires early") {
