--- a/src/net/socket_error.cpp
+++ b/src/net/socket_error.cpp
@@ -12,7 +12,7 @@
         case ENOMEM:
         case EADDRNOTAVAIL:
         case EADDRINUSE:
-        case EAGAIN:  // of connect(): no local port is free
+        case EAGAIN:  // returned by connect(2) if no local port is free
             return true;
         default:
             return false;
