--- a/src/config/table.h
+++ b/src/config/table.h
@@ -13,8 +13,8 @@
 struct DocumentState;
 
 // A getter marks its key as known. If the value is missing, has the wrong type or is out of range, the getter
-// adds an error to the document and returns a default. A getter with a `fallback` returns that for a missing
-// key, which is then not an error. A table is valid for the lifetime of its document.
+// adds an error to the document and returns a default that is in range. A getter with a `fallback` returns
+// that for a missing key, which is then not an error. A table is valid for the lifetime of its document.
 class Table {
 public:
     bool has(std::string_view key) const;
--- a/src/net/libevent_stream.h
+++ b/src/net/libevent_stream.h
@@ -71,7 +71,8 @@
     evutil_socket_t connecting_ = -1;
     event* connect_event_ = nullptr;
     CloseReason connect_failure_ = CloseReason::refused;
-    bool* destroyed_ = nullptr;  // while on_read() calls the handler: its flag, set by the destructor
+    // Points to a local variable of on_read() while that calls the handler; the destructor sets it to true.
+    bool* destroyed_ = nullptr;
 };
 
 }  // namespace whinpost::net
