--- a/apps/platform.cpp
+++ b/apps/platform.cpp
@@ -21,7 +21,7 @@
 namespace whinpost::apps {
 namespace {
 
-// A start that lacks descriptors or memory is tried again for some seconds.
+// A start that fails for lack of descriptors or memory is retried for 5 seconds.
 constexpr int kStartTries = 50;
 constexpr std::chrono::milliseconds kStartRetryInterval{100};
 
@@ -35,8 +35,8 @@
     return {views.begin(), views.end()};
 }
 
-// Everything that the settings say, read and checked before anything is opened. The order of the members is
-// the order in which they are checked.
+// All settings of the deployment, read and checked before any socket is opened. They are checked in the order
+// of the members.
 struct Deployment {
     explicit Deployment(const platform::BootstrapConfig& config)
         : groups(settings::queue_groups(config.settings())), kinds(settings::worker_kinds(config.settings())),
@@ -75,8 +75,9 @@
     Prices prices;
 };
 
-// Reads the file again on SIGHUP. One that is wrong changes nothing. It may be half written at that moment,
-// or its reading fail for a while, and no second signal comes: so it is tried again some times.
+// Reads the configuration file again on SIGHUP. An invalid file changes nothing. The file may be incomplete
+// at the time of the signal, or reading may fail temporarily, and no second signal follows: reading is
+// retried up to kTries times.
 class ConfigReloader {
 public:
     ConfigReloader(net::EventLoop& loop, std::string path, platform::DiscoveryWatch& watch,
@@ -114,8 +115,8 @@
     int tries_left_ = 0;
 };
 
-// The machine lacks what a start needs, for now.
-class StartBlocked : public std::runtime_error {
+// The start failed for a temporary lack of resources.
+class TemporaryStartError : public std::runtime_error {
 public:
     using std::runtime_error::runtime_error;
 };
@@ -124,7 +125,7 @@
     try {
         return std::make_unique<net::LibeventLoop>();
     } catch (const std::runtime_error& error) {
-        throw StartBlocked(error.what());
+        throw TemporaryStartError(error.what());
     }
 }
 
@@ -132,7 +133,7 @@
     const auto listening = server.listen(address);
     if (listening) return;
     const std::string reason = address + ": " + to_string(listening.error());
-    if (listening.error().may_pass) throw StartBlocked("GW_LISTEN: " + reason);
+    if (listening.error().is_temporary) throw TemporaryStartError("GW_LISTEN: " + reason);
     throw platform::BootstrapError("GW_LISTEN", "", reason);
 }
 
@@ -153,7 +154,8 @@
     server.set_planner(planner);
     for (const std::string& event : config->initial_events())
         server.discovery_watch().apply_initial_event(event);
-    // Before it listens: a signal that comes once clients connect would else kill it over what they wrote.
+    // The signal handlers are set before the server listens: otherwise a signal that arrives after clients
+    // have connected would kill the process while they wait for answers.
     ConfigReloader reloader(loop, path, server.discovery_watch(), log);
     loop.on_signal(SIGHUP, [&reloader] { reloader.on_signal(); });
     const auto drain = [&] { server.drain([&loop] { loop.stop(); }); };
@@ -161,7 +163,7 @@
     loop.on_signal(SIGINT, drain);
     listen_for_clients(server, listen);
     server.discovery_watch().follow(config->discovery_address(), config->last_sequence());
-    config.reset();  // the initial events may be large
+    config.reset();  // frees the initial events, which may be large
     log(log::Level::info, "serving", {{"listen", listen}});
     loop.run();
     return 0;
@@ -173,8 +175,8 @@
     for (int tries_left = kStartTries;; std::this_thread::sleep_for(kStartRetryInterval)) {
         try {
             return serve(level);
-        } catch (const StartBlocked& blocked) {
-            std::cerr << "whinpost platform: " << blocked.what() << '\n';
+        } catch (const TemporaryStartError& error) {
+            std::cerr << "whinpost platform: " << error.what() << '\n';
             if (--tries_left == 0) return 1;
         } catch (const std::exception& error) {
             std::cerr << "whinpost platform: " << error.what() << '\n';
--- a/apps/run.cpp
+++ b/apps/run.cpp
@@ -17,8 +17,8 @@
     return 1;
 }
 
-// Never 0, which means "none" for a seed.
-std::uint64_t draw_number(std::random_device& device) {
+// Never returns 0, which means "not set" for a seed.
+std::uint64_t random_nonzero(std::random_device& device) {
     return (static_cast<std::uint64_t>(device()) << 32 | device()) | 1;
 }
 
@@ -37,8 +37,8 @@
     config::Document document = config::Document::read(path);
     std::random_device device;
     EmbeddedPlacerOptions options;
-    options.seed = draw_number(device);
-    options.incarnation = draw_number(device);
+    options.seed = random_nonzero(device);
+    options.incarnation = random_nonzero(device);
     const auto made = EmbeddedPlacer::make(loop, document, options);
     if (!made) return print_errors(made.error());
     EmbeddedPlacer& placer = **made;
@@ -49,7 +49,7 @@
     }
     bool draining = false;
     const auto drain = [&] {
-        if (std::exchange(draining, true)) return loop.stop();  // the second signal: at once
+        if (std::exchange(draining, true)) return loop.stop();  // second signal: stop without draining
         placer.server.drain([&loop] { loop.stop(); });
     };
     loop.on_signal(SIGTERM, drain);
--- a/src/net/libevent_listener.cpp
+++ b/src/net/libevent_listener.cpp
@@ -18,9 +18,10 @@
 
 namespace {
 constexpr int kBacklog = 1024;
-// As many as may wait: an error that lasts must not keep the loop for good.
+// Limit of errors in one accept_pending() call: one for each connection that the backlog may hold. An error
+// that persists must not block the loop forever.
 constexpr int kMaxAcceptFailures = kBacklog;
-// How long nothing is accepted after the process has run out of file descriptors.
+// How long accepting is paused after accept(2) failed.
 constexpr Nanos kAcceptErrorPause = 50 * kMillisecond;
 }  // namespace
 
@@ -45,7 +46,8 @@
         evconnlistener_new_bind(loop_.base(), &on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                 kBacklog, local->get(), static_cast<int>(local->length));
     if (!listener_) {
-        const bool is_in_use = errno == EADDRINUSE || errno == EADDRNOTAVAIL;  // as somebody has set it up
+        const bool is_in_use =
+            errno == EADDRINUSE || errno == EADDRNOTAVAIL;  // wrong listen address, not a shortage
         return ListenError{address, std::strerror(errno), is_resource_shortage(errno) && !is_in_use};
     }
     resume_event_ = event_new(loop_.base(), -1, EV_TIMEOUT, &on_resume, this);
@@ -60,14 +62,14 @@
     return to_string(local);
 }
 
-// An error that is not for want of resources belongs to one connection, or to one call: accept(2) passes on
-// what went wrong with a connection that waited, and the ones behind it are as good as before.
+// An accept(2) error other than a resource shortage concerns a single pending connection or a single call, so
+// the connections behind it in the backlog are still accepted.
 bool LibeventListener::accept_pending() {
     for (int failures = 0; failures < kMaxAcceptFailures;) {
         const evutil_socket_t descriptor =
             accept4(evconnlistener_get_fd(listener_), nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (descriptor >= 0) {
-            hand_over(descriptor);
+            accept_connection(descriptor);
             continue;
         }
         if (errno == EAGAIN || errno == EWOULDBLOCK) return true;
@@ -80,17 +82,17 @@
 void LibeventListener::on_accept(evconnlistener*, evutil_socket_t descriptor, sockaddr*, int, void* self) {
     auto* listener = static_cast<LibeventListener*>(self);
     listener->loop_.on_callback();
-    listener->hand_over(descriptor);
+    listener->accept_connection(descriptor);
 }
 
-void LibeventListener::hand_over(evutil_socket_t descriptor) {
+void LibeventListener::accept_connection(evutil_socket_t descriptor) {
     auto stream = std::make_unique<LibeventStream>(loop_, descriptor);
     stream->detect_dead_peer();
     handler_(std::move(stream));
 }
 
-// As a rule no file descriptor is left. New connections wait in the kernel's queue while a few are closed:
-// trying again at once would spin.
+// Usually the process is out of file descriptors. Accepting is paused, since a retry at once would spin;
+// meanwhile new connections wait in the kernel's backlog until other descriptors are closed.
 void LibeventListener::on_accept_error(evconnlistener* source, void* self) {
     evconnlistener_disable(source);
     const timeval pause = to_timeval(kAcceptErrorPause);
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,6 +1,7 @@
-// What users and other programs rely on stays as it was: bytes of each message of both protocols, keys and
-// forms of each file, sub-commands and options, variables, the deploy file. The expected texts under
-// fixtures/ were written by 23b611a; a change of one of them is a change for users.
+// Checks that the interfaces for users and other programs are unchanged: the bytes of each message of both
+// protocols, the keys and formats of each file, sub-commands and options, environment variables, and the
+// deploy file. Commit 23b611a wrote the expected texts under fixtures/; a change of one of them is a change
+// for users.
 #include <google/protobuf/descriptor.h>
 #include <google/protobuf/message.h>
 #include <sys/wait.h>
@@ -40,7 +41,8 @@
 
 fs::path fixture(const std::string& name) { return fs::path(WHINPOST_SOURCE) / "tests" / "fixtures" / name; }
 
-// The text is also left in the build folder, where it can be compared as a whole.
+// Compares `actual` with the fixture line by line. Also writes it to the build directory, for a diff of the
+// files.
 void check_unchanged(const std::string& name, const std::string& actual) {
     std::ofstream(fs::path(WHINPOST_BINARY) / ("actual-" + name), std::ios::binary) << actual;
     std::istringstream expected(read_file(fixture(name))), found(actual);
@@ -64,14 +66,14 @@
     return out;
 }
 
-std::string bytes_of(const std::string& hex_digits) {
+std::string unhex(const std::string& hex_digits) {
     std::string out;
     for (std::size_t i = 0; i + 1 < hex_digits.size(); i += 2)
         out += static_cast<char>(std::stoi(hex_digits.substr(i, 2), nullptr, 16));
     return out;
 }
 
-// ---- protobuf
+// ---- Protobuf messages.
 
 using google::protobuf::FieldDescriptor;
 using google::protobuf::Message;
@@ -106,7 +108,7 @@
         case FieldDescriptor::CPPTYPE_MESSAGE:
             return fill(*reflection.MutableMessage(&message, &field));
         default:
-            FAIL("a field of a type that no message had");
+            FAIL("field " << field.full_name() << " has a type that fill_field() can't set");
     }
 }
 
@@ -115,9 +117,10 @@
     for (int i = 0; i < descriptor.field_count(); ++i) fill_field(message, *descriptor.field(i));
 }
 
-// One line for each message that an envelope may carry, every field set: its number there, and its bytes.
+// Returns one line for each message that an envelope may hold: its field number and its bytes with every
+// field set.
 template <class Envelope>
-std::string messages_in(const std::string& name) {
+std::string encoded_messages(const std::string& name) {
     std::string out;
     const auto& descriptor = *Envelope::descriptor();
     for (int i = 0; i < descriptor.field_count(); ++i) {
@@ -130,24 +133,25 @@
     return out;
 }
 
-// Every value that each enumeration may take on the wire.
-void numbers_of(const google::protobuf::EnumDescriptor& of, std::string& out) {
-    for (int i = 0; i < of.value_count(); ++i) out += " " + std::to_string(of.value(i)->number());
+// Appends the number of every value of the enumeration.
+void append_enum_numbers(const google::protobuf::EnumDescriptor& enumeration, std::string& out) {
+    for (int i = 0; i < enumeration.value_count(); ++i)
+        out += " " + std::to_string(enumeration.value(i)->number());
 }
 
 std::string enumerations() {
     std::string out = "enumerations";
     for (const auto* file : {v1::FromWorker::descriptor()->file(), v1::FromClient::descriptor()->file(),
                              v1::FromDiscovery::descriptor()->file(), v1::LoadReport::descriptor()->file()}) {
-        for (int i = 0; i < file->enum_type_count(); ++i) numbers_of(*file->enum_type(i), out);
+        for (int i = 0; i < file->enum_type_count(); ++i) append_enum_numbers(*file->enum_type(i), out);
         for (int i = 0; i < file->message_type_count(); ++i)
             for (int k = 0; k < file->message_type(i)->enum_type_count(); ++k)
-                numbers_of(*file->message_type(i)->enum_type(k), out);
+                append_enum_numbers(*file->message_type(i)->enum_type(k), out);
     }
     return out + "\n";
 }
 
-// ---- values read from files, one a line
+// ---- Values read from files, one per line.
 
 class Values {
 public:
@@ -215,51 +219,55 @@
     for (const WorkerKind& k : kinds) values.add("kind cores", k.cores).add("kind memory", k.memory);
 }
 
-// ---- programs
+// ---- Programs.
 
-struct Ran {
+struct CommandResult {
     int status = -1;
-    std::string said;
+    std::string output;
 };
 
-Ran run(const std::string& command) {
-    Ran out;
+CommandResult run(const std::string& command) {
+    CommandResult out;
     FILE* pipe = popen((command + " 2>&1").c_str(), "r");
     REQUIRE(pipe);
     char buffer[4096];
-    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.said.append(buffer, n);
+    for (std::size_t n; (n = std::fread(buffer, 1, sizeof buffer, pipe)) > 0;) out.output.append(buffer, n);
     const int status = pclose(pipe);
     out.status = WIFEXITED(status) ? WEXITSTATUS(status) : -1;
     return out;
 }
 
-// The names in a help text: options, sub-commands and positional arguments stand first on an indented line.
-std::string names_in_help(const std::string& program, const std::string& called, const std::string& words) {
-    const Ran ran = run(program + " " + words + " --help");
-    CHECK(ran.status == 0);
-    std::istringstream lines(ran.said);
+// Extracts the names in a help text: options, sub-commands and positional arguments come first on a line that
+// is indented by two spaces.
+std::string names_in_help(const std::string& program, const std::string& label,
+                          const std::string& arguments) {
+    const CommandResult result = run(program + " " + arguments + " --help");
+    CHECK(result.status == 0);
+    std::istringstream lines(result.output);
     std::string out, line;
     while (std::getline(lines, line)) {
         if (line.size() < 3 || line.compare(0, 2, "  ") != 0 || line[2] == ' ') continue;
         std::string name = line.substr(2, line.find("  ", 2) - 2);
         if (const std::size_t at = name.find(WHINPOST_BINARY); at != std::string::npos)
             name.replace(at, std::string(WHINPOST_BINARY).size(), "BUILD");
-        out += called + " " + words + ": " + name + "\n";
+        out += label + " " + arguments + ": " + name + "\n";
     }
     return out;
 }
 
 }  // namespace
 
-TEST_CASE("each message of the own protocol has the bytes it had") {
-    check_unchanged("messages.txt",
-                    messages_in<v1::ToWorker>("to_node") + messages_in<v1::FromWorker>("from_node") +
-                        messages_in<v1::ToClient>("to_owner") + messages_in<v1::FromClient>("from_owner") +
-                        messages_in<v1::ToDiscovery>("to_list") +
-                        messages_in<v1::FromDiscovery>("from_list") + enumerations());
+TEST_CASE("the bytes of each message of whinpost's protocol are unchanged") {
+    check_unchanged("messages.txt", encoded_messages<v1::ToWorker>("to_node") +
+                                        encoded_messages<v1::FromWorker>("from_node") +
+                                        encoded_messages<v1::ToClient>("to_owner") +
+                                        encoded_messages<v1::FromClient>("from_owner") +
+                                        encoded_messages<v1::ToDiscovery>("to_list") +
+                                        encoded_messages<v1::FromDiscovery>("from_list") + enumerations());
 }
 
-TEST_CASE("each message of the platform's protocol has the bytes it had, and is read as it was written") {
+TEST_CASE(
+    "the bytes of each message of the platform's protocol are unchanged, and decode to the same message") {
     using platform_codec::MessageType;
     std::string out;
     for (const MessageType type :
@@ -299,20 +307,20 @@
     check_unchanged("platform-messages.txt", out);
 }
 
-TEST_CASE("a placer's configuration with every key is read as it was") {
+TEST_CASE("a placer's configuration with every key is read as the same values") {
     config::Document file = config::Document::read(fixture("placer.toml").string());
     CHECK(config::check(file).empty());
     config::Document again = config::Document::read(fixture("placer.toml").string());
     config::Table root = again.root();
     Values values;
-    const config::PlacerSettings named = config::placer_settings(root);
-    values.add("name", named.name).add("listen", named.listen).add("zone", named.zone);
-    values.add("zones", named.zones).add("seed", named.seed);
+    const config::PlacerSettings placer = config::placer_settings(root);
+    values.add("name", placer.name).add("listen", placer.listen).add("zone", placer.zone);
+    values.add("zones", placer.zones).add("seed", placer.seed);
     const config::DiscoveryService list = config::discovery_service(root);
     values.add("list", list.address).add("on request", list.settings.poll);
     values.add("ask every", list.settings.poll_interval);
-    const config::LogSettings saying = config::log_settings(root);
-    values.add("level", static_cast<int>(saying.level)).add("form", static_cast<int>(saying.format));
+    const config::LogSettings log = config::log_settings(root);
+    values.add("level", static_cast<int>(log.level)).add("form", static_cast<int>(log.format));
     const auto kinds = config::worker_kinds(root);
     add_kinds(values, kinds);
     std::vector<QueueGroup> groups;
@@ -323,8 +331,8 @@
     add_groups(values, groups);
     add_acceptance(values, config::worker_acceptance(root));
     add_slow_start(values, config::slow_start_settings(root));
-    const RetrySettings launches = config::retry_settings(root);
-    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
+    const RetrySettings retry = config::retry_settings(root);
+    values.add("launches most", retry.max_attempts).add("can stop", retry.can_cancel);
     add_prices(values, config::prices(root));
     const admission::AdmissionLimits limits = config::admission_limits(root);
     values.add("waiting", limits.max_waiting).add("waiting an owner", limits.max_waiting_per_client);
@@ -333,12 +341,12 @@
     values.add("dial time out", links.dial_timeout).add("greet time out", links.greeting_timeout);
     values.add("silent after", links.silent_after).add("first pause", links.initial_backoff);
     values.add("longest pause", links.max_backoff).add("drain grace", links.drain_grace);
-    const config::DialLimits dialling = config::dial_limits(root);
-    values.add("dials at once", dialling.concurrent).add("dials a second", dialling.per_second);
+    const config::DialLimits dial_limits = config::dial_limits(root);
+    values.add("dials at once", dial_limits.concurrent).add("dials a second", dial_limits.per_second);
     check_unchanged("placer-values.txt", values.text());
 }
 
-TEST_CASE("a shape replaces what it replaced") {
+TEST_CASE("the result of a migration is unchanged") {
     const migrate::NamedText old{"old.toml", read_file(fixture("placer.toml"))};
     const migrate::NamedText shape{"shape.toml", read_file(fixture("shape.toml"))};
     const migrate::MigrationResult c = migrate::migrate_configuration(old, shape, "new.toml");
@@ -350,7 +358,7 @@
     check_unchanged("migrated.txt", out);
 }
 
-TEST_CASE("the platform's file with every key is read as it was") {
+TEST_CASE("the platform's configuration with every key is read as the same values") {
     const platform::BootstrapConfig file =
         platform::BootstrapConfig::parse(read_file(fixture("platform.json")), "platform.json");
     Values values;
@@ -365,8 +373,8 @@
     add_slow_start(values, settings::slow_start_settings(settings));
     const DiscoverySettings list = settings::discovery_settings(settings);
     values.add("on request", list.poll).add("ask every", list.poll_interval);
-    const RetrySettings launches = settings::retry_settings(settings);
-    values.add("launches most", launches.max_attempts).add("can stop", launches.can_cancel);
+    const RetrySettings retry = settings::retry_settings(settings);
+    values.add("launches most", retry.max_attempts).add("can stop", retry.can_cancel);
     add_prices(values, settings::prices(settings));
     values.add("zone", settings::zone(settings));
     for (const auto name : settings.list("flavors")) values.add("flavor", name);
@@ -376,7 +384,7 @@
     check_unchanged("platform-values.txt", values.text());
 }
 
-TEST_CASE("a scenario with every fault and expectation, and a day, are read as they were") {
+TEST_CASE("a scenario with every fault and expectation and a day's script are read as the same values") {
     const std::string name = GENERATE("scenario", "day");
     const auto scenario = emulator::parse_scenario(read_file(fixture(name + ".toml")), name + ".toml");
     INFO((scenario ? "" : to_string(scenario.error()[0])));
@@ -424,20 +432,20 @@
                     values.text() + emulator::placer_configuration(plan, 1, "10.0.0.1:1", "10.0.0.2:2"));
 }
 
-TEST_CASE("a raw file of capacity points is read and written as it was") {
+TEST_CASE("a file of raw capacity points is read and written unchanged") {
     const bench::ScaleRecord record = bench::read_record(fixture("capacity.json").string());
     check_unchanged("capacity-table.txt", bench::table(record));
     check_unchanged("capacity.json", bench::to_json(record));
 }
 
-TEST_CASE("a fuzz corpus as it was written is read whole") {
+TEST_CASE("all files of a fuzz corpus are parsed completely") {
     std::size_t files = 0;
     for (const auto& entry : fs::recursive_directory_iterator(fixture("corpus"))) {
         if (!entry.is_regular_file()) continue;
         ++files;
         INFO(entry.path());
         const std::string folder = entry.path().parent_path().filename().string();
-        std::string bytes = bytes_of(read_file(entry.path()));
+        std::string bytes = unhex(read_file(entry.path()));
         bool bad = false;
         std::size_t done = 0;
         if (folder == "platform_endpoint") {
@@ -447,7 +455,7 @@
                 CHECK_NOTHROW(platform::BootstrapConfig::parse(bytes, "corpus"));
                 continue;
             }
-            if (from == 2) continue;  // an event of discovery: read_event has tests of its own
+            if (from == 2) continue;  // a discovery event: event_stream_test covers these
             const auto decoded =
                 platform_codec::decode_all(bytes, [](const platform_codec::Message&) { return true; });
             done = decoded.consumed;
@@ -473,32 +481,32 @@
     CHECK(files == 15);
 }
 
-TEST_CASE("programs have the sub-commands and options they had") {
+TEST_CASE("the programs' sub-commands and options are unchanged") {
     const std::string apps = std::string(WHINPOST_BINARY) + "/apps/";
     std::string out;
-    for (const char* words : {"", "run", "check", "rehearse", "migrate", "platform"})
-        out += names_in_help(apps + "whinpost", "whinpost", words);
-    for (const char* words : {"", "play", "rehearse"})
-        out += names_in_help(apps + "whinpost-emulator", "emulator", words);
+    for (const char* arguments : {"", "run", "check", "rehearse", "migrate", "platform"})
+        out += names_in_help(apps + "whinpost", "whinpost", arguments);
+    for (const char* arguments : {"", "play", "rehearse"})
+        out += names_in_help(apps + "whinpost-emulator", "emulator", arguments);
     check_unchanged("options.txt", out);
 }
 
-TEST_CASE("the platform's variables are named where they are missing") {
+TEST_CASE("a missing environment variable of the platform is named in the error") {
     const std::string program = std::string(WHINPOST_BINARY) + "/apps/whinpost platform";
     const std::string bare = "env -u GW_CONFIG -u GW_LISTEN -u GW_NAME ";
     std::string set;
     for (const std::string name : {"GW_CONFIG", "GW_LISTEN", "GW_NAME"}) {
-        const Ran ran = run(bare + set + program);
-        CHECK(ran.status == 1);
-        CHECK(ran.said == "whinpost platform: " + name + ": is not set\n");
+        const CommandResult result = run(bare + set + program);
+        CHECK(result.status == 1);
+        CHECK(result.output == "whinpost platform: " + name + ": is not set\n");
         set += name + "=x ";
     }
-    const Ran ran = run(bare + set + program);
-    CHECK(ran.status == 1);
-    CHECK(ran.said == "whinpost platform: x: can't be read\n");
+    const CommandResult result = run(bare + set + program);
+    CHECK(result.status == 1);
+    CHECK(result.output == "whinpost platform: x: can't be read\n");
 }
 
-TEST_CASE("the deploy file has the keys and forms that its readers expect, and names files that are there") {
+TEST_CASE("the deploy file has the expected keys and value types, and its paths exist") {
     const toml::table deploy = toml::parse(read_file(fs::path(WHINPOST_SOURCE) / "deploy" / "balancer.toml"));
     std::string keys;
     for (auto&& [key, value] : deploy) keys += std::string(key.str()) + " ";
