--- a/emulator/discovery_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-// One placer's connection.
+// A placer's connection.
 class DiscoveryService::Session final : public net::StreamHandler {
 public:
     Session(DiscoveryService& service, std::unique_ptr<net::Stream> stream)
@@ -108,7 +108,7 @@
     sweep_timer_->arm(loop_.now());
 }
 
-// ---------------------------------------------------------------- the list
+// ---------------------------------------------------------------- endpoint list
 
 v1::Endpoint DiscoveryService::with_uptime(const KnownEndpoint& known) const {
     v1::Endpoint endpoint = known.endpoint;
@@ -203,7 +203,7 @@
 
 void DiscoveryService::set_down(bool down) {
     if (!down) {
-        static_cast<void>(listen(address_));  // it was listened on before
+        static_cast<void>(listen(address_));  // listening on this address succeeded before
         return;
     }
     listener_.reset();
@@ -217,7 +217,7 @@
 
 void DiscoveryService::replay_old_snapshot() {
     if (old_snapshots_.empty()) return;
-    // Not through send(): the checker must not take what is old for the present.
+    // Not by send(): it records events, and the checker would take the old phases for current ones.
     for (const auto& session : sessions_) session->write(old_snapshots_.front());
 }
 
--- a/emulator/discovery_service.h
+++ b/emulator/discovery_service.h
@@ -1,5 +1,5 @@
-// The discovery service: an endpoint list that is pushed or asked for, late, and wrong in the ways that a
-// scenario says.
+// An emulated discovery service. It sends its endpoint list as watch events or on request, with a
+// configurable delay, and can be made to send stale, empty or contradictory lists.
 #pragma once
 #include <deque>
 #include <map>
@@ -16,8 +16,8 @@
 namespace whinpost::emulator {
 
 struct DiscoveryServiceSettings {
-    bool pushes = true;  // sends watch events unasked
-    Nanos delay = 0;     // from a change to its watch event
+    bool pushes = true;  // starts a watch for each placer that connects; else only on request
+    Nanos delay = 0;     // from a change to the watch event that reports it
     std::uint64_t incarnation = 0;
 };
 
@@ -29,24 +29,24 @@
     [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address);
     std::string address() const { return address_; }
 
-    // ---- the truth, from which the list is made
-    // `started` 0: long ago.
+    // ---- the current endpoints
+    // Adds or replaces an endpoint. `started`: when the worker started; 0 if that was before the run.
     void publish(const v1::Endpoint&, Nanos started);
     void remove(const std::string& worker);
 
     // ---- faults
-    void set_frozen(bool frozen) { frozen_ = frozen; }  // no change is sent
-    // While it is down nobody listens there, and all connections break.
+    void set_frozen(bool frozen) { frozen_ = frozen; }  // changes are queued and not sent
+    // Going down closes the listener and all connections; coming up listens on the same address again.
     void set_down(bool down);
-    // Sends the oldest snapshot that it remembers, with the sequence number of then.
+    // Sends the oldest snapshot that is kept, with its original sequence number.
     void replay_old_snapshot();
-    // Until the end, everything it sends is one view: that of `age` ago, when the `ghosts` were still there
-    // and the `unknown` were not.
+    // Until end_stale_view(), every update is the same snapshot, `age` old: the current endpoints plus
+    // `ghosts` (workers that no longer exist) and without the workers named in `unknown`.
     void begin_stale_view(Nanos age, const std::vector<v1::Endpoint>& ghosts,
                           const std::vector<std::string>& unknown);
     void end_stale_view();
     void send_empty_snapshot();
-    // Sends one update that names the worker twice: the other endpoint first.
+    // Sends one update with two endpoints of the same worker: `other`, then the current one.
     void send_duplicate(const std::string& worker, const v1::Endpoint& other);
 
 private:
@@ -58,7 +58,7 @@
 
     void send_snapshot(Session&);
     void send_changes(Session&, const std::vector<std::string>& workers);
-    bool send_stale_view(Session&);  // false: no stale view is in force
+    bool send_stale_view(Session&);  // false: there is no stale view, nothing was sent
     void send(Session&, const v1::FromDiscovery&);
     void record(const Session&, const v1::Endpoint&);
     void add_change(const std::string& worker);
@@ -70,14 +70,14 @@
     EventLog& events_;
     DiscoveryServiceSettings settings_;
     bool frozen_ = false;
-    Nanos stale_since_ = 0;  // the time of the stale view; 0: none is in force
+    Nanos stale_since_ = 0;  // time that the stale view shows; 0: no stale view
     v1::FromDiscovery stale_view_;
     std::uint64_t sequence_ = 1;
     std::string address_;
     std::unique_ptr<net::Listener> listener_;
     std::vector<std::unique_ptr<Session>> sessions_, ended_sessions_;
     std::map<std::string, KnownEndpoint> endpoints_;
-    std::deque<std::pair<Nanos, std::string>> changes_;  // when to send, of which worker
+    std::deque<std::pair<Nanos, std::string>> changes_;  // send time and worker
     std::deque<v1::FromDiscovery> old_snapshots_;
     std::unique_ptr<net::Timer> change_timer_, sweep_timer_;
 };
--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr std::size_t kMaxMessageSize = 1 << 20;
-// How long clients wait before they retry of themselves; a rejection may ask for more.
+// Delay before a retry; TaskRejected.retry_after may ask for a longer one.
 constexpr Nanos kRetryDelay = 1 * kSecond;
-// Where an attempt may have run and a second would do harm, a client waits so long whether it turns up.
+// How long a client waits for TaskFound after a failure, if a second run of the task would do harm; also the
+// delay before a lost task is submitted again.
 constexpr Nanos kSettleTime = 3 * kSecond;
 constexpr Nanos kReconnectDelay = 200 * kMillisecond;
 constexpr Nanos kNoPlacerDelay = 100 * kMillisecond;
@@ -25,17 +26,17 @@
 
 struct EmulatedClient::Task {
     TaskRequest request;
-    Nanos due = 0;               // when it was first submitted
-    Nanos until = 0;             // when the client gives up the request
-    std::uint64_t id = 0;        // of the open request, 0: none
+    Nanos due = 0;               // time of submit()
+    Nanos until = 0;             // the client's deadline for the request
+    std::uint64_t id = 0;        // of the open request; 0: none
     Session* session = nullptr;  // of the open request
     std::string worker;          // where it is placed
-    bool first = true;           // it has not been placed yet
-    bool may_run = false;        // it failed, and an attempt may still run somewhere
+    bool first = true;           // not placed yet
+    bool may_run = false;        // TaskFailed arrived, and an attempt may still run
     std::unique_ptr<ScheduledCall> scheduled;
 };
 
-// The connection to one placer, which is made again when it is lost.
+// The connection to one placer. It is dialed again when it is lost.
 class EmulatedClient::Session final : public net::StreamHandler {
 public:
     Session(EmulatedClient& client, std::string address) : client_(client), address_(std::move(address)) {}
@@ -79,9 +80,9 @@
     std::unique_ptr<net::Stream> stream;
     std::string placer;  // name#incarnation
     bool greeted = false;
-    bool left = false;                    // never to be made again
-    std::map<std::uint64_t, Task*> open;  // requests, by id
-    std::vector<Task*> orphans;           // placed by this placer, and to be handed over to it
+    bool left = false;                    // do not reconnect
+    std::map<std::uint64_t, Task*> open;  // open requests, by id
+    std::vector<Task*> orphans;           // placed tasks to hand over to the placer after its Hello
 
 private:
     EmulatedClient& client_;
@@ -183,7 +184,7 @@
     task.session = session;
     task.may_run = false;
     session->open[task.id] = &task;
-    // One that was placed and lost has its whole time again.
+    // A task that was placed and then lost gets the full queue timeout again.
     if (!task.first) task.until = now + task.request.queue_timeout;
     v1::FromClient message;
     *message.mutable_submit() = make_submit(task, task.until - now);
@@ -258,7 +259,7 @@
     retry_later(task, std::max<Nanos>(rejected.retry_after(), kRetryDelay));
 }
 
-// An attempt may run. What does no harm twice is submitted again; the rest waits to be found.
+// An attempt may still run. An idempotent task is submitted again; any other waits for TaskFound.
 void EmulatedClient::on_failed(Session& session, Task& task, const std::string& reason) {
     record(EventKind::failed, session, task, reason);
     ++counts_of(task).failed;
@@ -274,7 +275,7 @@
     fleet_.schedule(*task.scheduled, fleet_.now() + kSettleTime);
 }
 
-// It runs where an attempt was given up: the same placer is asked to look after it.
+// The task runs although its attempt was given up: hand it over to the same placer.
 void EmulatedClient::on_found(Session& session, Task& task, const std::string& worker) {
     if (!task.may_run) return;
     task.scheduled.reset();
@@ -291,7 +292,7 @@
     record(EventKind::ended, session, task, v1::TaskEnded::Outcome_Name(outcome));
     close_request(session, task);
     const bool finished = outcome == v1::TaskEnded::COMPLETED || outcome == v1::TaskEnded::CANCELLED;
-    // Lost, migrated or evicted, it is still wanted; but one that must not run twice has run.
+    // A lost, migrated or evicted task is submitted again, unless it is side-effecting and has run.
     const bool must_not_repeat =
         group_of(task).effect == Effect::side_effecting && outcome != v1::TaskEnded::MIGRATED;
     if (finished || must_not_repeat) tasks_.erase(task.request.task);
@@ -300,8 +301,8 @@
 
 // ---------------------------------------------------------------- lost connections
 
-// The placer is gone, or only the connection. What it had placed runs on, and is handed over to it when it is
-// back; what waited is submitted again where that does no harm.
+// The connection is lost, and the placer may have failed. Placed tasks keep running and are handed over after
+// the reconnect; requests that are not placed yet are submitted again if the task is idempotent.
 void EmulatedClient::on_connection_lost(Session& session) {
     session.stream.reset();
     if (std::exchange(session.greeted, false)) {
@@ -322,9 +323,9 @@
         session.orphans.push_back(&task);
         return;
     }
-    if (task.may_run) return;  // its settle time is running
+    if (task.may_run) return;  // abandoned after kSettleTime, unless found
     if (group_of(task).effect == Effect::idempotent) return retry_later(task, kRetryDelay);
-    abandon(task);  // nobody knows whether it ran
+    abandon(task);  // an attempt may have run, and a second would do harm
 }
 
 void EmulatedClient::hand_over(Session& session) {
--- a/emulator/emulated_client.h
+++ b/emulator/emulated_client.h
@@ -1,5 +1,5 @@
-// A client: it submits tasks, follows what it is told of each, retries as the queue group allows, hands over
-// to a restarted placer what that had placed, and records every message.
+// An emulated client. It submits tasks, tracks each one by the placers' answers, retries as the effect of the
+// queue group allows, hands placed tasks over to a placer that it reconnects to, and records every message.
 #pragma once
 #include <cstdint>
 #include <map>
@@ -22,15 +22,15 @@
 
 struct QueueGroupCounts {
     std::uint64_t requested = 0, accepted = 0, rejected = 0, failed = 0;
-    std::uint64_t in_time = 0;    // of the accepted: within the start objective
-    std::uint64_t retried = 0;    // submitted again
-    std::uint64_t abandoned = 0;  // the client has given up
+    std::uint64_t in_time = 0;    // accepted within the start objective
+    std::uint64_t retried = 0;    // requests sent again for the same task
+    std::uint64_t abandoned = 0;  // tasks that the client has given up
 };
 
 class EmulatedClient {
 public:
-    // It uses the placers in turn. `first_placer_share`: of its requests, those that go to the first placer
-    // out of turn. The fleet must outlive the client.
+    // Distributes its requests round-robin over the placers, except for the share `first_placer_share`, which
+    // goes to the first placer. The fleet must outlive the client.
     EmulatedClient(EmulatedFleet&, std::string name, const std::vector<std::string>& placers,
                    double first_placer_share = 0);
     ~EmulatedClient();
@@ -38,18 +38,18 @@
     EmulatedClient& operator=(const EmulatedClient&) = delete;
 
     void connect();
-    bool connected(std::size_t placer) const;         // and greeted
-    void submit(const TaskRequest&);                  // due now: the start objective counts from here
-    std::size_t waiting() const { return waiting_; }  // for their first placement
-    // Adds, by queue group, how many wait for a place: for the first time, or again after they were lost.
+    bool connected(std::size_t placer) const;         // and the placer's Hello has arrived
+    void submit(const TaskRequest&);                  // the start objective counts from this call
+    std::size_t waiting() const { return waiting_; }  // tasks that have not been placed yet
+    // Adds, by queue group, the number of tasks that are not placed yet, or lost and not placed again.
     void add_wanted(std::vector<double>& by_group) const;
     const std::vector<QueueGroupCounts>& counts() const { return counts_; }
 
     // ---- faults
-    void cancel_some(std::size_t count);         // of those that wait
-    void leave(std::size_t placer);              // closes its connection with all that waits there, for good
-    bool has_left() const { return has_left_; }  // any of them
-    void send_half_message(std::size_t placer);  // and nothing more, ever
+    void cancel_some(std::size_t count);         // up to `count` requests that are not placed yet
+    void leave(std::size_t placer);              // drops its connection and requests there; never reconnects
+    bool has_left() const { return has_left_; }  // at least one placer
+    void send_half_message(std::size_t placer);  // and never the rest of it
     void set_reading(std::size_t placer, bool on);
 
 private:
@@ -79,7 +79,7 @@
 
     EmulatedFleet& fleet_;
     std::string name_;
-    std::vector<std::unique_ptr<Session>> sessions_;  // by placer
+    std::vector<std::unique_ptr<Session>> sessions_;  // indexed by placer
     std::map<std::string, std::unique_ptr<Task>> tasks_;
     std::vector<QueueGroupCounts> counts_;
     std::uint64_t next_request_ = 1;
--- a/emulator/emulated_fleet.h
+++ b/emulator/emulated_fleet.h
@@ -1,5 +1,5 @@
-// What the emulated workers and clients of one run share: time, random numbers, the event log, and the
-// idempotency keys by which workers know a repeated task.
+// State shared by the emulated workers and clients of one run: the clock, random numbers, the event log, and
+// the idempotency keys of accepted tasks, by which workers reject a repeated task.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -21,12 +21,12 @@
     QueueGroup queue_group;
 };
 
-// A call at a later time, cancelled when destroyed. The call may destroy it.
+// A callback that runs at a scheduled time. Destroying the object cancels it; the callback may destroy it.
 class ScheduledCall final : public timer_wheel::Timer {
 public:
     explicit ScheduledCall(std::function<void()> call) : callback(std::move(call)) {}
     void on_deadline(Nanos) override {
-        const auto copy = callback;  // outlives this
+        const auto copy = callback;  // stays valid if the callback destroys this object
         copy();
     }
     std::function<void()> callback;
@@ -46,9 +46,9 @@
     const NamedQueueGroup& named_group(int number) const { return groups_[static_cast<std::size_t>(number)]; }
     const QueueGroup& group(int number) const { return named_group(number).queue_group; }
 
-    // How much of the resources that they asked for the tasks of a group use, times their usual.
+    // Multiplier on the resources that the running tasks of a queue group use; 1 unless a fault changes it.
     double use_factor(int group) const { return use_factors_[static_cast<std::size_t>(group)]; }
-    // `group` -1: all.
+    // `group` -1: all queue groups.
     void set_use_factor(int group, double factor);
 
     double draw_exponential();  // with mean 1
@@ -56,8 +56,8 @@
         return probability > 0 && static_cast<double>(random_() % 4096) < probability * 4096;
     }
 
-    // Whether a task of an Effect::keyed group was marked within the deduplication window, in the failure
-    // domain of this zone and cell in which repeats are known.
+    // True if a worker in the group's deduplication domain (this zone, this cell or the whole fleet) accepted
+    // the task within the deduplication window. Always false unless the group has Effect::keyed.
     bool is_repeat(Nanos now, int group, const std::string& task, int zone, int cell) const;
     void mark_accepted(Nanos now, int group, const std::string& task, int zone, int cell);
 
--- a/emulator/emulated_worker.cpp
+++ b/emulator/emulated_worker.cpp
@@ -1,4 +1,5 @@
-// Connections and messages; see emulated_worker_admission.cpp and emulated_worker_tasks.cpp for the rest.
+// Connections and messages; admission and tasks are in emulated_worker_admission.cpp and
+// emulated_worker_tasks.cpp.
 #include "emulator/emulated_worker.h"
 
 #include <algorithm>
@@ -14,7 +15,7 @@
 constexpr Nanos kTokenInterval = 100 * kMillisecond;
 constexpr std::uint32_t kMaxTokens = 1000;
 
-// Each worker's clock counts from a time of its own.
+// Each worker's clock has its own origin, 1 to 1000 seconds before the worker was created.
 Nanos clock_origin(const std::string& name, Nanos now) {
     return now - static_cast<Nanos>(stable_hash(name) % 1000 + 1) * kSecond;
 }
@@ -112,7 +113,7 @@
 
 void EmulatedWorker::on_hello(WorkerSession& session, const v1::Hello& hello) {
     session.set_placer(hello);
-    // What the same placer wrote on an earlier connection is not read any more.
+    // Only the newest connection of a placer is read: close the older ones.
     std::vector<WorkerSession*> older;
     for (const auto& other : sessions_)
         if (other.get() != &session && other->placer().name == hello.name()) older.push_back(other.get());
@@ -180,7 +181,7 @@
 }
 
 void EmulatedWorker::on_health_check(WorkerSession& session, std::uint64_t id) {
-    if (id == 0) {  // a sign of life needs no place in the queue
+    if (id == 0) {  // a liveness check: answered at once, without queuing
         v1::FromWorker reply;
         reply.mutable_health_check_reply()->set_id(0);
         session.send(reply);
@@ -224,7 +225,7 @@
         session.send(reply);
         return;
     }
-    // It may have ended while no placer looked after it.
+    // The task may have ended while no placer was connected.
     reply.mutable_ended()->set_outcome(v1::AttemptEnded::REJECTED);
     reply.mutable_ended()->set_reason(v1::NOT_AVAILABLE);
     for (const RememberedEnd& end : remembered_ends_)
@@ -247,7 +248,7 @@
 }
 
 void EmulatedWorker::send_now(const PlacerId& placer, const v1::FromWorker& message) {
-    // What is held back goes to whoever is connected by then.
+    // Blocked messages go to the connections that exist when the fault ends.
     if (faults_.holds_output()) {
         held_sends_.push_back([this, placer, message] { send(placer, message); });
         return;
--- a/emulator/emulated_worker.h
+++ b/emulator/emulated_worker.h
@@ -1,7 +1,7 @@
-// A worker as the placer meets it: a queue of attempts admitted one at a time, starts at a limited pace, slow
-// start, cached program images, overcommitted resources, repeats dropped by cell, zone or all, preemption,
-// usage and load reports; and everything that can be wrong with one. It uses the same interface of time and
-// streams as the placer.
+// An emulated worker that implements the worker side of the protocol: an admission queue, a limit on
+// concurrent starts, slow start, cached program images, overcommitted resources, rejection of repeated tasks,
+// preemption, drains, load and usage reports, and injected faults. It uses the same event loop and stream
+// interfaces as the placer, so it runs on sockets and in virtual time.
 #pragma once
 #include <deque>
 #include <functional>
@@ -32,8 +32,8 @@
 
 class EmulatedWorker final : private slow_start::TokenIssuerHandler {
 public:
-    // It listens on `loop`; its own time runs on the fleet's, so that a test may cut one worker off the
-    // others. Both must outlive it. `started_at` 0: long ago, and warm.
+    // Listens on `loop`, so that a test can disconnect this worker alone; its timers run on the fleet's loop.
+    // Fleet and loop must outlive the worker. `started_at` 0: it started before the run and has warmed up.
     EmulatedWorker(EmulatedFleet&, net::EventLoop& loop, WorkerIdentity, const EmulatedWorkerSettings&,
                    Nanos started_at);
     ~EmulatedWorker() override;
@@ -44,37 +44,37 @@
     std::string address() const { return listener_ ? listener_->address() : ""; }
 
     const std::string& name() const { return identity_.name; }
-    Nanos clock() const { return fleet_.now() - clock_origin_; }  // its own, which no other has
+    Nanos clock() const { return fleet_.now() - clock_origin_; }  // the origin differs between workers
     double free_cores() const { return settings_.cores - requested_cores_; }
     double free_memory() const { return settings_.memory - requested_memory_; }
     bool draining() const { return draining_; }
     std::size_t task_count() const { return tasks_.size(); }
-    // Adds, by queue group, how many tasks run here and how much of full service they get.
+    // Adds, by queue group, the number of running tasks and the sum of their service shares (1 is full).
     void add_service(std::vector<double>& running, std::vector<double>& served) const;
 
-    // Accepts nothing more; `announce` says so on its connections.
+    // Rejects all attempts from now on. `announce`: also sends Draining on all connections.
     void drain(bool announce);
-    // Ends all its tasks, as a draining worker that clears itself.
+    // Ends all tasks with reason DRAINED.
     void evict_all();
     void set_faults(const ActiveFaults&);
     const ActiveFaults& faults() const { return faults_; }
-    // Only recorded: the scenario has injected a fault into it or into its network.
+    // Records that a fault of this worker or of its network began or ended; has no other effect.
     void record_fault(bool began);
-    // Broken off, as by a reset on the way; new ones are accepted.
+    // Aborts all connections, as a network reset does. New connections are accepted.
     void drop_connections();
 
-    // ---- for its sessions
+    // ---- called by WorkerSession
     void on_message(WorkerSession&, const v1::ToWorker&);
     void end_session(WorkerSession&);
 
 private:
-    struct QueuedRequest;  // an attempt or health check that waits for admission
-    struct HostedTask;     // one that was accepted, and has not ended
+    struct QueuedRequest;  // an attempt or health check in the admission queue
+    struct HostedTask;     // an accepted task that has not ended
     struct RememberedEnd {
         PlacerId placer;
         Nanos at;
         v1::FromWorker message;
-        std::string task;  // empty: it never started
+        std::string task;  // empty: the attempt was rejected or failed to start
     };
 
     void accept(std::unique_ptr<net::Stream>);
@@ -85,7 +85,7 @@
     void on_cancel_attempt(const PlacerId&, std::uint64_t attempt);
     void on_adopt_attempt(WorkerSession&, const v1::AdoptAttempt&);
     v1::FromWorker state_for(const PlacerId&);
-    // To the connection of the placer's incarnation, if there is one.
+    // Sends on the connection of this incarnation of the placer; without one the message is dropped.
     void send(const PlacerId&, const v1::FromWorker&, Nanos delay = 0);
     void send_now(const PlacerId&, const v1::FromWorker&);
     void remember_end(const PlacerId&, const v1::FromWorker&, const std::string& task);
@@ -106,7 +106,7 @@
     bool fits(const v1::StartAttempt&, double freed_cores, double freed_memory) const;
     bool make_room(const v1::StartAttempt&);
     bool over_rate(int group);
-    bool expired(const v1::StartAttempt&) const;  // its placer has given it up by now
+    bool expired(const v1::StartAttempt&) const;  // its not_after has passed
 
     bool has_image(const std::string& service, Nanos now) const;
     void begin_starts();
@@ -141,14 +141,14 @@
     std::list<std::unique_ptr<HostedTask>> tasks_;
     std::deque<HostedTask*> start_queue_;
     std::deque<RememberedEnd> remembered_ends_;
-    std::map<std::string, Nanos> image_last_used_;  // by service: when its last task ended
+    std::map<std::string, Nanos> image_last_used_;  // by service: end of the last task
     std::unique_ptr<ScheduledCall> admission_call_, usage_call_, eviction_call_, sweep_call_, token_call_;
     std::list<std::unique_ptr<ScheduledCall>> delayed_sends_;
     v1::LoadReport report_;
     Nanos reported_at_ = -kSecond;
     ActiveFaults faults_;
-    std::vector<std::function<void()>> held_sends_;  // while its output is held back
-    std::deque<Nanos> accepted_of_limited_group_;    // within a second
+    std::vector<std::function<void()>> held_sends_;  // while its output is blocked
+    std::deque<Nanos> accepted_of_limited_group_;    // within the last second
     int starting_ = 0;
     double requested_cores_ = 0, requested_memory_ = 0, used_cores_ = 0, used_memory_ = 0;
     bool draining_ = false, overloaded_ = false, admitting_ = false;
--- a/emulator/emulated_worker_admission.cpp
+++ b/emulator/emulated_worker_admission.cpp
@@ -1,4 +1,4 @@
-// The queue of attempts and health checks, and what is decided about each.
+// The admission queue: attempts and health checks are handled one at a time, each after the admission time.
 #include <algorithm>
 #include <utility>
 
@@ -10,10 +10,10 @@
 
 namespace {
 
-// While a worker stands still it looks so often whether it may go on.
+// How often a silent or paused worker checks whether the fault has ended.
 constexpr Nanos kPausePoll = 50 * kMillisecond;
 
-// Tasks use less than they ask for: drawn by the task's key, so that it is the same each time.
+// The share of the requested resources that a task uses: pseudo-random, but the same for the same task key.
 double usual_use(const std::string& task) {
     return 0.35 + 0.5 * static_cast<double>(stable_hash(task) % 997) / 997;
 }
@@ -112,8 +112,7 @@
     requested_cores_ += attempt.cores();
     requested_memory_ += attempt.memory();
     task->answers_lost = fleet_.draw(faults_.lost_answer_share);
-    record(EventKind::attempt_accepted, request.placer, attempt,
-           task->answers_lost ? "and the yes was lost" : "");
+    record(EventKind::attempt_accepted, request.placer, attempt, task->answers_lost ? "answer lost" : "");
     if (!settings_.accepts_when_running && !task->answers_lost) {
         v1::FromWorker message;
         message.mutable_accepted()->set_attempt(attempt.attempt());
@@ -130,7 +129,7 @@
                settings_.memory * settings_.memory_overcommit;
 }
 
-// Evicts tasks of a lower priority only if that makes room enough.
+// Evicts tasks of lower priority, but only if that frees enough resources for the attempt.
 bool EmulatedWorker::make_room(const v1::StartAttempt& attempt) {
     if (fits(attempt, 0, 0)) return true;
     if (!settings_.preempts) return false;
--- a/emulator/emulated_worker_tasks.cpp
+++ b/emulator/emulated_worker_tasks.cpp
@@ -1,4 +1,4 @@
-// Tasks from their acceptance to their end, and what is reported about them.
+// Accepted tasks: starts, ends, resource use and reports.
 #include <algorithm>
 #include <map>
 #include <utility>
@@ -14,7 +14,7 @@
 constexpr Nanos kDefaultRuntime = 10 * kSecond;
 constexpr double kLeastServiceShare = 0.05;
 constexpr double kLeastDegradationRange = 0.01;
-// From here on a worker reports pressure.
+// Pressure is reported below this service share and above this memory utilization.
 constexpr double kReportedServiceShare = 0.95;
 constexpr double kReportedMemoryUtilization = 0.85;
 
@@ -92,7 +92,7 @@
     *message.mutable_ended()->mutable_report() = load_report();
     remember_end(task.placer, message, task.attempt.task());
     if (!task.answers_lost) send(task.placer, message);
-    // Also destroys the scheduled call that may be running now: ScheduledCall keeps its own copy.
+    // This may destroy the ScheduledCall that is running; it runs on a copy of its callback.
     tasks_.erase(std::find_if(tasks_.begin(), tasks_.end(),
                               [&task](const auto& other) { return other.get() == &task; }));
     update_use();
@@ -122,7 +122,7 @@
     }
 }
 
-// Crowded cores give each task less than it would use, by its queue group's own curve.
+// Above the queue group's full-service utilization, the share falls linearly over its degradation range.
 double EmulatedWorker::service_share(int group_number) const {
     const QueueGroup& group = fleet_.group(group_number);
     const double utilization = used_cores_ * faults_.slowdown / settings_.cores;
@@ -188,9 +188,9 @@
     send(task.placer, message);
 }
 
-// Each placer is told by the first of its tasks here.
+// Sends one report per placer, with the attempt number of the placer's first running task.
 void EmulatedWorker::send_pressure(double memory_utilization) {
-    std::map<std::string, const HostedTask*> first_tasks;  // by placer
+    std::map<std::string, const HostedTask*> first_tasks;  // by placer label
     for (const auto& task : tasks_)
         if (task->running && !task->answers_lost) first_tasks.emplace(task->placer.label, task.get());
     for (const auto& [placer, task] : first_tasks) {
--- a/emulator/event_log.h
+++ b/emulator/event_log.h
@@ -1,6 +1,6 @@
-// What the emulated workers, clients and discovery service saw on their sockets, in the order of time: all
-// that the invariant checker goes by. Nothing in it is what a placer says of itself, but for its name and
-// incarnation in a greeting.
+// The messages and connection events that the emulated workers, clients and discovery service observed, in
+// time order. It is the invariant checker's only input and contains nothing that a placer reports about
+// itself, except the name and incarnation in its Hello.
 #pragma once
 #include <cstdint>
 #include <string>
@@ -15,17 +15,17 @@
     // at a worker
     attempt_received,
     cancel_received,
-    attempt_accepted,  // the worker sent this, as the following two
+    attempt_accepted,  // this and the next two: answers that the worker sent
     attempt_rejected,
-    attempt_ended,      // after it was accepted and before it ran, or with an error
-    task_started,       // it began to run
-    task_stopped,       // it runs no more, for whatever reason
+    attempt_ended,      // accepted but ended before it ran, or failed to start
+    task_started,       // the task began to run
+    task_stopped,       // the task stopped running, for any reason
     drain_announced,    // to this placer
-    worker_overloaded,  // while it was warming up: it fails for good
-    fault_began,  // from here on, what the worker reads and sends may be late or lost, until fault_ended
+    worker_overloaded,  // by attempts during its warm-up; it never recovers
+    fault_began,        // until fault_ended, messages to and from the worker may be late or lost
     fault_ended,
     worker_connection_lost,  // a placer's connection to a worker ended
-    // at the discovery service: it sent a placer this state
+    // at the discovery service: the phase of an endpoint that it sent to a placer
     listed_serving,
     listed_draining,
     listed_gone,
@@ -44,24 +44,24 @@
     placer_stalled,  // until placer_resumed
     placer_resumed,
 };
-// As people read it in reports.
+// The name used in reports.
 const char* to_string(EventKind);
 
-// The text of a fault_began where the worker's process is gone, with all that ran there.
+// Text of a fault_began event if the worker was killed, with all tasks that ran on it.
 inline constexpr const char* kWorkerDead = "dead";
-// The text of an attempt_ended where the worker could not start it.
+// Text of an attempt_ended event if the worker failed to start the task.
 inline constexpr const char* kStartError = "error";
 
 struct RecordedEvent {
     Nanos at = 0;
     EventKind kind{};
-    std::string placer;  // with its incarnation where a worker or client knows it: name#incarnation
+    std::string placer;  // name#incarnation; the name only in events of the scenario
     std::string worker;
-    std::string task;  // its key
+    std::string task;  // idempotency key
     std::string service;
     int group = -1;
-    std::uint64_t request = 0, attempt = 0;  // the placer's numbers; 0: none
-    Nanos until = 0;                         // submitted: when the client gives up
+    std::uint64_t request = 0, attempt = 0;  // numbers of the request and the attempt; 0: none
+    Nanos until = 0;                         // of submitted: the client's deadline
     std::string text;
 };
 
@@ -74,7 +74,7 @@
     std::vector<RecordedEvent> events_;
 };
 
-// One line; times are counted from `start`.
+// Formats an event as one line, with its time relative to `start`.
 std::string to_string(const RecordedEvent&, Nanos start);
 
 }  // namespace whinpost::emulator
--- a/emulator/fault_injector.cpp
+++ b/emulator/fault_injector.cpp
@@ -12,19 +12,20 @@
 namespace {
 
 constexpr Nanos kRejoinDelay = 300 * kMillisecond;
-// How much later than other changes discovery learns that a worker was killed.
+// Added to the discovery delay until a killed worker is removed from the list.
 constexpr Nanos kKillDetectionDelay = kSecond;
 constexpr double kDuplicateFreeCores = 1e6;
 
 }  // namespace
 
-// Either a change of the workers' active faults, or actions of the injector.
+// A fault kind either changes ActiveFaults of the workers (`set`, `clear`) or calls the injector (`inject`,
+// `heal`).
 struct FaultInjector::Actions {
     FaultKind kind;
     void (*set)(ActiveFaults&, const Fault&) = nullptr;
     void (*clear)(ActiveFaults&) = nullptr;
     void (FaultInjector::*inject)(const Fault&) = nullptr;
-    void (FaultInjector::*heal)(const Fault&) = nullptr;  // null: nothing to do
+    void (FaultInjector::*heal)(const Fault&) = nullptr;  // null: nothing to undo
 };
 
 struct FaultInjector::ActionTable {
@@ -147,7 +148,7 @@
     });
 }
 
-// The drained worker dies, and a successor that has to warm up takes its place.
+// Kills the drained worker and starts a new one, which has to warm up, in its slot.
 void FaultInjector::replace_drained(const Fault& fault) {
     for_each_worker(fault, [&](std::size_t slot) {
         targets_.workers.worker(slot)->evict_all();
@@ -213,7 +214,7 @@
 void FaultInjector::freeze_discovery(const Fault&) { targets_.discovery.set_frozen(true); }
 void FaultInjector::unfreeze_discovery(const Fault&) { targets_.discovery.set_frozen(false); }
 void FaultInjector::rewind_discovery(const Fault&) { targets_.discovery.replay_old_snapshot(); }
-// It is right again with the next changes, which name all workers.
+// The list is complete again after the next periodic publication, which names all workers.
 void FaultInjector::empty_discovery(const Fault&) { targets_.discovery.send_empty_snapshot(); }
 void FaultInjector::stop_discovery(const Fault&) { targets_.discovery.set_down(true); }
 void FaultInjector::restart_discovery(const Fault&) { targets_.discovery.set_down(false); }
--- a/emulator/fault_injector.h
+++ b/emulator/fault_injector.h
@@ -1,4 +1,4 @@
-// Injects a scenario's faults and heals them.
+// Injects the faults of a scenario and ends them.
 #pragma once
 #include <functional>
 #include <memory>
@@ -14,7 +14,7 @@
 
 class FaultInjector {
 public:
-    // What faults are injected into. All must outlive the injector.
+    // The components that faults act on. All must outlive the injector.
     struct Targets {
         const Scenario& scenario;
         TestEnvironment& environment;
@@ -27,9 +27,9 @@
     explicit FaultInjector(Targets targets) : targets_(std::move(targets)) {}
 
     void inject(const Fault&);
-    // At the end of the fault's duration.
+    // Ends a fault; called when its duration is over.
     void heal(const Fault&);
-    // By how much a burst multiplies the load now.
+    // Multiplier on the load: the size of the current burst, else 1.
     double load_factor() const { return load_factor_; }
 
 private:
--- a/emulator/hosted_task.h
+++ b/emulator/hosted_task.h
@@ -1,4 +1,4 @@
-// Private to EmulatedWorker: what it keeps of each request and of each task.
+// Private to EmulatedWorker: its records of queued requests and of accepted tasks.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -18,8 +18,8 @@
     PlacerId placer;
     v1::StartAttempt attempt;
     bool running = false, starting = false;
-    bool answers_lost = false;  // its placer hears of it only in a greeting
-    double use = 1;             // of what was asked
+    bool answers_lost = false;  // no message about it is sent until its placer connects again
+    double use = 1;             // share of the requested resources that it uses
     std::unique_ptr<ScheduledCall> start_call, end_call;
 };
 
--- a/emulator/invariant_checker.cpp
+++ b/emulator/invariant_checker.cpp
@@ -11,29 +11,30 @@
 
 namespace {
 
-// An attempt as its worker saw it.
+// An attempt as its worker observed it.
 struct ObservedAttempt {
     Nanos at;
     std::string worker, task;
     std::uint64_t request;
-    Nanos rejected = 0, ended = 0, cancelled = 0, connection_lost = 0;  // when; 0: not
+    Nanos rejected = 0, ended = 0, cancelled = 0, connection_lost = 0;  // times; 0: did not happen
 
-    // It has an end that its placer could know of.
+    // The attempt has ended in a way that its placer could know of.
     bool known_over() const { return ended || cancelled || connection_lost; }
 };
 
-// A request as its client saw it.
+// A request as its client observed it.
 struct ObservedRequest {
     Nanos at, until;
     std::string task;
     std::uint64_t id;
-    std::optional<EventKind> answer;  // the first final one
+    std::optional<EventKind> answer;  // first final answer
     Nanos answered = 0;
     int answers = 0;
-    Nanos released = 0;  // cancelled, or client and placer lost each other
+    Nanos released = 0;  // when cancelled, or when the connection to the placer was lost; 0: neither
 };
 
-// A pair of attempts of one request that were open together, unless the end of the earlier one is still seen.
+// Two attempts of one request that seem to be open at the same time. Dropped if a cancellation of the earlier
+// one, or the loss of its connection, is observed by `until`.
 struct OverlapCandidate {
     RecordedEvent later;
     std::string earlier_worker;
@@ -42,7 +43,7 @@
 };
 
 struct Interval {
-    Nanos begin, end;  // end 0: it still lasts
+    Nanos begin, end;  // end 0: not over yet
 };
 
 using NameAndNumber = std::pair<std::string, std::uint64_t>;
@@ -58,7 +59,7 @@
     Verdict run() {
         for (const RecordedEvent& event : events_.events()) observe(event);
         for (const OverlapCandidate& overlap : overlaps_)
-            report(Rule::twice, "two launches out together", overlap.later);
+            report(Rule::twice, "two attempts of one request open at the same time", overlap.later);
         for (const auto& [key, requests] : requests_)
             for (const ObservedRequest& request : requests) check_answered_in_time(key.first, request);
         return std::move(verdict_);
@@ -69,7 +70,7 @@
         verdict_.violations.push_back({rule, std::move(what), event});
     }
 
-    // ---- the record
+    // ---- dispatch of events
 
     void observe(const RecordedEvent& event) {
         observe_worker(event);
@@ -101,7 +102,8 @@
             case EventKind::drain_announced:
                 return on_drain_known(event);
             case EventKind::worker_overloaded:
-                return report(Rule::overload, "a cold node was sent more than it bears", event);
+                return report(Rule::overload,
+                              "a worker got more attempts during its warm-up than it can take", event);
             case EventKind::worker_connection_lost:
                 return on_worker_connection_lost(event);
             default:
@@ -186,7 +188,7 @@
         });
     }
 
-    // All that ran there is gone with it.
+    // Its tasks died with it.
     void on_worker_dead(const RecordedEvent& event) {
         for (auto& [task, workers] : running_) workers.erase(event.worker);
         for (auto& [placer, attempts] : attempts_)
@@ -198,8 +200,8 @@
             attempt.connection_lost = event.at;
     }
 
-    // The cancellation of an earlier attempt and the attempt that follows it go to two workers: which arrives
-    // first says nothing of which was sent first.
+    // CancelAttempt for the earlier attempt and StartAttempt for the later one go to different workers, so
+    // their order of arrival does not show the order of sending.
     void remove_overlaps_of(const RecordedEvent& cancel) {
         std::erase_if(overlaps_, [&cancel](const OverlapCandidate& overlap) {
             return overlap.later.placer == cancel.placer && overlap.earlier_attempt == cancel.attempt &&
@@ -207,7 +209,7 @@
         });
     }
 
-    // ---- what is known
+    // ---- queries
 
     const QueueGroup& group(int number) const {
         return settings_.groups.at(static_cast<std::size_t>(number)).queue_group;
@@ -242,7 +244,7 @@
         return first->second.cell == second->second.cell;
     }
 
-    // The placer has answered the attempt's request otherwise, or need not answer it any more.
+    // The attempt's request got a final answer other than placed, or was released and needs none.
     bool given_up(const std::string& placer, const ObservedAttempt& attempt) const {
         const auto requests = requests_.find({placer, attempt.task});
         if (requests == requests_.end()) return false;
@@ -253,10 +255,10 @@
         return false;
     }
 
-    // ---- an attempt arrives at a worker
+    // ---- attempts received by workers
 
     void on_attempt(const RecordedEvent& event) {
-        // Whether its time of arrival says when it was sent.
+        // The time of arrival is close to the time of sending only without a fault or stall.
         const bool timed =
             !faulty(event.worker, event.at, event.at) && !stalled(event.placer, event.at, event.at);
         if (timed) check_drain(event);
@@ -264,7 +266,7 @@
             attempts_[event.placer]
                 .emplace(event.attempt, ObservedAttempt{event.at, event.worker, event.task, event.request})
                 .second;
-        if (!added) report(Rule::twice, "one launch reached nodes twice", event);
+        if (!added) report(Rule::twice, "one attempt arrived at workers twice", event);
         check_repeat(event, timed);
         if (timed) check_after_answer(event);
         if (group(event.group).spread_domain != FailureDomain::none) check_spread(event, timed);
@@ -273,20 +275,20 @@
     void check_drain(const RecordedEvent& event) {
         const auto it = drain_known_at_.find({event.placer, event.worker});
         if (it != drain_known_at_.end() && event.at > it->second + settings_.drain_grace + settings_.slack)
-            report(Rule::drain, "sent to a node that the placer knew to drain", event);
+            report(Rule::drain, "attempt sent to a worker that the placer knew to be draining", event);
     }
 
-    // Against the earlier attempts of the same request.
+    // Compares the attempt with earlier attempts of the same request.
     void check_repeat(const RecordedEvent& event, bool timed) {
         const QueueGroup& settings = group(event.group);
         std::vector<std::uint64_t>& numbers = by_request_[{event.placer, event.request}];
         const ObservedAttempt* first_that_may_have_run = nullptr;
         for (const std::uint64_t number : numbers) {
             const ObservedAttempt& attempt = attempts_[event.placer].at(number);
-            if (attempt.rejected) continue;  // it never ran
+            if (attempt.rejected) continue;  // never ran
             if (!first_that_may_have_run) first_that_may_have_run = &attempt;
             if (attempt.known_over() || faulty(attempt.worker, attempt.at, event.at)) continue;
-            // For other effects check_effect() is stricter.
+            // check_effect() is stricter for the other effects.
             if (timed && settings.effect == Effect::idempotent)
                 overlaps_.push_back({event, attempt.worker, number, event.at + settings_.slack});
         }
@@ -297,12 +299,13 @@
     void check_effect(const RecordedEvent& event, const ObservedAttempt& earlier, bool timed) {
         const QueueGroup& settings = group(event.group);
         if (settings.effect == Effect::side_effecting)
-            report(Rule::twice, "launched again where an earlier launch may have run", event);
+            report(Rule::twice, "attempt of a side-effecting task after an earlier attempt that may have run",
+                   event);
         if (settings.effect != Effect::keyed) return;
         if (!same_domain(earlier.worker, event.worker, settings.deduplicated_by))
-            report(Rule::twice, "repeated outside the nodes that drop the repeat", event);
+            report(Rule::twice, "repeated outside the failure domain that rejects repeats", event);
         if (timed && event.at - earlier.at > settings.deduplication_window + settings_.slack)
-            report(Rule::twice, "repeated after the nodes' memory of it", event);
+            report(Rule::twice, "repeated after the deduplication window", event);
     }
 
     void check_after_answer(const RecordedEvent& event) {
@@ -313,7 +316,7 @@
             if (request.at <= event.at) last = &request;
         if (last && last->answer && *last->answer != EventKind::placed &&
             last->answered + settings_.slack < event.at)
-            report(Rule::lost, "launched after its final answer", event);
+            report(Rule::lost, "attempt started after the final answer", event);
     }
 
     void check_spread(const RecordedEvent& event, bool timed) {
@@ -323,16 +326,16 @@
         int in_domain = 0;
         for (const std::uint64_t number : numbers) {
             const ObservedAttempt& attempt = attempts_[event.placer].at(number);
-            // Given up: another attempt of the same request, or its final answer, came after it.
+            // Skip attempts that were given up: the same request has a later attempt or a final answer.
             if (number != event.attempt &&
                 (attempt.request == event.request || given_up(event.placer, attempt)))
                 continue;
-            // At a worker with a fault its answers may have been lost, and the attempt given up.
+            // Skip attempts at faulty workers: the answer may be lost and the attempt given up.
             in_domain += same_domain(attempt.worker, event.worker, settings.spread_domain) &&
                          !attempt.known_over() && !faulty(attempt.worker, attempt.at, attempt.at);
         }
         if (in_domain > settings.max_per_domain && timed)
-            report(Rule::spread, "more of one service in one place than stated", event);
+            report(Rule::spread, "more tasks of one service in a failure domain than allowed", event);
     }
 
     void on_started(const RecordedEvent& event) {
@@ -340,15 +343,15 @@
         std::set<std::string>& workers = running_[event.task];
         workers.insert(event.worker);
         if (settings.effect == Effect::side_effecting && !started_once_.insert(event.task).second)
-            report(Rule::twice, "a side-effecting container ran twice", event);
+            report(Rule::twice, "a side-effecting task ran twice", event);
         if (settings.effect != Effect::keyed) return;
         for (const std::string& other : workers)
             if (other != event.worker && !same_domain(other, event.worker, settings.deduplicated_by) &&
                 !faulty(other, event.at, event.at))
-                report(Rule::twice, "a fingerprinted container runs in two groups of nodes", event);
+                report(Rule::twice, "a keyed task runs in two failure domains at the same time", event);
     }
 
-    // ---- an answer arrives at a client
+    // ---- answers received by clients
 
     void on_answer(const RecordedEvent& event) {
         ObservedRequest* request = find_request(event);
@@ -361,7 +364,7 @@
         if (event.kind == EventKind::rejected) check_rejection(event, *request);
     }
 
-    // A rejection says that a retry is harmless.
+    // TaskRejected guarantees that a retry does no harm.
     void check_rejection(const RecordedEvent& event, const ObservedRequest& request) {
         const QueueGroup& settings = group(event.group);
         const bool always_harmless =
@@ -371,7 +374,7 @@
         if (always_harmless || attempts == attempts_.end()) return;
         for (const auto& [number, attempt] : attempts->second)
             if (attempt.task == event.task && attempt.at >= request.at && !attempt.rejected)
-                report(Rule::twice, "deferred where a launch may have run", event);
+                report(Rule::twice, "rejected although an attempt may have run", event);
     }
 
     void check_answered_in_time(const std::string& placer, const ObservedRequest& request) {
@@ -385,9 +388,9 @@
         if (request.released && (!request.answer || request.released < request.answered)) return;
         if (stalled(placer, request.at, due)) return;
         if (request.answer && request.answered > due)
-            report(Rule::lost, "its final answer came after its owner gave up", event);
+            report(Rule::lost, "the final answer came after the client's deadline", event);
         if (!request.answer && due < end_)
-            report(Rule::lost, "no final answer before its owner gave up", event);
+            report(Rule::lost, "no final answer before the client's deadline", event);
     }
 
     const EventLog& events_;
@@ -398,12 +401,12 @@
     std::map<std::string, std::map<std::uint64_t, ObservedAttempt>> attempts_;  // by placer, number
     std::map<NameAndNumber, std::vector<std::uint64_t>> by_request_;            // by placer, request
     std::map<NamePair, std::vector<std::uint64_t>>
-        by_service_;  // by placer, service: where spread is asked for
+        by_service_;  // by placer, service; only groups with a spread domain
     std::map<NamePair, std::vector<ObservedRequest>> requests_;  // by placer, task
     std::map<NamePair, Nanos> drain_known_at_;                   // by placer, worker
     std::map<std::string, std::vector<Interval>> faults_;        // by worker
     std::map<std::string, std::vector<Interval>> stalls_;        // by placer
-    std::map<std::string, std::set<std::string>> running_;       // by task: the workers
+    std::map<std::string, std::set<std::string>> running_;       // by task: workers that run it
     std::set<std::string> started_once_;
     std::vector<OverlapCandidate> overlaps_;
 };
@@ -419,7 +422,7 @@
 std::string Verdict::summary() const {
     const auto number = [this](Rule rule) { return std::to_string(count(rule)); };
     return std::string(kept() ? "rules kept" : "RULES BROKEN") + ": lost " + number(Rule::lost) + ", twice " +
-           number(Rule::twice) + ", drains " + number(Rule::drain) + ", pushed over " +
+           number(Rule::twice) + ", drains " + number(Rule::drain) + ", overloaded " +
            number(Rule::overload) + ", spread " + number(Rule::spread);
 }
 
@@ -429,7 +432,7 @@
 
 std::string describe(const EventLog& events, const Violation& violation, Nanos start) {
     std::string out =
-        "broken: " + violation.what + "\n  " + to_string(violation.event, start) + "\n  the record:\n";
+        "broken: " + violation.what + "\n  " + to_string(violation.event, start) + "\n  history:\n";
     for (const std::string& line : history_of(events, violation.event.task, start))
         out += "    " + line + "\n";
     return out;
--- a/emulator/invariant_checker.h
+++ b/emulator/invariant_checker.h
@@ -1,10 +1,10 @@
-// Checks the five rules from what workers, clients and the discovery service saw on their sockets. It knows
-// nothing of the placer's code and reads nothing that a placer says of itself.
+// Checks the five rules against the event log. It depends neither on the placer's code nor on anything that a
+// placer reports about itself.
 //
-// Seen from outside, things come later than they were sent: by the network, and by what stalls a worker or a
-// client. What can't be told from outside for that reason is not held against the placer: an attempt that a
-// worker reads while the scenario has injected a fault into it (its kernel may have held it for long) is not
-// timed.
+// Events are observed later than the placer caused them: the network delays messages, and workers and clients
+// may be stalled. Where the order or the time cannot be known for that reason, the placer is not blamed. In
+// particular, no timing rule applies to an attempt that arrives at a worker during a fault: its kernel may
+// have buffered it.
 #pragma once
 #include <string>
 #include <vector>
@@ -23,33 +23,35 @@
     std::vector<NamedQueueGroup> groups;
     std::vector<WorkerLocation> locations;
     Nanos drain_grace = kSecond;
-    Nanos slack = 50 * kMillisecond;  // for what a message takes, and a busy machine's scheduling
+    Nanos slack = 50 * kMillisecond;  // allowance for message delays and for scheduling on a busy machine
 };
 
-// The five rules: no task is lost, none runs twice where that does harm, none is sent to a worker that the
-// placer knows to drain, no worker is overloaded while it warms up, and services stay spread.
+// lost: each request gets exactly one final answer, in time. twice: no task runs twice where that would do
+// harm. drain: no attempt is sent to a worker that the placer knows to be draining. overload: no worker is
+// overloaded during its warm-up. spread: no failure domain gets more tasks of a service than the queue group
+// allows.
 enum class Rule { lost, twice, drain, overload, spread };
 
 struct Violation {
     Rule rule;
     std::string what;
-    RecordedEvent event;  // the one at which it shows
+    RecordedEvent event;  // the event at which it was detected
 };
 
 struct Verdict {
     std::vector<Violation> violations;
     int count(Rule) const;
     bool kept() const { return violations.empty(); }
-    std::string summary() const;  // "rules kept: lost 0, twice 0, drains 0, pushed over 0, spread 0"
+    std::string summary() const;  // "rules kept: lost 0, twice 0, drains 0, overloaded 0, spread 0"
 };
 
-// `end`: of the record. What still waits then with time left is not held against anybody.
+// `end`: time at which the log ends. A request whose deadline is later needs no answer.
 [[nodiscard]] Verdict check_invariants(const EventLog&, const RuleSettings&, Nanos end);
 
-// One violation for people: what broke, where it shows, and the record of its task.
+// A readable report of one violation: the broken rule, the event, and the history of the task.
 std::string describe(const EventLog&, const Violation&, Nanos start);
 
-// The record of one task, a line each.
+// All events of one task, formatted one per line.
 std::vector<std::string> history_of(const EventLog&, const std::string& task, Nanos start);
 
 }  // namespace whinpost::emulator
--- a/emulator/scenario_parser.cpp
+++ b/emulator/scenario_parser.cpp
@@ -21,7 +21,7 @@
 enum class FaultTarget { none, workers, placer, client };
 
 struct FaultTraits {
-    std::string_view word;  // in scenario files
+    std::string_view word;  // name in scenario files
     FaultTarget target;
     bool needs_duration;
     bool size_is_share;
@@ -74,7 +74,7 @@
     }
 }
 
-// cores, cores2, cores3 and so on: one for each shape of tasks.
+// Reads the keys cores, cores2, cores3 and so on, one per task size.
 std::vector<double> read_shapes(Table& table, std::string_view key) {
     std::vector<double> values;
     for (int i = 0; i < kMaxShapes; ++i) {
@@ -85,7 +85,7 @@
     return values;
 }
 
-// Reads a [[fault]] and adds it to the scenario, once for each wave.
+// Reads a [[fault]] table and adds it to the scenario, once per wave.
 class FaultReader {
 public:
     FaultReader(Scenario& scenario, Table& table, const std::vector<std::string_view>& groups)
@@ -98,7 +98,7 @@
         wave_interval_ = waves_ > 1 ? table_.duration("every_s", kMillisecond, scenario_.length) : 0;
         read_target();
         if (fault_.at + static_cast<Nanos>(waves_ - 1) * wave_interval_ > scenario_.length)
-            table_.add_error("waves", "must all begin within the day");
+            table_.add_error("waves", "must all begin within the day (day.length_s)");
         check_against_earlier_faults();
         add_waves();
     }
@@ -111,9 +111,9 @@
         fault_.size = table_.number("size", 0, 1e6, 1);
         fault_.announce = table_.boolean("tell", true);
         if (traits_of(fault_.kind).size_is_share && fault_.size > 1)
-            table_.add_error("size", "is a share here: at most 1");
+            table_.add_error("size", "is a share for this fault: must be at most 1");
         if (traits_of(fault_.kind).needs_duration && !fault_.duration)
-            table_.add_error("for_s", "is missing: this trouble lasts for a time");
+            table_.add_error("for_s", "is missing: this fault needs a duration");
     }
 
     void read_options() {
@@ -154,13 +154,13 @@
         else
             for (std::size_t i = first; i < first + count; ++i) fault_.workers.push_back(i);
         if (waves_ > fault_.workers.size())
-            table_.add_error("waves", "must be no more than the nodes it is for");
+            table_.add_error("waves", "must not exceed the number of nodes of this fault");
     }
 
     void add_zone(const std::string& name) {
         const auto at = std::find(scenario_.zones.begin(), scenario_.zones.end(), name);
         if (at == scenario_.zones.end()) table_.add_error("zone", "must be one of fleet.zones");
-        // Without zones, which is an error of its own, there are no workers to look for (found by fuzzing).
+        // An empty list of zones is reported elsewhere; here it would divide by zero.
         for (std::size_t i = 0; i < scenario_.workers && !scenario_.zones.empty(); ++i)
             if (static_cast<std::ptrdiff_t>(i % scenario_.zones.size()) == at - scenario_.zones.begin())
                 fault_.workers.push_back(i);
@@ -170,7 +170,8 @@
         return fault_.at < other.at + other.duration && other.at < fault_.at + fault_.duration;
     }
 
-    // The same fault twice at once on one worker, or any on what was killed for good, is a mistake.
+    // Reports a fault that overlaps with one of the same kind on the same target, or whose workers were all
+    // killed before.
     void check_against_earlier_faults() {
         std::size_t killed = 0;
         for (const Fault& earlier : scenario_.faults) {
@@ -178,21 +179,22 @@
             killed += count_killed(earlier, repeated);
             if (repeated && fault_.workers.empty() && earlier.target == fault_.target &&
                 earlier.group == fault_.group)
-                table_.add_error("at_s", "overlaps with the same trouble named before");
+                table_.add_error("at_s", "overlaps with an earlier fault of the same kind");
         }
         if (!fault_.workers.empty() && killed >= fault_.workers.size())
-            table_.add_error("node", "is killed for good before");
+            table_.add_error("node", "is killed by an earlier fault");
     }
 
-    // How many of this fault's workers the earlier one kills. The first worker with an overlap ends the
-    // count.
+    // The number of this fault's workers that the earlier fault kills. Stops at the first overlap, which it
+    // reports.
     std::size_t count_killed(const Fault& earlier, bool repeated) {
         std::size_t killed = 0;
         for (const std::size_t worker : fault_.workers) {
             const auto& others = earlier.workers;
             if (std::find(others.begin(), others.end(), worker) == others.end()) continue;
             if (repeated) {
-                table_.add_error("at_s", "overlaps with the same trouble on node " + std::to_string(worker));
+                table_.add_error("at_s", "overlaps with an earlier fault of the same kind on node " +
+                                             std::to_string(worker));
                 break;
             }
             killed += earlier.kind == FaultKind::kill && fault_.at > earlier.at;
@@ -222,14 +224,14 @@
     Nanos wave_interval_ = 0;
 };
 
-// Reads one scenario file. What is wrong is found in the document's errors afterwards.
+// Reads one scenario file. Errors are added to the document.
 class ScenarioReader {
 public:
     ScenarioReader(Table root, const ScenarioOverrides& overrides)
         : root_(std::move(root)), overrides_(overrides) {}
 
     Scenario read() {
-        if (root_.has("like")) root_.string("like");  // whose tables were added by whoever read the file
+        if (root_.has("like")) root_.string("like");  // the caller has merged the tables of that scenario
         if (!root_.has("day")) root_.add_error("day", "is missing: a table with length_s");
         Table day = root_.table("day");
         read_day(day);
@@ -285,7 +287,8 @@
             fleet.duration("report_every_ms", kMillisecond, kHour, worker.report_interval);
     }
 
-    // The tables that placers read too: workers behave as the placers' files say.
+    // Reads the tables that are also part of the placers' configuration, so that workers and placers agree on
+    // them.
     void read_placer_settings() {
         scenario_.kinds = config::worker_kinds(root_);
         for (const config::NamedQueueGroup& group : config::queue_groups(root_, scenario_.kinds.size()))
@@ -322,14 +325,14 @@
             load.cores = read_shapes(table, "cores");
             load.memory = read_shapes(table, "memory");
             if (load.cores.size() != load.memory.size())
-                table.add_error("memory", "must have as many shapes as cores");
+                table.add_error("memory", "must have as many values (memory, memory2, ...) as cores");
             load.queue_timeout = table.duration("queue_timeout_ms", 10 * kMillisecond, kHour);
             load.min_runtime = table.duration("life_least_ms", kMillisecond, kHour, load.min_runtime);
             load.max_runtime = table.duration("life_most_ms", load.min_runtime, kHour,
                                               std::max(load.min_runtime, load.max_runtime));
             scenario_.loads.push_back(load);
         }
-        if (scenario_.loads.empty()) root_.add_error("load", "must name one load or more");
+        if (scenario_.loads.empty()) root_.add_error("load", "is missing: at least one [[load]] is needed");
     }
 
     void read_network() {
@@ -339,8 +342,8 @@
         network.spread = table.duration("spread_ms", 0, 10 * kSecond, network.spread);
         network.late_share = table.number("late_share", 0, 1, 0);
         network.late = table.duration("late_ms", 0, 10 * kSecond, 0);
-        // A request and its answer are each on the way for up to that: clients see things so much later than
-        // the placer did.
+        // A request and its answer take up to this long each, so a client may observe an event this much
+        // later than the placer.
         scenario_.slack += 2 * (network.least + network.spread + network.late);
     }
 
@@ -363,7 +366,7 @@
         if (expectation.to <= expectation.from) table.add_error("to_s", "must be later than from_s");
         expectation.at_least = table.has("at_least");
         if (expectation.at_least == table.has("at_most"))
-            table.add_error("at_least", "or at_most must be there, and one of them only");
+            table.add_error("at_least", "or at_most is needed, but not both");
         else
             expectation.bound = table.number(expectation.at_least ? "at_least" : "at_most", 0,
                                              is_share(expectation.metric) ? 1 : 1e9);
@@ -383,20 +386,20 @@
         });
     }
 
-    // An expectation that can never be checked is an error: it would pass for ever.
+    // Reports an expectation that no run of the scenario can check: it would always pass.
     void check_measurable(Table& table, const Expectation& expectation) const {
         if (expectation.group >= 0 && !has_load(expectation.group))
-            table.add_error("group", "has no load: this can never be checked");
+            table.add_error("group", "has no load, so the expectation can never be checked");
         if (expectation.metric == Metric::drain_lag &&
             !any_fault([](const Fault& fault) { return fault.kind == FaultKind::drain; }))
-            table.add_error("of", "is about drains, and no node drains: this can never be checked");
+            table.add_error("of", "is about drains, but no fault drains a node: it can never be checked");
         if (expectation.metric == Metric::overloaded && !any_fault([](const Fault& fault) {
                 return fault.kind == FaultKind::drain || fault.kind == FaultKind::rejoin;
             }))
-            table.add_error("of", "is about cold nodes, and none comes up: this can never be checked");
+            table.add_error("of", "is about new nodes, but no fault starts one: it can never be checked");
         if (expectation.metric == Metric::recovery_time &&
             !any_fault([&expectation](const Fault& fault) { return fault.at <= expectation.from; }))
-            table.add_error("from_s", "is before all troubles: there is nothing to be back from");
+            table.add_error("from_s", "is before the first fault: there is nothing to recover from");
     }
 
     Table root_;
@@ -405,7 +408,8 @@
     std::vector<std::string_view> group_words_;
 };
 
-// What is left without the scenario's own tables is what all placers' files have in common.
+// The tables shared by all placers' files: the scenario file without the tables used only by the emulator and
+// those that placer_configuration() adds.
 std::string placer_tables(const std::string& text) {
     toml::table tables = toml::parse(text);
     for (const char* own :
--- a/emulator/scenario_parser.h
+++ b/emulator/scenario_parser.h
@@ -1,4 +1,4 @@
-// Scenario files (TOML): read, and checked whole before anything runs.
+// Parses scenario files (TOML) and validates them before a run starts.
 #pragma once
 #include <cstddef>
 #include <string>
@@ -9,17 +9,17 @@
 
 namespace whinpost::emulator {
 
-// Numbers that replace the file's own, where they are not 0.
+// Values that replace those of the file; 0: keep the file's value.
 struct ScenarioOverrides {
     std::size_t placers = 0, workers = 0;
 };
 
-// `name`: the file's, in errors.
+// `name`: file name used in error messages. On failure returns all errors found.
 [[nodiscard]] tl::expected<Scenario, config::ConfigErrors> parse_scenario(const std::string& text,
                                                                           const std::string& name,
                                                                           const ScenarioOverrides& = {});
 
-// The whole configuration file of one of the scenario's placers.
+// The complete configuration file (TOML) of one placer of the scenario.
 std::string placer_configuration(const Scenario&, std::size_t placer, const std::string& listen_address,
                                  const std::string& discovery_address);
 
--- a/emulator/scenario_run.cpp
+++ b/emulator/scenario_run.cpp
@@ -15,14 +15,14 @@
 constexpr std::uint64_t kDiscoveryIncarnation = 1;
 constexpr Nanos kConnectTimeout = 20 * kSecond;
 constexpr Nanos kConnectPoll = 50 * kMillisecond;
-constexpr Nanos kSettleTime = 500 * kMillisecond;  // after the first endpoint list
+constexpr Nanos kSettleTime = 500 * kMillisecond;  // for the first endpoint list to be processed
 constexpr Nanos kPublishInterval = 500 * kMillisecond;
 constexpr Nanos kProgressInterval = 5 * kSecond;
 constexpr Nanos kSampleInterval = kSecond;
 constexpr Nanos kFinishPoll = 100 * kMillisecond;
 constexpr Nanos kFinishGrace = 5 * kSecond;
 constexpr std::size_t kNameWidth = 20, kNumberWidth = 12;  // of the result table
-constexpr std::size_t kMaxScheduledCalls = 4096;           // before those that are over are removed
+constexpr std::size_t kMaxScheduledCalls = 4096;           // above this, finished calls are removed
 
 std::ranlux24_base make_random(std::uint64_t seed) {
     return std::ranlux24_base(static_cast<std::ranlux24_base::result_type>(seed * 7919 + 1));
@@ -53,7 +53,7 @@
         DiscoveryServiceSettings{scenario_.discovery_pushes, scenario_.discovery_delay,
                                  kDiscoveryIncarnation});
     if (const auto listening = discovery_->listen(environment_.discovery_address()); !listening)
-        return tl::unexpected(StartError{"the list service", "", listening.error()});
+        return tl::unexpected(StartError{"the discovery service", "", listening.error()});
     workers_ = std::make_unique<WorkerPool>(scenario_, environment_, *fleet_, *discovery_);
     if (auto started = workers_->start_all(); !started) return started;
     if (scenario_.stale_discovery.age) begin_stale_discovery();
@@ -99,7 +99,8 @@
     }
 }
 
-// The run begins when every client has every placer, and the first endpoint list had its time.
+// The run begins once every client is connected to every placer (or the deadline has passed) and the placers
+// have had time to receive the first endpoint list.
 void ScenarioRun::await_connections(Nanos deadline) {
     bool all = true;
     for (const auto& client : clients_)
@@ -154,7 +155,7 @@
     }
 }
 
-// One that has left is passed over, while there are others.
+// Skips clients that have left a placer, unless all have.
 EmulatedClient& ScenarioRun::draw_client() {
     std::size_t number = roll(clients_.size());
     for (std::size_t tried = 0; clients_[number]->has_left() && tried < clients_.size(); ++tried)
@@ -162,7 +163,7 @@
     return *clients_[number];
 }
 
-// Batches arrive as a Poisson process.
+// Batches arrive as a Poisson process: the gaps are exponentially distributed.
 Nanos ScenarioRun::draw_gap(const LoadProfile& load) {
     const double uniform = (static_cast<double>(random_() % 65536) + 1) / 65537;
     const double batches_per_second =
@@ -172,7 +173,7 @@
 
 void ScenarioRun::inject(const Fault& fault) {
     progress_("fault " + std::string(to_string(fault.kind)) +
-              (fault.workers.empty() ? "" : " on " + std::to_string(fault.workers.size()) + " node(s)"));
+              (fault.workers.empty() ? "" : " on " + std::to_string(fault.workers.size()) + " worker(s)"));
     injector_->inject(fault);
 }
 
@@ -181,7 +182,7 @@
     if (!finished_) schedule(fleet_->now() + kPublishInterval, [this] { publish_workers(); });
 }
 
-// ---------------------------------------------------------------- measuring
+// ---------------------------------------------------------------- progress and samples
 
 std::size_t ScenarioRun::waiting() const {
     std::size_t count = 0;
@@ -218,8 +219,8 @@
     for (std::size_t i = 0; i < workers_->size(); ++i)
         if (const EmulatedWorker* worker = workers_->worker(i)) running += worker->task_count();
     std::ostringstream line;
-    line << "at " << (now - started_at_) / kSecond << " s: waiting " << waiting() << ", on nodes " << running
-         << ", placed " << placed << ", deferred " << rejected;
+    line << "at " << (now - started_at_) / kSecond << " s: waiting " << waiting() << ", on workers "
+         << running << ", placed " << placed << ", deferred " << rejected;
     progress_(line.str());
     if (!finished_) schedule(now + kProgressInterval, [this] { report_progress(); });
 }
@@ -241,7 +242,8 @@
         schedule(now + kSampleInterval, [this] { this->sample(); });
 }
 
-// Waits a while for the answers that are still owed.
+// Waits for open requests until twice the longest queue timeout plus kFinishGrace after the scenario's
+// length.
 void ScenarioRun::finish() {
     const Nanos now = fleet_->now();
     Nanos longest_timeout = 0;
--- a/emulator/scenario_run.h
+++ b/emulator/scenario_run.h
@@ -1,5 +1,5 @@
-// Runs a scenario through real placers. Where they run (child processes on sockets, or objects in virtual
-// time) is the environment's to say.
+// Runs a scenario against real placers. The TestEnvironment decides whether they are child processes on
+// sockets or objects in virtual time.
 #pragma once
 #include <functional>
 #include <memory>
@@ -18,16 +18,16 @@
 
 namespace whinpost::emulator {
 
-// One second of the run, by queue group.
+// A sample taken each second, by queue group: tasks wanted and running, and the sum of their service shares.
 struct ServiceSample {
-    Nanos at = 0;  // since the run began
+    Nanos at = 0;  // since the start of the run
     std::vector<double> wanted, running, served;
 };
 
 struct RunResult {
     Verdict verdict;
     std::vector<QueueGroupCounts> counts;  // by queue group
-    std::size_t pending = 0;               // tasks that still wait at the end
+    std::size_t pending = 0;               // tasks that were still waiting for a placement at the end
 };
 
 class ScenarioRun {
@@ -41,7 +41,7 @@
     ScenarioRun(const ScenarioRun&) = delete;
     ScenarioRun& operator=(const ScenarioRun&) = delete;
 
-    // `done` is called once, from the environment's loop, when the run is over.
+    // `done` is called once, on the environment's loop, when the run has ended.
     [[nodiscard]] tl::expected<void, StartError> start(DoneHandler done);
 
     const Scenario& scenario() const { return scenario_; }
@@ -49,7 +49,7 @@
     Nanos started_at() const { return started_at_; }
     const std::vector<ServiceSample>& samples() const { return samples_; }
     const std::vector<WorkerLocation>& locations() const { return workers_->locations(); }
-    // The counts as a table for people.
+    // Formats the counts as a text table.
     std::string table(const RunResult&) const;
 
 private:
@@ -82,7 +82,7 @@
     std::vector<std::unique_ptr<EmulatedClient>> clients_;
     std::unique_ptr<FaultInjector> injector_;
     std::vector<std::unique_ptr<ScheduledCall>> scheduled_;
-    std::ranlux24_base random_;  // of the load
+    std::ranlux24_base random_;  // for the load only
     std::vector<ServiceSample> samples_;
     Nanos started_at_ = 0;
     std::uint64_t next_task_ = 1;
--- a/emulator/warm_up.h
+++ b/emulator/warm_up.h
@@ -1,5 +1,5 @@
-// The slow start of an emulated worker: its capacity grows from a part to the whole, and while it does, more
-// attempts within a window than it bears make it fail. Attempts that it rejects count too.
+// Slow start of an emulated worker. Its capacity grows linearly from an initial share to 1. During the
+// warm-up, more attempts within a window than its limit make it fail; rejected attempts count too.
 #pragma once
 #include <deque>
 
@@ -9,22 +9,22 @@
 
 class WarmUp {
 public:
-    // `started_at` 0: long ago, and warm. The settings must outlive this.
+    // `started_at` 0: the warm-up is over. The settings must outlive this object.
     WarmUp(const EmulatedWorkerSettings& settings, Nanos started_at)
         : settings_(settings), started_at_(started_at) {}
 
-    // 1 when it is complete.
+    // Current share of the full capacity; 1 once the warm-up is complete.
     double capacity(Nanos now) const;
     bool complete(Nanos now) const { return capacity(now) >= 1; }
-    // How many attempts it bears within a window that begins now.
+    // The number of attempts that it can take within a window that begins now.
     double attempt_limit(Nanos now) const;
-    // Counts an attempt. True: it was one too many.
+    // Counts an attempt. True if it exceeds the limit.
     [[nodiscard]] bool overloads(Nanos now);
 
 private:
     const EmulatedWorkerSettings& settings_;
     Nanos started_at_;
-    std::deque<Nanos> attempts_;  // within the window
+    std::deque<Nanos> attempts_;  // arrival times within the window
 };
 
 }  // namespace whinpost::emulator
--- a/emulator/worker_pool.cpp
+++ b/emulator/worker_pool.cpp
@@ -5,7 +5,7 @@
 namespace whinpost::emulator {
 
 std::string to_string(const StartError& error) {
-    return error.component + " can't listen" + (error.address.empty() ? "" : " on " + error.address) + ": " +
+    return error.component + " cannot listen" + (error.address.empty() ? "" : " on " + error.address) + ": " +
            to_string(error.error);
 }
 
@@ -79,7 +79,7 @@
 
 void WorkerPool::replace(std::size_t number) {
     const std::string name = next_name();
-    // Where it can't listen its placers can't reach it, and the scenario goes on without it.
+    // If the worker cannot listen, placers cannot connect to it; the scenario continues without it.
     static_cast<void>(start(slots_[number], name, environment_.worker_address(name), fleet_.now()));
     publish(number);
 }
--- a/emulator/worker_pool.h
+++ b/emulator/worker_pool.h
@@ -1,5 +1,4 @@
-// The emulated workers of a scenario: each slot of the fleet has one worker at a time, which may be killed
-// and replaced.
+// The emulated workers of a scenario. Each slot holds at most one worker, which can be killed and replaced.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -17,7 +16,7 @@
 
 struct StartError {
     std::string component;  // a worker's name, or the discovery service
-    std::string address;    // a worker's; else empty
+    std::string address;    // empty for the discovery service
     net::ListenError error;
 };
 std::string to_string(const StartError&);
@@ -29,23 +28,23 @@
 
     [[nodiscard]] tl::expected<void, StartError> start_all();
     std::size_t size() const { return slots_.size(); }
-    // Null: it was killed and not replaced yet.
+    // Null if the slot's worker was killed and is not replaced yet.
     EmulatedWorker* worker(std::size_t slot) { return slots_[slot].worker.get(); }
     const std::string& name(std::size_t slot) const { return slots_[slot].name; }
     const std::string& address(std::size_t slot) const { return slots_[slot].address; }
-    // Of all workers that there ever were.
+    // The locations of all workers of the run, including killed ones.
     const std::vector<WorkerLocation>& locations() const { return locations_; }
 
-    // Tells discovery how the slot's worker is now, if there is one.
+    // Publishes the current state of the slot's worker to discovery, if there is one.
     void publish(std::size_t slot);
     void publish_all();
-    // As by SIGKILL. The slot must have a worker.
+    // Destroys the worker without any message, like SIGKILL. The slot must have a worker.
     void kill(std::size_t slot);
-    // A new worker under a new name, that has just started.
+    // Starts a new worker under a new name; it has to warm up.
     void replace(std::size_t slot);
-    // A new worker under the same name and address, that has just started.
+    // Starts a new worker under the given name and address; it has to warm up.
     void restart(std::size_t slot, const std::string& name, const std::string& address);
-    // A worker is faulty from the first of the faults that overlap to the end of the last: that is recorded.
+    // Overlapping faults are counted: only the first begin and the last end are recorded in the event log.
     void begin_fault(std::size_t slot);
     void end_fault(std::size_t slot);
 
@@ -53,8 +52,8 @@
     struct Slot {
         std::string name, address;
         int zone = 0, cell = 0, kind = 0;
-        Nanos started = 0;  // 0: long ago
-        int faults = 0;
+        Nanos started = 0;  // 0: before the run
+        int faults = 0;     // begun and not ended
         std::unique_ptr<EmulatedWorker> worker;
     };
     [[nodiscard]] tl::expected<void, StartError> start(Slot&, const std::string& name,
--- a/emulator/worker_session.h
+++ b/emulator/worker_session.h
@@ -1,4 +1,4 @@
-// One placer's connection to an emulated worker: frames in, messages out.
+// One placer's connection to an emulated worker. Decodes frames into messages and encodes outgoing messages.
 #pragma once
 #include <cstdint>
 #include <memory>
@@ -16,7 +16,7 @@
 struct PlacerId {
     std::string name;
     std::uint64_t incarnation = 0;
-    std::string label;  // name#incarnation; empty before its greeting
+    std::string label;  // name#incarnation; empty until the placer's Hello arrives
 
     bool same_life(const PlacerId& other) const {
         return name == other.name && incarnation == other.incarnation;
@@ -29,19 +29,19 @@
     std::size_t on_received(std::string_view) override;
     void on_closed(net::CloseReason) override;
 
-    // Keeps the message while the worker's faults hold its output back, and drops it while it is silent.
+    // Queues the message while a fault blocks the worker's output, and drops it while the worker is silent.
     void send(const v1::FromWorker&);
     void release_held_messages();
     void set_reading(bool on);
     void abort();
-    // Closes the stream: nothing is read or sent any more.
+    // Closes the stream. Nothing is read or sent afterwards.
     void close();
 
     bool closed() const { return closed_; }
     const PlacerId& placer() const { return placer_; }
     void set_placer(const v1::Hello&);
     slow_start::TokenHolder& tokens() { return tokens_; }
-    // Counts an attempt that was read; their number is told to the placer at the end of each pass.
+    // Counts an attempt that was read. The placer gets AttemptsRead after the received bytes are decoded.
     void count_attempt();
 
 private:
