--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -1,5 +1,5 @@
-// The node model against closed forms, and its faults. Launches come as a Poisson stream over a simulated
-// connection; what is measured is what a placer would see.
+// Compares the emulated worker with closed formulas of queueing theory, and tests its faults. Attempts arrive
+// over a simulated connection, as a Poisson process where a formula assumes it.
 #include "emulator/emulated_worker.h"
 
 #include <catch2/catch.hpp>
@@ -52,7 +52,7 @@
         peer.send(m);
         return sent;
     }
-    // `count` launches, so many a second, each living as drawn about `life_s`.
+    // Sends `count` attempts as a Poisson process; runtimes are exponentially distributed with mean `life_s`.
     void stream(int count, double a_second, double life_s) {
         for (int i = 0; i < count; ++i) {
             run(std::max<Nanos>(1, static_cast<Nanos>(drawn(1 / a_second) * 1e9)));
@@ -60,7 +60,7 @@
         }
         run(60 * kSecond);
     }
-    // Seconds from one line of the record to another of the same launch.
+    // Seconds from event `a` to event `b` of the same attempt, for all attempts that have both.
     std::vector<double> between(emulator::EventKind a, emulator::EventKind b) const {
         std::vector<Nanos> from(sent + 1, 0);
         std::vector<double> out;
@@ -88,8 +88,8 @@
     std::uint64_t sent = 0;
 };
 
-// Mean and the half width of its 95% interval, by the means of 25 batches (what follows one another is
-// alike).
+// Mean and half width of its 95% confidence interval, from the means of 25 batches, because successive values
+// are correlated.
 struct Estimate {
     double mean = 0, half = 0;
 };
@@ -106,7 +106,7 @@
     for (const double m : means) e.mean += m / kBatches;
     double var = 0;
     for (const double m : means) var += (m - e.mean) * (m - e.mean) / (kBatches - 1);
-    e.half = 2.064 * std::sqrt(var / kBatches);  // Student, 24 degrees
+    e.half = 2.064 * std::sqrt(var / kBatches);  // Student's t, 24 degrees of freedom
     return e;
 }
 
@@ -130,7 +130,7 @@
 
 }  // namespace
 
-TEST_CASE("the line of asks is M/D/1: one server, always the same time") {
+TEST_CASE("the admission queue behaves as M/D/1: one server, constant service time") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.admission_time = 200 * kMillisecond;
     Line1 t(terms);
@@ -144,7 +144,7 @@
     CHECK(std::abs(e.mean - 0.2 - wait) < 0.05 * wait);
 }
 
-TEST_CASE("starts are M/M/c: so many at a time, each for a drawn time") {
+TEST_CASE("task starts behave as M/M/c: limited concurrency, exponential start time") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.admission_time = 0;
     terms.concurrent_starts = 3;
@@ -161,7 +161,7 @@
     CHECK(e.half < 0.03 * whole);
 }
 
-TEST_CASE("a full node turns away as Erlang's loss formula says") {
+TEST_CASE("the share of attempts that a full worker rejects follows Erlang's loss formula") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.admission_time = 0;
     terms.cores = 8;
@@ -174,13 +174,13 @@
     CHECK(std::abs(loss - formula) < 0.03 * formula);
 }
 
-TEST_CASE("what a node plays when it is paused, deaf or mute, and let have a rate") {
+TEST_CASE("a worker that is paused, blocked in one direction, or limited in rate") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.admission_time = kMillisecond;
     Line1 t(terms, 4, 2);
     emulator::ActiveFaults f;
     const auto answers = [&t] { return t.peer.count(&v1::FromWorker::has_accepted); };
-    SECTION("paused: nothing moves, and then all of it does") {
+    SECTION("paused: nothing happens until the pause ends; then the attempt is accepted and started") {
         f.paused = true;
         t.node->set_faults(f);
         t.launch(5);
@@ -191,7 +191,7 @@
         CHECK(answers() == 1);
         CHECK(t.count(emulator::EventKind::task_started) == 1);
     }
-    SECTION("mute: it goes on working, and its words come late") {
+    SECTION("output blocked: the task starts, and the answer is delivered after the fault") {
         f.output_blocked = true;
         t.node->set_faults(f);
         t.launch(5);
@@ -202,7 +202,7 @@
         t.run(kSecond);
         CHECK(answers() == 1);
     }
-    SECTION("deaf: it hears nothing and still speaks") {
+    SECTION("input blocked: attempts are read after the fault, and answers are still sent") {
         t.launch(1);
         t.run(100 * kMillisecond);
         f.input_blocked = true;
@@ -215,7 +215,7 @@
         t.run(kSecond);
         CHECK(t.count(emulator::EventKind::attempt_received) == 2);
     }
-    SECTION("a rate: of one group so many a second, whatever room there is") {
+    SECTION("limited rate: one queue group is rejected above its rate, although resources are free") {
         f.limited_group = 1;
         f.accepted_per_second = 2;
         t.node->set_faults(f);
@@ -230,8 +230,7 @@
     }
 }
 
-TEST_CASE(
-    "crowded cores serve less, by the queue group's own curve; swelling and other programs crowd them") {
+TEST_CASE("the service share falls when tasks or another program use more cores, and recovers") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.cores = 10;
     terms.cores_overcommit = 10;
@@ -258,7 +257,7 @@
     CHECK(share() == 1);
 }
 
-TEST_CASE("a launch that is read or judged after its time never begins") {
+TEST_CASE("an attempt that is read or admitted after its not_after is rejected and never starts") {
     emulator::EmulatedWorkerSettings terms = roomy();
     terms.admission_time = 100 * kMillisecond;
     Line1 t(terms, 6);
@@ -269,10 +268,10 @@
     l.set_cores(1);
     const Nanos clock = t.node->clock();
     l.set_attempt(1);
-    l.set_not_after(clock - 1);  // it lay somewhere
+    l.set_not_after(clock - 1);  // has passed before it is read
     t.peer.send(m);
     l.set_attempt(2);
-    l.set_not_after(clock + 50 * kMillisecond);  // it will be judged too late
+    l.set_not_after(clock + 50 * kMillisecond);  // passes before it is admitted
     t.peer.send(m);
     l.set_attempt(3);
     l.set_not_after(clock + kSecond);
--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker, shown to catch each rule's breach: a planner that breaks it on purpose, over a ledger that
-// allows all. The same planner over the program's own ledger breaks nothing.
+// For each rule, a planner breaks it on purpose, with a ledger that permits it: the checker must report a
+// violation. With the real ledger the same planner must not cause any violation.
 #include <catch2/catch.hpp>
 
 #include "emulator/scenario_parser.h"
@@ -27,7 +27,7 @@
 
 enum class Does { binds_twice, ignores_drains, floods_the_cold, crowds, says_nothing };
 
-// Binds whatever comes at once, by its one bad habit.
+// Places each task at once, and breaks the rule that `does` selects.
 struct Rogue final : QuietPlanner {
     Rogue(server::PlacerServer& e, Does d) : edge(e), does(d) {}
     void on_endpoint(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) override {
@@ -121,8 +121,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "each rule's breach is caught from the sockets alone, and none comes past the program's own ledger") {
+TEST_CASE("the checker reports a violation of each rule, and the real ledger prevents each one") {
     const auto [does, rule] = GENERATE(table<Does, Rule>({{Does::binds_twice, Rule::twice},
                                                           {Does::ignores_drains, Rule::drain},
                                                           {Does::floods_the_cold, Rule::overload},
--- a/tests/rehearsal_test.cpp
+++ b/tests/rehearsal_test.cpp
@@ -1,4 +1,5 @@
-// Rehearsals: the scenarios that come with the program, drawn ones, what they are held to, and bad input.
+// Rehearsals of bundled and generated scenarios, their expectations, and errors in scenario files and
+// options.
 #include "simulation/rehearsal.h"
 
 #include <catch2/catch.hpp>
@@ -57,7 +58,7 @@
 
 }  // namespace
 
-TEST_CASE("each scenario that comes with the program keeps the rules and meets what it expects") {
+TEST_CASE("each bundled scenario keeps the rules and meets its expectations") {
     REQUIRE(simulation::scenarios().size() >= 12);
     for (const simulation::BundledScenario& s : simulation::scenarios()) {
         const Came c = play(plan_of(text_of(s.name)));
@@ -69,7 +70,7 @@
     }
 }
 
-TEST_CASE("a rehearsal goes the same way twice, byte for byte, and another seed another way") {
+TEST_CASE("a rehearsal with the same seed repeats byte for byte; with another seed it differs") {
     emulator::Scenario p = plan_of(text_of("cut-and-burst"));
     const std::uint64_t first = play(p).digest;
     CHECK(play(p).digest == first);
@@ -77,7 +78,7 @@
     CHECK(play(p).digest != first);
 }
 
-TEST_CASE("drawn scenarios: the same text for the same seed, and the rules are kept") {
+TEST_CASE("generated scenarios depend on the seed only, and keep the rules") {
     CHECK(simulation::generate_scenario(7) == simulation::generate_scenario(7));
     CHECK(simulation::generate_scenario(7) != simulation::generate_scenario(8));
     for (std::uint64_t seed = 1; seed <= 12; ++seed) {
@@ -90,9 +91,9 @@
     }
 }
 
-// Not part of the ordinary run: whinpost_rehearsal_tests "[search]", with the first seed and how many in
-// SEEDS=first,count; BIG=1 for fleets of a deployment's size.
-TEST_CASE("drawn scenarios keep the rules with many seeds", "[.][search]") {
+// Hidden: run it with `whinpost_rehearsal_tests "[search]"`. The environment variable SEEDS=first,count
+// selects the seeds; BIG=1 generates fleets of the size of a deployment.
+TEST_CASE("generated scenarios keep the rules for many seeds", "[.][search]") {
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
     for (unsigned long seed = first; seed < first + count; ++seed) {
@@ -105,7 +106,7 @@
     }
 }
 
-TEST_CASE("what is expected is measured, and not met where it is not so") {
+TEST_CASE("each metric is measured, and an expectation beyond the measured value is not met") {
     const std::string base = text_of("drain-waves");
     const auto with = [&](const std::string& of, const std::string& bound) {
         const Came c = play(plan_of(base + "\n[[expect]]\nof = \"" + of + "\"\n" + bound + "\n"));
@@ -126,11 +127,11 @@
     CHECK(with("back", "from_s = 6\nshare = 0.0\nat_most = 0").met);
     const simulation::CheckedExpectation none =
         with("service", "group = \"recon\"\nfrom_s = 0\nto_s = 0.5\nat_least = 0");
-    CHECK_FALSE(none.known);  // nothing was wanted yet: that is not met
+    CHECK_FALSE(none.known);  // no task was wanted in the interval: not measured, so not met
     CHECK_FALSE(none.met);
 }
 
-TEST_CASE("a scenario that makes no sense is refused whole, naming file, line and key") {
+TEST_CASE("an invalid scenario is rejected with an error that names the file and the key") {
     const std::string base = text_of("zone-cut");
     const auto refused = [&](const std::string& more, const std::string& why) {
         const auto scenario = emulator::parse_scenario(base + more, "s.toml");
@@ -171,7 +172,7 @@
     refused("\n[[fault]]\nat_s = \"soon\"\ndo = \"reset\"\n", "at_s");
 }
 
-TEST_CASE("rehearse says what is wrong, and its exit status what came of it") {
+TEST_CASE("rehearse reports errors, and its exit status tells an error from a passed run") {
     std::ostringstream to, err;
     simulation::RehearsalOptions w;
     w.quiet = true;
@@ -180,7 +181,7 @@
     CHECK(err.str().find("--list") != std::string::npos);
     CHECK(simulation::load_scenario("zone-cut"));
     w.scenario = "drain-waves";
-    w.workers = 5;  // the waves are for twelve
+    w.workers = 5;  // the scenario's drain waves need twelve
     CHECK(simulation::run_rehearsal(w, to, err) == 2);
     w.workers = 0;
     w.planner = "oracle";
@@ -190,7 +191,7 @@
     CHECK(simulation::run_rehearsal(w, to, err) == 0);
     CHECK(to.str().find("what was seen of node-2") != std::string::npos);
     CHECK(to.str().find("rules kept") != std::string::npos);
-    // Of all bytes delivered: sixteen hex digits on a line of their own.
+    // The digest of all delivered bytes: 16 hexadecimal digits on their own line.
     const std::size_t digest = to.str().find("\ndigest ");
     REQUIRE(digest != std::string::npos);
     CHECK(to.str().substr(digest + 8).find_first_not_of("0123456789abcdef") == 16);
--- a/tests/scenario_run_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -1,4 +1,5 @@
-// Whole days in virtual time: the same edge, planner, ledger and stand-ins as on sockets.
+// Runs emulator/days/bad-day.toml in virtual time with real placers and emulated workers, clients and
+// discovery.
 #include <catch2/catch.hpp>
 #include <cstdio>
 #include <cstdlib>
@@ -17,7 +18,7 @@
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
-// What broke, with the record of each container.
+// Describes each violation, with the history of its task.
 std::string told(const emulator::RunResult& out, const emulator::ScenarioRun& day) {
     std::string all;
     for (const emulator::Violation& b : out.verdict.violations)
@@ -27,9 +28,9 @@
 
 }  // namespace
 
-// Not part of the ordinary run: whinpost_day_tests "[search]", with the first seed and how many in
-// SEEDS=first,count.
-TEST_CASE("the bad day keeps the rules with other seeds", "[.][search]") {
+// Hidden: run it with `whinpost_scenario_tests "[search]"`. The environment variable SEEDS=first,count
+// selects the seeds.
+TEST_CASE("the bad day keeps the rules for many seeds", "[.][search]") {
     emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml").value();
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
@@ -47,7 +48,7 @@
     }
 }
 
-TEST_CASE("the bad day keeps the rules in virtual time, and goes the same way twice") {
+TEST_CASE("the bad day keeps the rules in virtual time, and repeats byte for byte") {
     const auto parsed = emulator::parse_scenario(bad_day(), "bad-day.toml");
     REQUIRE(parsed);
     const emulator::Scenario& plan = *parsed;
@@ -68,7 +69,7 @@
 }
 
 TEST_CASE(
-    "the bad day keeps the rules with a yes on running, a list that must be asked for, and use reported") {
+    "the bad day keeps the rules with acceptance when running, discovery on request, and use reported") {
     std::string text = bad_day();
     const auto swap = [&text](const std::string& from, const std::string& to) {
         const std::size_t at = text.find(from);
--- a/tests/warm_up_test.cpp
+++ b/tests/warm_up_test.cpp
@@ -1,4 +1,4 @@
-// The slow start of an emulated worker.
+// Slow start of an emulated worker.
 #include "emulator/warm_up.h"
 
 #include <catch2/catch.hpp>
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-TEST_CASE("capacity grows evenly from its initial part to the whole") {
+TEST_CASE("capacity grows linearly from its initial share to the full capacity") {
     const emulator::EmulatedWorkerSettings given = settings();
     const emulator::WarmUp warm_up(given, 100 * kSecond);
     CHECK(warm_up.capacity(100 * kSecond) == Approx(0.2));
@@ -29,7 +29,7 @@
     CHECK(emulator::WarmUp(given, 0).complete(1));
 }
 
-TEST_CASE("more attempts within the window than it bears overload a worker, until it is warm") {
+TEST_CASE("more attempts within the window than the limit overload a worker, until its warm-up is complete") {
     const emulator::EmulatedWorkerSettings given = settings();
     emulator::WarmUp warm_up(given, 100 * kSecond);
     const Nanos start = 101 * kSecond;
