--- a/emulator/discovery_service.cpp
+++ b/emulator/discovery_service.cpp
@@ -222,12 +222,12 @@
 }
 
 void DiscoveryService::begin_stale_view(Nanos age, const std::vector<v1::Endpoint>& ghosts,
-                                        const std::vector<std::string>& unknown) {
+                                        const std::vector<std::string>& missing) {
     stale_since_ = loop_.now() - age;
     v1::EndpointUpdate& update = *stale_view_.mutable_update();
     update.set_is_snapshot(true);
     for (const auto& [name, known] : endpoints_)
-        if (std::find(unknown.begin(), unknown.end(), name) == unknown.end())
+        if (std::find(missing.begin(), missing.end(), name) == missing.end())
             *update.add_endpoints() = with_uptime(known);
     for (const v1::Endpoint& ghost : ghosts) *update.add_endpoints() = ghost;
 }
--- a/emulator/discovery_service.h
+++ b/emulator/discovery_service.h
@@ -41,9 +41,9 @@
     // Sends the oldest snapshot that is kept, with its original sequence number.
     void replay_old_snapshot();
     // Until end_stale_view(), every update is the same snapshot, `age` old: the current endpoints plus
-    // `ghosts` (workers that no longer exist) and without the workers named in `unknown`.
+    // `ghosts` (workers that no longer exist) and without the workers named in `missing`.
     void begin_stale_view(Nanos age, const std::vector<v1::Endpoint>& ghosts,
-                          const std::vector<std::string>& unknown);
+                          const std::vector<std::string>& missing);
     void end_stale_view();
     void send_empty_snapshot();
     // Sends one update with two endpoints of the same worker: `other`, then the current one.
--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -26,12 +26,12 @@
 
 struct EmulatedClient::Task {
     TaskRequest request;
-    Nanos due = 0;               // time of submit()
-    Nanos until = 0;             // the client's deadline for the request
+    Nanos submitted_at = 0;      // time of submit()
+    Nanos deadline = 0;          // the client's deadline for the request
     std::uint64_t id = 0;        // of the open request; 0: none
     Session* session = nullptr;  // of the open request
     std::string worker;          // where it is placed
-    bool first = true;           // not placed yet
+    bool unplaced = true;        // until the first placement
     bool may_run = false;        // TaskFailed arrived, and an attempt may still run
     std::unique_ptr<ScheduledCall> scheduled;
 };
@@ -127,7 +127,7 @@
     event.task = task.request.task;
     event.service = task.request.service;
     event.group = task.request.group;
-    event.until = task.until;
+    event.until = task.deadline;
     event.request = task.id;
     event.text = text;
     if (kind == EventKind::handed_over) event.worker = task.worker;
@@ -140,8 +140,8 @@
     auto& task = tasks_[request.task];
     task = std::make_unique<Task>();
     task->request = request;
-    task->due = fleet_.now();
-    task->until = task->due + request.queue_timeout;
+    task->submitted_at = fleet_.now();
+    task->deadline = task->submitted_at + request.queue_timeout;
     ++counts_of(*task).requested;
     ++waiting_;
     send_request(*task, false);
@@ -171,7 +171,7 @@
 
 void EmulatedClient::send_request(Task& task, bool retry) {
     const Nanos now = fleet_.now();
-    if (task.first && now >= task.until) {
+    if (task.unplaced && now >= task.deadline) {
         ++counts_of(task).abandoned;
         --waiting_;
         tasks_.erase(task.request.task);
@@ -185,9 +185,9 @@
     task.may_run = false;
     session->open[task.id] = &task;
     // A task that was placed and then lost gets the full queue timeout again.
-    if (!task.first) task.until = now + task.request.queue_timeout;
+    if (!task.unplaced) task.deadline = now + task.request.queue_timeout;
     v1::FromClient message;
-    *message.mutable_submit() = make_submit(task, task.until - now);
+    *message.mutable_submit() = make_submit(task, task.deadline - now);
     message.mutable_submit()->set_is_retry(retry);
     record(EventKind::submitted, *session, task);
     session->send(message);
@@ -206,7 +206,7 @@
 }
 
 void EmulatedClient::abandon(Task& task) {
-    if (task.first) --waiting_;
+    if (task.unplaced) --waiting_;
     ++counts_of(task).abandoned;
     tasks_.erase(task.request.task);
 }
@@ -245,11 +245,11 @@
 void EmulatedClient::on_placed(Session& session, Task& task, const std::string& worker) {
     record(EventKind::placed, session, task, worker);
     task.worker = worker;
-    if (!std::exchange(task.first, false)) return;
+    if (!std::exchange(task.unplaced, false)) return;
     QueueGroupCounts& counts = counts_of(task);
     ++counts.accepted;
     --waiting_;
-    counts.in_time += fleet_.now() - task.due <= group_of(task).start_objective;
+    counts.in_time += fleet_.now() - task.submitted_at <= group_of(task).start_objective;
 }
 
 void EmulatedClient::on_rejected(Session& session, Task& task, const v1::TaskRejected& rejected) {
@@ -281,8 +281,8 @@
     task.scheduled.reset();
     close_request(session, task);
     task.worker = worker;
-    if (task.first) --waiting_;
-    task.first = false;
+    if (task.unplaced) --waiting_;
+    task.unplaced = false;
     task.may_run = false;
     session.orphans.push_back(&task);
     hand_over(session);
@@ -319,7 +319,7 @@
 void EmulatedClient::on_request_lost(Session& session, Task& task) {
     task.id = 0;
     task.session = nullptr;
-    if (!task.worker.empty() && !task.first) {
+    if (!task.worker.empty() && !task.unplaced) {
         session.orphans.push_back(&task);
         return;
     }
--- a/emulator/emulated_worker.cpp
+++ b/emulator/emulated_worker.cpp
@@ -124,7 +124,7 @@
     reply.mutable_hello()->set_incarnation(identity_.incarnation);
     session.send(reply);
     for (const RememberedEnd& end : remembered_ends_)
-        if (end.placer.same_life(session.placer())) session.send(end.message);
+        if (end.placer.same_incarnation(session.placer())) session.send(end.message);
     session.send(state_for(session.placer()));
     if (draining_) fleet_.events().add(make_event(EventKind::drain_announced, session.placer().label, ""));
 }
@@ -145,10 +145,10 @@
         held.set_running(running);
     };
     for (const auto& request : queue_)
-        if (!request->is_health_check && !request->cancelled && request->placer.same_life(placer))
+        if (!request->is_health_check && !request->cancelled && request->placer.same_incarnation(placer))
             add_attempt(request->attempt.attempt(), false, false);
     for (const auto& task : tasks_)
-        if (task->placer.same_life(placer))
+        if (task->placer.same_incarnation(placer))
             add_attempt(task->attempt.attempt(), !settings_.accepts_when_running || task->running,
                         task->running);
     return message;
@@ -254,7 +254,7 @@
         return;
     }
     for (const auto& session : sessions_) {
-        if (!session->placer().same_life(placer)) continue;
+        if (!session->placer().same_incarnation(placer)) continue;
         session->send(message);
         if (faults_.duplicate_accepts && message.has_accepted()) session->send(message);
     }
--- a/emulator/emulated_worker_tasks.cpp
+++ b/emulator/emulated_worker_tasks.cpp
@@ -12,8 +12,8 @@
 
 constexpr Nanos kPausePoll = 50 * kMillisecond;
 constexpr Nanos kDefaultRuntime = 10 * kSecond;
-constexpr double kLeastServiceShare = 0.05;
-constexpr double kLeastDegradationRange = 0.01;
+constexpr double kMinServiceShare = 0.05;
+constexpr double kMinDegradationRange = 0.01;
 // Pressure is reported below this service share and above this memory utilization.
 constexpr double kReportedServiceShare = 0.95;
 constexpr double kReportedMemoryUtilization = 0.85;
@@ -126,8 +126,8 @@
 double EmulatedWorker::service_share(int group_number) const {
     const QueueGroup& group = fleet_.group(group_number);
     const double utilization = used_cores_ * faults_.slowdown / settings_.cores;
-    const double range = std::max(group.degradation_range, kLeastDegradationRange);
-    return std::clamp(1 - (utilization - group.full_service_utilization) / range, kLeastServiceShare, 1.0);
+    const double range = std::max(group.degradation_range, kMinDegradationRange);
+    return std::clamp(1 - (utilization - group.full_service_utilization) / range, kMinServiceShare, 1.0);
 }
 
 void EmulatedWorker::add_service(std::vector<double>& running, std::vector<double>& served) const {
--- a/emulator/invariant_checker.cpp
+++ b/emulator/invariant_checker.cpp
@@ -259,17 +259,17 @@
 
     void on_attempt(const RecordedEvent& event) {
         // The time of arrival is close to the time of sending only without a fault or stall.
-        const bool timed =
+        const bool time_known =
             !faulty(event.worker, event.at, event.at) && !stalled(event.placer, event.at, event.at);
-        if (timed) check_drain(event);
+        if (time_known) check_drain(event);
         const bool added =
             attempts_[event.placer]
                 .emplace(event.attempt, ObservedAttempt{event.at, event.worker, event.task, event.request})
                 .second;
         if (!added) report(Rule::twice, "one attempt arrived at workers twice", event);
-        check_repeat(event, timed);
-        if (timed) check_after_answer(event);
-        if (group(event.group).spread_domain != FailureDomain::none) check_spread(event, timed);
+        check_repeat(event, time_known);
+        if (time_known) check_after_answer(event);
+        if (group(event.group).spread_domain != FailureDomain::none) check_spread(event, time_known);
     }
 
     void check_drain(const RecordedEvent& event) {
@@ -279,7 +279,7 @@
     }
 
     // Compares the attempt with earlier attempts of the same request.
-    void check_repeat(const RecordedEvent& event, bool timed) {
+    void check_repeat(const RecordedEvent& event, bool time_known) {
         const QueueGroup& settings = group(event.group);
         std::vector<std::uint64_t>& numbers = by_request_[{event.placer, event.request}];
         const ObservedAttempt* first_that_may_have_run = nullptr;
@@ -289,14 +289,14 @@
             if (!first_that_may_have_run) first_that_may_have_run = &attempt;
             if (attempt.known_over() || faulty(attempt.worker, attempt.at, event.at)) continue;
             // check_effect() is stricter for the other effects.
-            if (timed && settings.effect == Effect::idempotent)
+            if (time_known && settings.effect == Effect::idempotent)
                 overlaps_.push_back({event, attempt.worker, number, event.at + settings_.slack});
         }
-        if (first_that_may_have_run) check_effect(event, *first_that_may_have_run, timed);
+        if (first_that_may_have_run) check_effect(event, *first_that_may_have_run, time_known);
         numbers.push_back(event.attempt);
     }
 
-    void check_effect(const RecordedEvent& event, const ObservedAttempt& earlier, bool timed) {
+    void check_effect(const RecordedEvent& event, const ObservedAttempt& earlier, bool time_known) {
         const QueueGroup& settings = group(event.group);
         if (settings.effect == Effect::side_effecting)
             report(Rule::twice, "attempt of a side-effecting task after an earlier attempt that may have run",
@@ -304,7 +304,7 @@
         if (settings.effect != Effect::keyed) return;
         if (!same_domain(earlier.worker, event.worker, settings.deduplicated_by))
             report(Rule::twice, "repeated outside the failure domain that rejects repeats", event);
-        if (timed && event.at - earlier.at > settings.deduplication_window + settings_.slack)
+        if (time_known && event.at - earlier.at > settings.deduplication_window + settings_.slack)
             report(Rule::twice, "repeated after the deduplication window", event);
     }
 
@@ -319,7 +319,7 @@
             report(Rule::lost, "attempt started after the final answer", event);
     }
 
-    void check_spread(const RecordedEvent& event, bool timed) {
+    void check_spread(const RecordedEvent& event, bool time_known) {
         const QueueGroup& settings = group(event.group);
         std::vector<std::uint64_t>& numbers = by_service_[{event.placer, event.service}];
         numbers.push_back(event.attempt);
@@ -334,7 +334,7 @@
             in_domain += same_domain(attempt.worker, event.worker, settings.spread_domain) &&
                          !attempt.known_over() && !faulty(attempt.worker, attempt.at, attempt.at);
         }
-        if (in_domain > settings.max_per_domain && timed)
+        if (in_domain > settings.max_per_domain && time_known)
             report(Rule::spread, "more tasks of one service in a failure domain than allowed", event);
     }
 
--- a/emulator/scenario_parser.cpp
+++ b/emulator/scenario_parser.cpp
@@ -21,7 +21,7 @@
 enum class FaultTarget { none, workers, placer, client };
 
 struct FaultTraits {
-    std::string_view word;  // name in scenario files
+    std::string_view name;  // name in scenario files
     FaultTarget target;
     bool needs_duration;
     bool size_is_share;
@@ -48,11 +48,11 @@
 
 const FaultTraits& traits_of(FaultKind kind) { return kFaults[static_cast<std::size_t>(kind)]; }
 
-std::vector<std::string_view> fault_words() {
-    std::vector<std::string_view> words;
-    words.reserve(kFaults.size());
-    for (const FaultTraits& traits : kFaults) words.push_back(traits.word);
-    return words;
+std::vector<std::string_view> fault_names() {
+    std::vector<std::string_view> names;
+    names.reserve(kFaults.size());
+    for (const FaultTraits& traits : kFaults) names.push_back(traits.name);
+    return names;
 }
 
 // In the order of Metric.
@@ -107,7 +107,7 @@
     void read_basics() {
         fault_.at = table_.duration("at_s", 0, scenario_.length);
         fault_.duration = table_.duration("for_s", 0, scenario_.length, 0);
-        fault_.kind = static_cast<FaultKind>(table_.choice("do", fault_words()));
+        fault_.kind = static_cast<FaultKind>(table_.choice("do", fault_names()));
         fault_.size = table_.number("size", 0, 1e6, 1);
         fault_.announce = table_.boolean("tell", true);
         if (traits_of(fault_.kind).size_is_share && fault_.size > 1)
@@ -237,12 +237,12 @@
         read_day(day);
         read_fleet(day);
         read_placer_settings();
-        for (const NamedQueueGroup& group : scenario_.groups) group_words_.push_back(group.name);
+        for (const NamedQueueGroup& group : scenario_.groups) group_names_.push_back(group.name);
         read_loads(day.number("load", 0, 1000, 1));
         scenario_.first_placer_share = day.number("lean", 0, 1, 0);
         if (root_.has("network")) read_network();
         if (root_.has("list_at_start")) read_stale_discovery();
-        for (Table& table : root_.tables("fault")) FaultReader(scenario_, table, group_words_).read();
+        for (Table& table : root_.tables("fault")) FaultReader(scenario_, table, group_names_).read();
         std::stable_sort(scenario_.faults.begin(), scenario_.faults.end(),
                          [](const Fault& one, const Fault& other) { return one.at < other.at; });
         for (Table& table : root_.tables("expect")) scenario_.expectations.push_back(read_expectation(table));
@@ -318,7 +318,7 @@
     void read_loads(double factor) {
         for (Table& table : root_.tables("load")) {
             LoadProfile load;
-            load.group = static_cast<int>(table.choice("group", group_words_));
+            load.group = static_cast<int>(table.choice("group", group_names_));
             load.per_second = factor * table.number("a_second", 0, 1e6);
             load.services = static_cast<int>(table.integer("services", 1, 100'000, 4));
             load.batch_size = static_cast<int>(table.integer("batch", 1, 10'000, 1));
@@ -360,7 +360,7 @@
     Expectation read_expectation(Table& table) {
         Expectation expectation;
         expectation.metric = static_cast<Metric>(table.choice("of", kMetrics));
-        if (table.has("group")) expectation.group = static_cast<int>(table.choice("group", group_words_));
+        if (table.has("group")) expectation.group = static_cast<int>(table.choice("group", group_names_));
         expectation.from = table.duration("from_s", 0, scenario_.length, 0);
         expectation.to = table.duration("to_s", 0, scenario_.length, scenario_.length);
         if (expectation.to <= expectation.from) table.add_error("to_s", "must be later than from_s");
@@ -405,7 +405,7 @@
     Table root_;
     const ScenarioOverrides& overrides_;
     Scenario scenario_;
-    std::vector<std::string_view> group_words_;
+    std::vector<std::string_view> group_names_;
 };
 
 // The tables shared by all placers' files: the scenario file without the tables used only by the emulator and
@@ -422,7 +422,7 @@
 
 }  // namespace
 
-std::string_view to_string(FaultKind kind) { return traits_of(kind).word; }
+std::string_view to_string(FaultKind kind) { return traits_of(kind).name; }
 std::string_view to_string(Metric metric) { return kMetrics[static_cast<std::size_t>(metric)]; }
 
 tl::expected<Scenario, config::ConfigErrors> parse_scenario(const std::string& text, const std::string& name,
--- a/emulator/scenario_run.cpp
+++ b/emulator/scenario_run.cpp
@@ -80,9 +80,9 @@
         ghost.set_free_memory(scenario_.kinds[0].memory);
         ghosts.push_back(ghost);
     }
-    std::vector<std::string> unknown;
-    for (std::size_t i = 0; i < stale.missing; ++i) unknown.push_back(workers_->name(i));
-    discovery_->begin_stale_view(stale.age, ghosts, unknown);
+    std::vector<std::string> missing;
+    for (std::size_t i = 0; i < stale.missing; ++i) missing.push_back(workers_->name(i));
+    discovery_->begin_stale_view(stale.age, ghosts, missing);
 }
 
 void ScenarioRun::start_placers_and_clients() {
@@ -138,7 +138,7 @@
 
 void ScenarioRun::submit_batch(const LoadProfile& load) {
     const std::string service = scenario_.groups[static_cast<std::size_t>(load.group)].name + "-" +
-                                std::to_string(roll(static_cast<std::size_t>(load.services)));
+                                std::to_string(draw_index(static_cast<std::size_t>(load.services)));
     const std::size_t shape = stable_hash(service) % load.cores.size();
     for (int i = 0; i < load.batch_size; ++i) {
         TaskRequest request;
@@ -149,7 +149,7 @@
         request.memory = load.memory[shape];
         request.queue_timeout = load.queue_timeout;
         request.runtime =
-            load.min_runtime + static_cast<Nanos>(static_cast<double>(roll(4096)) / 4096 *
+            load.min_runtime + static_cast<Nanos>(static_cast<double>(draw_index(4096)) / 4096 *
                                                   static_cast<double>(load.max_runtime - load.min_runtime));
         draw_client().submit(request);
     }
@@ -157,7 +157,7 @@
 
 // Skips clients that have left a placer, unless all have.
 EmulatedClient& ScenarioRun::draw_client() {
-    std::size_t number = roll(clients_.size());
+    std::size_t number = draw_index(clients_.size());
     for (std::size_t tried = 0; clients_[number]->has_left() && tried < clients_.size(); ++tried)
         number = (number + 1) % clients_.size();
     return *clients_[number];
--- a/emulator/scenario_run.h
+++ b/emulator/scenario_run.h
@@ -60,7 +60,7 @@
     void on_arrival(std::size_t load);
     void submit_batch(const LoadProfile&);
     Nanos draw_gap(const LoadProfile&);
-    std::size_t roll(std::size_t sides) { return static_cast<std::size_t>(random_()) % sides; }
+    std::size_t draw_index(std::size_t count) { return static_cast<std::size_t>(random_()) % count; }
     EmulatedClient& draw_client();
     void inject(const Fault&);
     void publish_workers();
--- a/emulator/worker_session.h
+++ b/emulator/worker_session.h
@@ -18,7 +18,7 @@
     std::uint64_t incarnation = 0;
     std::string label;  // name#incarnation; empty until the placer's Hello arrives
 
-    bool same_life(const PlacerId& other) const {
+    bool same_incarnation(const PlacerId& other) const {
         return name == other.name && incarnation == other.incarnation;
     }
 };
