--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -30,7 +30,7 @@
     Nanos deadline = 0;          // the client's deadline for the request
     std::uint64_t id = 0;        // of the open request; 0: none
     Session* session = nullptr;  // of the open request
-    std::string worker;          // where it is placed
+    std::string worker;          // on which it is placed; empty: none
     bool unplaced = true;        // until the first placement
     bool may_run = false;        // TaskFailed arrived, and an attempt may still run
     std::unique_ptr<ScheduledCall> scheduled;
--- a/emulator/event_log.h
+++ b/emulator/event_log.h
@@ -12,7 +12,7 @@
 namespace whinpost::emulator {
 
 enum class EventKind {
-    // at a worker
+    // observed at a worker
     attempt_received,
     cancel_received,
     attempt_accepted,  // this and the next two: answers that the worker sent
@@ -20,16 +20,16 @@
     attempt_ended,      // accepted but ended before it ran, or failed to start
     task_started,       // the task began to run
     task_stopped,       // the task stopped running, for any reason
-    drain_announced,    // to this placer
+    drain_announced,    // the worker told this placer that it is draining
     worker_overloaded,  // by attempts during its warm-up; it never recovers
     fault_began,        // until fault_ended, messages to and from the worker may be late or lost
     fault_ended,
     worker_connection_lost,  // a placer's connection to a worker ended
-    // at the discovery service: the phase of an endpoint that it sent to a placer
+    // observed at the discovery service: the phase of an endpoint that it sent to a placer
     listed_serving,
     listed_draining,
     listed_gone,
-    // at a client
+    // observed at a client
     submitted,
     handed_over,
     received,
@@ -39,7 +39,7 @@
     ended,
     cancelled,
     client_connection_lost,  // the client's connection to a placer ended
-    // by the scenario
+    // caused by the scenario
     placer_killed,
     placer_stalled,  // until placer_resumed
     placer_resumed,
--- a/emulator/invariant_checker.cpp
+++ b/emulator/invariant_checker.cpp
@@ -398,7 +398,7 @@
     Nanos end_;
     Verdict verdict_;
     std::map<std::string, WorkerLocation> locations_;
-    std::map<std::string, std::map<std::uint64_t, ObservedAttempt>> attempts_;  // by placer, number
+    std::map<std::string, std::map<std::uint64_t, ObservedAttempt>> attempts_;  // by placer, attempt number
     std::map<NameAndNumber, std::vector<std::uint64_t>> by_request_;            // by placer, request
     std::map<NamePair, std::vector<std::uint64_t>>
         by_service_;  // by placer, service; only groups with a spread domain
--- a/emulator/scenario.h
+++ b/emulator/scenario.h
@@ -53,7 +53,7 @@
     std::size_t target = 0;  // index of the placer or client
     double size = 1;
     bool announce = true;
-    int group = -1;                                  // -1: all
+    int group = -1;                                  // -1: all queue groups
     bool blocks_input = true, blocks_output = true;  // of a partition, as seen by the worker
 };
 
@@ -77,7 +77,7 @@
 
 struct Expectation {
     Metric metric{};
-    int group = -1;  // -1: all
+    int group = -1;  // -1: all queue groups
     Nanos from = 0, to = 0;
     bool at_least = false;  // else at most
     double bound = 0;
--- a/emulator/worker_pool.h
+++ b/emulator/worker_pool.h
@@ -15,7 +15,7 @@
 namespace whinpost::emulator {
 
 struct StartError {
-    std::string component;  // a worker's name, or the discovery service
+    std::string component;  // the worker's name, or "the discovery service"
     std::string address;    // empty for the discovery service
     net::ListenError error;
 };
