--- a/tests/invariant_checker_test.cpp
+++ b/tests/invariant_checker_test.cpp
@@ -11,50 +11,55 @@
 
 namespace {
 
-struct Lax final : ledger::Ledger {
-    Lax(std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c, bool mute)
-        : Ledger(std::move(g), t, c), mute_(mute) {}
-    ledger::Refusal check_attempt(Nanos, const ledger::TaskRecord& r,
+struct PermissiveLedger final : ledger::Ledger {
+    PermissiveLedger(std::vector<QueueGroup> groups, RetrySettings retry, SlowStartSettings slow_start,
+                     bool drops_answers)
+        : Ledger(std::move(groups), retry, slow_start), drops_answers_(drops_answers) {}
+    ledger::Refusal check_attempt(Nanos, const ledger::TaskRecord& task,
                                   const ledger::WorkerRecord&) const override {
-        return r.attempts.size() < 4 ? ledger::Refusal::none : ledger::Refusal::too_many_attempts;
+        return task.attempts.size() < 4 ? ledger::Refusal::none : ledger::Refusal::too_many_attempts;
     }
     bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
-    bool record_answer(Nanos now, ledger::TaskRecord& r, ledger::Answer a) override {
-        return !mute_ && Ledger::record_answer(now, r, a);
+    bool record_answer(Nanos now, ledger::TaskRecord& task, ledger::Answer answer) override {
+        return !drops_answers_ && Ledger::record_answer(now, task, answer);
     }
-    bool mute_;
+    bool drops_answers_;
 };
 
-enum class Does { binds_twice, ignores_drains, floods_the_cold, crowds, says_nothing };
+enum class Misbehavior { places_twice, ignores_drains, overloads_new_worker, ignores_spread, never_answers };
 
-// Places each task at once, and breaks the rule that `does` selects.
-struct Rogue final : QuietPlanner {
-    Rogue(server::PlacerServer& e, Does d) : edge(e), does(d) {}
-    void on_endpoint(Nanos, planner::WorkerNumber n, std::uint64_t, const EndpointState& l) override {
-        if (known.size() <= n) known.resize(n + 1);
-        known[n] = l;
+// Places each task at once, and breaks the rule that `misbehavior` selects.
+struct RuleBreakingPlanner final : QuietPlanner {
+    RuleBreakingPlanner(server::PlacerServer& server, Misbehavior kind)
+        : placer_server(server), misbehavior(kind) {}
+    void on_endpoint(Nanos, planner::WorkerNumber worker, std::uint64_t,
+                     const EndpointState& endpoint) override {
+        if (endpoints.size() <= worker) endpoints.resize(worker + 1);
+        endpoints[worker] = endpoint;
     }
     void run_round(Nanos) override {
-        if (known.empty()) return;
-        for (const planner::TaskNumber c : std::exchange(submitted, {})) {
-            const auto n = static_cast<planner::WorkerNumber>(known.size());
-            planner::WorkerNumber to = turn++ % n;
-            if (does == Does::crowds || does == Does::ignores_drains) to = 0;
-            if (does == Does::floods_the_cold)
-                for (planner::WorkerNumber i = 0; i < n; ++i)
-                    if (known[i].started_at) to = i;
-            if (does == Does::says_nothing) continue;
-            edge.place(c, to, 60 * kSecond);
-            if (does == Does::binds_twice) edge.place(c, (to + 1) % n, 60 * kSecond);
+        if (endpoints.empty()) return;
+        for (const planner::TaskNumber task : std::exchange(submitted, {})) {
+            const auto count = static_cast<planner::WorkerNumber>(endpoints.size());
+            planner::WorkerNumber worker = next_worker++ % count;
+            if (misbehavior == Misbehavior::ignores_spread || misbehavior == Misbehavior::ignores_drains)
+                worker = 0;
+            if (misbehavior == Misbehavior::overloads_new_worker)
+                for (planner::WorkerNumber i = 0; i < count; ++i)
+                    if (endpoints[i].started_at) worker = i;
+            if (misbehavior == Misbehavior::never_answers) continue;
+            placer_server.place(task, worker, 60 * kSecond);
+            if (misbehavior == Misbehavior::places_twice)
+                placer_server.place(task, (worker + 1) % count, 60 * kSecond);
         }
     }
-    server::PlacerServer& edge;
-    Does does;
-    std::vector<EndpointState> known;
-    planner::WorkerNumber turn = 0;
+    server::PlacerServer& placer_server;
+    Misbehavior misbehavior;
+    std::vector<EndpointState> endpoints;
+    planner::WorkerNumber next_worker = 0;
 };
 
-constexpr const char* kDay = R"(
+constexpr const char* kScenario = R"(
 [day]
 length_s = 12
 seed = 3
@@ -100,37 +105,40 @@
 node = 3
 )";
 
-emulator::RunResult play(Does does, bool lax) {
-    const auto parsed = emulator::parse_scenario(kDay, "day");
+emulator::RunResult run_scenario(Misbehavior misbehavior, bool permissive) {
+    const auto parsed = emulator::parse_scenario(kScenario, "day");
     REQUIRE(parsed);
-    const emulator::Scenario& plan = *parsed;
-    simulation::SimulatedNetwork world(9);
-    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
-    std::vector<std::unique_ptr<Rogue>> rogues;
-    if (lax)
-        ground.make_ledger = [does](std::vector<QueueGroup> g, RetrySettings t, SlowStartSettings c) {
-            return std::make_unique<Lax>(std::move(g), t, c, does == Does::says_nothing);
+    const emulator::Scenario& scenario = *parsed;
+    simulation::SimulatedNetwork network(9);
+    simulation::SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
+    std::vector<std::unique_ptr<RuleBreakingPlanner>> planners;
+    if (permissive)
+        environment.make_ledger = [misbehavior](std::vector<QueueGroup> groups, RetrySettings retry,
+                                                SlowStartSettings slow_start) {
+            return std::make_unique<PermissiveLedger>(std::move(groups), retry, slow_start,
+                                                      misbehavior == Misbehavior::never_answers);
         };
-    ground.on_placer_made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
-        rogues.push_back(std::make_unique<Rogue>(placer.server, does));
-        placer.server.set_planner(*rogues.back());
+    environment.on_placer_made = [&](std::size_t, apps::EmbeddedPlacer& placer) {
+        planners.push_back(std::make_unique<RuleBreakingPlanner>(placer.server, misbehavior));
+        placer.server.set_planner(*planners.back());
     };
-    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
-    return simulation::run_to_end(world, day);
+    emulator::ScenarioRun run(scenario, environment, [](const std::string&) {});
+    return simulation::run_to_end(network, run);
 }
 
 }  // namespace
 
 TEST_CASE("the checker reports a violation of each rule, and the real ledger prevents each one") {
-    const auto [does, rule] = GENERATE(table<Does, Rule>({{Does::binds_twice, Rule::twice},
-                                                          {Does::ignores_drains, Rule::drain},
-                                                          {Does::floods_the_cold, Rule::overload},
-                                                          {Does::crowds, Rule::spread},
-                                                          {Does::says_nothing, Rule::lost}}));
-    const emulator::RunResult broken = play(does, true);
-    INFO(broken.verdict.summary());
-    CHECK(broken.verdict.count(rule) > 0);
-    const emulator::RunResult guarded = play(does, false);
+    const auto [misbehavior, rule] =
+        GENERATE(table<Misbehavior, Rule>({{Misbehavior::places_twice, Rule::twice},
+                                           {Misbehavior::ignores_drains, Rule::drain},
+                                           {Misbehavior::overloads_new_worker, Rule::overload},
+                                           {Misbehavior::ignores_spread, Rule::spread},
+                                           {Misbehavior::never_answers, Rule::lost}}));
+    const emulator::RunResult unguarded = run_scenario(misbehavior, true);
+    INFO(unguarded.verdict.summary());
+    CHECK(unguarded.verdict.count(rule) > 0);
+    const emulator::RunResult guarded = run_scenario(misbehavior, false);
     INFO(guarded.verdict.summary());
     CHECK(guarded.verdict.kept());
 }
--- a/tests/scenario_run_test.cpp
+++ b/tests/scenario_run_test.cpp
@@ -13,17 +13,17 @@
 
 namespace {
 
-std::string bad_day() {
+std::string read_bad_day() {
     std::ifstream in(std::string(WHINPOST_SOURCE) + "/emulator/days/bad-day.toml");
     return {std::istreambuf_iterator<char>(in), {}};
 }
 
 // Describes each violation, with the history of its task.
-std::string told(const emulator::RunResult& out, const emulator::ScenarioRun& day) {
-    std::string all;
-    for (const emulator::Violation& b : out.verdict.violations)
-        all += emulator::describe(day.events(), b, day.started_at());
-    return all;
+std::string describe_violations(const emulator::RunResult& result, const emulator::ScenarioRun& run) {
+    std::string description;
+    for (const emulator::Violation& violation : result.verdict.violations)
+        description += emulator::describe(run.events(), violation, run.started_at());
+    return description;
 }
 
 }  // namespace
@@ -31,64 +31,64 @@
 // Hidden: run it with `whinpost_scenario_tests "[search]"`. The environment variable SEEDS=first,count
 // selects the seeds.
 TEST_CASE("the bad day keeps the rules for many seeds", "[.][search]") {
-    emulator::Scenario plan = emulator::parse_scenario(bad_day(), "bad-day.toml").value();
+    emulator::Scenario scenario = emulator::parse_scenario(read_bad_day(), "bad-day.toml").value();
     unsigned long first = 1, count = 20;
     if (const char* seeds = std::getenv("SEEDS")) std::sscanf(seeds, "%lu,%lu", &first, &count);
     for (unsigned long seed = first; seed < first + count; ++seed) {
-        plan.seed = seed;
-        simulation::SimulatedNetwork world(seed);
-        simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
-        emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
-        const emulator::RunResult out = simulation::run_to_end(world, day);
-        std::string all = "seed " + std::to_string(seed) + "\n";
-        all += told(out, day);
-        INFO(all);
-        CHECK(out.verdict.kept());
-        CHECK(out.pending == 0);
+        scenario.seed = seed;
+        simulation::SimulatedNetwork network(seed);
+        simulation::SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
+        emulator::ScenarioRun run(scenario, environment, [](const std::string&) {});
+        const emulator::RunResult result = simulation::run_to_end(network, run);
+        std::string description = "seed " + std::to_string(seed) + "\n";
+        description += describe_violations(result, run);
+        INFO(description);
+        CHECK(result.verdict.kept());
+        CHECK(result.pending == 0);
     }
 }
 
 TEST_CASE("the bad day keeps the rules in virtual time, and repeats byte for byte") {
-    const auto parsed = emulator::parse_scenario(bad_day(), "bad-day.toml");
+    const auto parsed = emulator::parse_scenario(read_bad_day(), "bad-day.toml");
     REQUIRE(parsed);
-    const emulator::Scenario& plan = *parsed;
+    const emulator::Scenario& scenario = *parsed;
     std::uint64_t digests[2];
     for (std::uint64_t& digest : digests) {
-        simulation::SimulatedNetwork world(5);
-        simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
-        emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
-        const emulator::RunResult out = simulation::run_to_end(world, day);
-        UNSCOPED_INFO(told(out, day));
-        INFO(day.table(out));
-        CHECK(out.verdict.kept());
-        CHECK(out.pending == 0);
-        CHECK(out.counts[0].accepted > 2000);
-        digest = world.digest();
+        simulation::SimulatedNetwork network(5);
+        simulation::SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
+        emulator::ScenarioRun run(scenario, environment, [](const std::string&) {});
+        const emulator::RunResult result = simulation::run_to_end(network, run);
+        UNSCOPED_INFO(describe_violations(result, run));
+        INFO(run.table(result));
+        CHECK(result.verdict.kept());
+        CHECK(result.pending == 0);
+        CHECK(result.counts[0].accepted > 2000);
+        digest = network.digest();
     }
     CHECK(digests[0] == digests[1]);
 }
 
 TEST_CASE(
     "the bad day keeps the rules with acceptance when running, discovery on request, and use reported") {
-    std::string text = bad_day();
-    const auto swap = [&text](const std::string& from, const std::string& to) {
+    std::string text = read_bad_day();
+    const auto replace = [&text](const std::string& from, const std::string& to) {
         const std::size_t at = text.find(from);
         REQUIRE(at != std::string::npos);
         text.replace(at, from.size(), to);
     };
-    swap("yes_on = \"acceptance\"", "yes_on = \"running\"\nfree_means = \"not_in_use\"");
-    swap("list_late_ms = 500", "list_late_ms = 500\nlist_pushes = false");
+    replace("yes_on = \"acceptance\"", "yes_on = \"running\"\nfree_means = \"not_in_use\"");
+    replace("list_late_ms = 500", "list_late_ms = 500\nlist_pushes = false");
     const auto parsed = emulator::parse_scenario(text, "bad-day.toml");
     REQUIRE(parsed);
-    const emulator::Scenario& plan = *parsed;
-    simulation::SimulatedNetwork world(6);
-    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
-    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
-    const emulator::RunResult out = simulation::run_to_end(world, day);
-    std::string all;
-    all += told(out, day);
-    INFO(all);
-    CHECK(out.verdict.kept());
-    CHECK(out.pending == 0);
-    CHECK(out.counts[0].accepted > 2000);
+    const emulator::Scenario& scenario = *parsed;
+    simulation::SimulatedNetwork network(6);
+    simulation::SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
+    emulator::ScenarioRun run(scenario, environment, [](const std::string&) {});
+    const emulator::RunResult result = simulation::run_to_end(network, run);
+    std::string description;
+    description += describe_violations(result, run);
+    INFO(description);
+    CHECK(result.verdict.kept());
+    CHECK(result.pending == 0);
+    CHECK(result.counts[0].accepted > 2000);
 }
