--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -8,9 +8,10 @@
 namespace {
 
 constexpr std::size_t kMaxMessageSize = 1 << 20;
-// How long clients wait before they retry of themselves; a rejection may ask for more.
+// Delay before a retry; TaskRejected.retry_after may ask for a longer one.
 constexpr Nanos kRetryDelay = 1 * kSecond;
-// Where an attempt may have run and a second would do harm, a client waits so long whether it turns up.
+// How long a client waits for TaskFound after a failure, if a second run of the task would do harm; also the
+// delay before a lost task is submitted again.
 constexpr Nanos kSettleTime = 3 * kSecond;
 constexpr Nanos kReconnectDelay = 200 * kMillisecond;
 constexpr Nanos kNoPlacerDelay = 100 * kMillisecond;
@@ -25,17 +26,17 @@
 
 struct EmulatedClient::Task {
     TaskRequest request;
-    Nanos due = 0;               // when it was first submitted
-    Nanos until = 0;             // when the client gives up the request
-    std::uint64_t id = 0;        // of the open request, 0: none
+    Nanos submitted_at = 0;      // time of submit()
+    Nanos deadline = 0;          // the client's deadline for the request
+    std::uint64_t id = 0;        // of the open request; 0: none
     Session* session = nullptr;  // of the open request
-    std::string worker;          // where it is placed
-    bool first = true;           // it has not been placed yet
-    bool may_run = false;        // it failed, and an attempt may still run somewhere
+    std::string worker;          // on which it is placed; empty: none
+    bool unplaced = true;        // until the first placement
+    bool may_run = false;        // TaskFailed arrived, and an attempt may still run
     std::unique_ptr<ScheduledCall> scheduled;
 };
 
-// The connection to one placer, which is made again when it is lost.
+// The connection to one placer. It is dialed again when it is lost.
 class EmulatedClient::Session final : public net::StreamHandler {
 public:
     Session(EmulatedClient& client, std::string address) : client_(client), address_(std::move(address)) {}
@@ -79,9 +80,9 @@
     std::unique_ptr<net::Stream> stream;
     std::string placer;  // name#incarnation
     bool greeted = false;
-    bool left = false;                    // never to be made again
-    std::map<std::uint64_t, Task*> open;  // requests, by id
-    std::vector<Task*> orphans;           // placed by this placer, and to be handed over to it
+    bool left = false;                    // do not reconnect
+    std::map<std::uint64_t, Task*> open;  // open requests, by id
+    std::vector<Task*> orphans;           // placed tasks to hand over to the placer after its Hello
 
 private:
     EmulatedClient& client_;
@@ -126,7 +127,7 @@
     event.task = task.request.task;
     event.service = task.request.service;
     event.group = task.request.group;
-    event.until = task.until;
+    event.until = task.deadline;
     event.request = task.id;
     event.text = text;
     if (kind == EventKind::handed_over) event.worker = task.worker;
@@ -139,8 +140,8 @@
     auto& task = tasks_[request.task];
     task = std::make_unique<Task>();
     task->request = request;
-    task->due = fleet_.now();
-    task->until = task->due + request.queue_timeout;
+    task->submitted_at = fleet_.now();
+    task->deadline = task->submitted_at + request.queue_timeout;
     ++counts_of(*task).requested;
     ++waiting_;
     send_request(*task, false);
@@ -170,7 +171,7 @@
 
 void EmulatedClient::send_request(Task& task, bool retry) {
     const Nanos now = fleet_.now();
-    if (task.first && now >= task.until) {
+    if (task.unplaced && now >= task.deadline) {
         ++counts_of(task).abandoned;
         --waiting_;
         tasks_.erase(task.request.task);
@@ -183,10 +184,10 @@
     task.session = session;
     task.may_run = false;
     session->open[task.id] = &task;
-    // One that was placed and lost has its whole time again.
-    if (!task.first) task.until = now + task.request.queue_timeout;
+    // A task that was placed and then lost gets the full queue timeout again.
+    if (!task.unplaced) task.deadline = now + task.request.queue_timeout;
     v1::FromClient message;
-    *message.mutable_submit() = make_submit(task, task.until - now);
+    *message.mutable_submit() = make_submit(task, task.deadline - now);
     message.mutable_submit()->set_is_retry(retry);
     record(EventKind::submitted, *session, task);
     session->send(message);
@@ -205,7 +206,7 @@
 }
 
 void EmulatedClient::abandon(Task& task) {
-    if (task.first) --waiting_;
+    if (task.unplaced) --waiting_;
     ++counts_of(task).abandoned;
     tasks_.erase(task.request.task);
 }
@@ -244,11 +245,11 @@
 void EmulatedClient::on_placed(Session& session, Task& task, const std::string& worker) {
     record(EventKind::placed, session, task, worker);
     task.worker = worker;
-    if (!std::exchange(task.first, false)) return;
+    if (!std::exchange(task.unplaced, false)) return;
     QueueGroupCounts& counts = counts_of(task);
     ++counts.accepted;
     --waiting_;
-    counts.in_time += fleet_.now() - task.due <= group_of(task).start_objective;
+    counts.in_time += fleet_.now() - task.submitted_at <= group_of(task).start_objective;
 }
 
 void EmulatedClient::on_rejected(Session& session, Task& task, const v1::TaskRejected& rejected) {
@@ -258,7 +259,7 @@
     retry_later(task, std::max<Nanos>(rejected.retry_after(), kRetryDelay));
 }
 
-// An attempt may run. What does no harm twice is submitted again; the rest waits to be found.
+// An attempt may still run. An idempotent task is submitted again; any other waits for TaskFound.
 void EmulatedClient::on_failed(Session& session, Task& task, const std::string& reason) {
     record(EventKind::failed, session, task, reason);
     ++counts_of(task).failed;
@@ -274,14 +275,14 @@
     fleet_.schedule(*task.scheduled, fleet_.now() + kSettleTime);
 }
 
-// It runs where an attempt was given up: the same placer is asked to look after it.
+// The task runs although its attempt was given up: hand it over to the same placer.
 void EmulatedClient::on_found(Session& session, Task& task, const std::string& worker) {
     if (!task.may_run) return;
     task.scheduled.reset();
     close_request(session, task);
     task.worker = worker;
-    if (task.first) --waiting_;
-    task.first = false;
+    if (task.unplaced) --waiting_;
+    task.unplaced = false;
     task.may_run = false;
     session.orphans.push_back(&task);
     hand_over(session);
@@ -291,7 +292,7 @@
     record(EventKind::ended, session, task, v1::TaskEnded::Outcome_Name(outcome));
     close_request(session, task);
     const bool finished = outcome == v1::TaskEnded::COMPLETED || outcome == v1::TaskEnded::CANCELLED;
-    // Lost, migrated or evicted, it is still wanted; but one that must not run twice has run.
+    // A lost, migrated or evicted task is submitted again, unless it is side-effecting and has run.
     const bool must_not_repeat =
         group_of(task).effect == Effect::side_effecting && outcome != v1::TaskEnded::MIGRATED;
     if (finished || must_not_repeat) tasks_.erase(task.request.task);
@@ -300,8 +301,8 @@
 
 // ---------------------------------------------------------------- lost connections
 
-// The placer is gone, or only the connection. What it had placed runs on, and is handed over to it when it is
-// back; what waited is submitted again where that does no harm.
+// The connection is lost, and the placer may have failed. Placed tasks keep running and are handed over after
+// the reconnect; requests that are not placed yet are submitted again if the task is idempotent.
 void EmulatedClient::on_connection_lost(Session& session) {
     session.stream.reset();
     if (std::exchange(session.greeted, false)) {
@@ -318,13 +319,13 @@
 void EmulatedClient::on_request_lost(Session& session, Task& task) {
     task.id = 0;
     task.session = nullptr;
-    if (!task.worker.empty() && !task.first) {
+    if (!task.worker.empty() && !task.unplaced) {
         session.orphans.push_back(&task);
         return;
     }
-    if (task.may_run) return;  // its settle time is running
+    if (task.may_run) return;  // abandoned after kSettleTime, unless found
     if (group_of(task).effect == Effect::idempotent) return retry_later(task, kRetryDelay);
-    abandon(task);  // nobody knows whether it ran
+    abandon(task);  // an attempt may have run, and a second would do harm
 }
 
 void EmulatedClient::hand_over(Session& session) {
