--- a/tests/platform_sockets_attempts_test.cpp
+++ b/tests/platform_sockets_attempts_test.cpp
@@ -1,11 +1,11 @@
-// Attempts of the platform's server on real sockets: answers, closes and cancels that cross.
+// Attempts of the platform server on real sockets: answers, closes and cancels that cross each other.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a cancel that crosses the worker's acceptance leaves nothing running") {
+TEST_CASE("a cancel that crosses the worker's answer leaves no task running") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -28,7 +28,7 @@
     CHECK(worker.count(MessageType::place_task, 7) == 1);
 }
 
-TEST_CASE("an answer and a reset that come together: the task runs, and is started once") {
+TEST_CASE("a worker's answer followed by a reset: the task counts as running and is started once") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -49,7 +49,7 @@
     CHECK(rig.server->task_count() == 1);
 }
 
-TEST_CASE("a second answer that comes late changes nothing") {
+TEST_CASE("later answers of a worker to the same attempt are ignored") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -69,8 +69,8 @@
 }
 
 TEST_CASE(
-    "an idle connection that its worker closes as an attempt is sent: in doubt, and never twice where that "
-    "harms") {
+    "a worker closes an idle connection as an attempt is sent: a task of `once` is not deferred after a "
+    "reset") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -87,7 +87,8 @@
         client.read_available();
         return client.count(MessageType::release, 8) == 1;
     });
-    // Written or not, nobody can tell: a deferral would invite it to run twice.
+    // After a reset the worker may have received the attempt: with `try_later` the client could run the task
+    // twice.
     if (rig.planner.outcomes[0] == AttemptOutcome::reset)
         CHECK(client.received.back().cause == platform_codec::Cause::reset);
     else CHECK(client.received.back().cause == platform_codec::Cause::try_later);
--- a/tests/platform_sockets_clients_test.cpp
+++ b/tests/platform_sockets_clients_test.cpp
@@ -1,17 +1,17 @@
-// Clients of the platform's server on real sockets: closes and cancels in the bad order each time.
+// Clients of the platform server on real sockets: closes and cancels that arrive at an unfavourable moment.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a client that closes as its attempt is rejected causes no other attempt") {
+TEST_CASE("no second attempt is made for a client that closes as its first one is rejected") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
     SocketPeer client = rig.connect_client();
     const auto task = rig.start_attempt(client, worker, 7);
-    const bool ahead = GENERATE(false, true);  // bytes lie before its close
+    const bool ahead = GENERATE(false, true);  // other requests are unread before its close
     if (ahead)
         for (std::uint64_t id = 100; id < 150; ++id)
             client.send_bytes(SocketRig::place_task(id, "no such class"));
@@ -24,10 +24,10 @@
     CHECK(worker.count(MessageType::place_task, 7) == 1);
 }
 
-TEST_CASE("a client that goes while its attempt waits for a connection: nothing is sent once that is up") {
+TEST_CASE("a client that closes while its attempt waits for a connection: nothing is sent once that is up") {
     SocketRig rig;
     ListeningSocket worker(0);
-    SocketPeer backlog[] = {SocketPeer::dial(worker.port())};  // the line of a worker that accepts nothing
+    SocketPeer backlog[] = {SocketPeer::dial(worker.port())};  // fills the listen backlog of the worker
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
@@ -46,7 +46,7 @@
     backlog[0].close();
 }
 
-TEST_CASE("a client that cancels on another connection of its own has cancelled") {
+TEST_CASE("a client may cancel a task on another of its connections") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -62,7 +62,7 @@
     CHECK(worker.count(MessageType::place_task, 7) == 1);
 }
 
-TEST_CASE("a client that closes its side only is answered, and no attempt is made for it") {
+TEST_CASE("a client that half-closes its connection is answered, and no attempt is made for it") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -81,21 +81,21 @@
     CHECK(rig.server->task_count() == 0);
 }
 
-TEST_CASE("no attempt is sent for a client whose close or cancel lies unread") {
+TEST_CASE("no attempt is sent for a client whose close or cancel is still unread") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
-    rig.server->check_health(0);  // so that a connection is up
+    rig.server->check_health(0);  // opens a connection to the worker
     rig.run_until([&] {
         return rig.server->connection_count() == 1 &&
                (worker.accept_and_read(), worker.received_byte_count() > 0);
     });
     SocketPeer client = rig.connect_client();
     const int how = GENERATE(0, 1, 2);
-    constexpr int kFlood = 160 << 10;  // over twice what is read at once
+    constexpr int kFlood = 160 << 10;  // bytes; over twice what one read takes
     client.set_send_buffer(kFlood);
     std::string bytes = SocketRig::place_task(7);
-    if (how < 2) {  // behind more than one read takes: its cancel, or its close
+    if (how < 2) {  // more than one read takes, ahead of the cancel or close
         Message message;
         message.type = MessageType::progress;
         message.task = 7;
@@ -105,7 +105,7 @@
     if (how == 0) client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
     if (how == 1) client.close();
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
-    // In one pass of the loop: the loop is busy, the client gives up meanwhile, the planner decides.
+    // Within one pass of the loop: the client cancels, the loop is busy for a while, then the task is placed.
     auto busy = rig.loop.make_timer([&] {
         if (how == 2) {
             client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
@@ -120,10 +120,9 @@
     CHECK(worker.count(MessageType::place_task, 7) == 0);
 }
 
-TEST_CASE(
-    "a full server does not evict a client whose request lies unread, nor one whose answer has not left") {
+TEST_CASE("a full server does not evict a client whose request is unread or whose answer is not yet sent") {
     SocketRig rig(64);
-    // 40 of 64 are for connections, 30 of them for clients while workers hold none.
+    // Of 64 descriptors 40 are for connections, and 30 of these for clients while no worker is connected.
     std::vector<SocketPeer> clients;
     for (int i = 0; i < 30; ++i) {
         clients.push_back(rig.connect_client());
@@ -134,8 +133,8 @@
         });
     }
     REQUIRE(rig.server->connection_count() == 30);
-    // The new one has come first, so its turn is first in the pass; the request of the one that was of no use
-    // for the longest lies unread by then.
+    // The newcomer connects first, so the pass accepts it first; the request of clients[0], which has been
+    // idle for the longest time, is still unread then.
     SocketPeer newcomer = rig.connect_client();
     clients[0].send_bytes(SocketRig::place_task(7));
     newcomer.send_plain(MessageType::health_check, 2);
@@ -149,7 +148,7 @@
     CHECK(!clients[0].was_reset);
 }
 
-TEST_CASE("a release that crossed its client's close is sent again on the next connection from there") {
+TEST_CASE("a release that crossed its client's close is sent again on the next connection from its address") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -165,7 +164,7 @@
     worker.connections.front()->release(8, platform_codec::Cause::ok);
     rig.run_until([&] { return rig.server->task_count() == 0; });
     rig.run_times(3);
-    client.close();  // the release lies in its socket, unread
+    client.close();  // the release is unread in its socket
     rig.run_until([&] { return rig.server->connection_count() == worker.connections.size(); });
     SocketPeer next = rig.connect_client();
     next.send_plain(MessageType::health_check, 1);
@@ -173,7 +172,7 @@
         next.read_available();
         return next.count(MessageType::health_check_reply, 1) == 1;
     });
-    CHECK(next.count(MessageType::release, 8) == 0);  // no client so far
+    CHECK(next.count(MessageType::release, 8) == 0);  // a health check alone identifies no client
     next.send_bytes(SocketRig::place_task(9, "nothing known"));
     rig.run_until([&] {
         next.read_available();
@@ -183,7 +182,7 @@
     CHECK(next.count(MessageType::release, 7) == 0);
 }
 
-TEST_CASE("a migration reaches its client as one, and not as the end of its task") {
+TEST_CASE("a client is sent a migrate message for a migrated task and no release") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
--- a/tests/platform_sockets_discovery_test.cpp
+++ b/tests/platform_sockets_discovery_test.cpp
@@ -1,14 +1,14 @@
-// The platform's server and discovery on real sockets.
+// The platform server's watch of discovery on real sockets.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a watch on which nothing complete comes is opened again, from the last event") {
+TEST_CASE("a watch that receives no complete message in time is opened again from the last event") {
     SocketRig rig;
     const int how = GENERATE(0, 1, 2, 3);
-    // From its first byte; after an event; a head that never ends; an event that never does.
+    // 0: no response at all; 1: silence after an event; 2: an endless response head; 3: an endless event.
     rig.run_until([&] {
         rig.discovery.accept_and_read();
         return rig.discovery.connections.size() == 1 && !rig.discovery.connections[0]->received_bytes.empty();
@@ -30,7 +30,7 @@
 }
 
 TEST_CASE(
-    "discovery moves in the middle of an event: the event comes complete from the new address, and once") {
+    "discovery moves in the middle of an event: the event is read from the new address and applied once") {
     SocketRig rig;
     rig.run_until([&] {
         rig.discovery.accept_and_read();
@@ -42,7 +42,7 @@
     CHECK(rig.server->worker_count() == 0);
     ListeningSocket other;
     rig.server->discovery_watch().move_to(other.address());
-    rig.server->discovery_watch().move_to(other.address());  // told twice
+    rig.server->discovery_watch().move_to(other.address());  // no change
     rig.run_until([&] {
         other.accept_and_read();
         return !other.connections.empty() && !other.connections.back()->received_bytes.empty();
@@ -56,7 +56,7 @@
     CHECK(rig.discovery.connections[0]->peer_closed);
 }
 
-TEST_CASE("no attempt is made at a worker that a snapshot leaves out") {
+TEST_CASE("no attempt is sent to a worker that a snapshot omits") {
     SocketRig rig;
     ListeningSocket worker, other;
     rig.publish_initial({SocketRig::entry("h", worker.address()), SocketRig::entry("o", other.address())},
@@ -71,7 +71,7 @@
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 8) == 0);
     CHECK(rig.ledger.statistics().refused_to_planner == 1);
-    // The task that runs there may still end.
+    // The worker can still release the task that runs there.
     worker.connections.back()->release(7, platform_codec::Cause::ok);
     rig.run_until([&] {
         client.read_available();
--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -1,4 +1,5 @@
-// Graceful shutdown of the platform's server on real sockets: what happens between two of its steps.
+// Graceful shutdown of the platform server on real sockets: messages that arrive between two steps of a
+// drain.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
@@ -7,9 +8,9 @@
 
 namespace {
 
-constexpr Nanos kPastAccepting = 800 * kMillisecond;  // after the call to end nothing new is taken any more
+constexpr Nanos kPastAccepting = 800 * kMillisecond;  // after drain(): new requests are rejected by then
 
-// The end, as its clients see it: each closes once it sees that we have.
+// Runs the loop until the drain is done; each client closes its side once the server has closed.
 void run_until_drained(SocketRig& rig, std::vector<SocketPeer*> clients, bool& done) {
     rig.run_until([&] {
         if (done) return true;
@@ -21,7 +22,7 @@
     });
 }
 
-// The server has gone, and request 7 of the client was answered all the same.
+// Destroys the server. The client must have received the release of request 7, and no reset.
 void check_rejected_not_reset(SocketRig& rig, SocketPeer& client) {
     rig.server.reset();
     client.read_available();
@@ -32,7 +33,7 @@
 }  // namespace
 
 TEST_CASE(
-    "a request that came in two halves round the call to drain is answered, and its connection not reset") {
+    "a request with one half before drain() and one after is answered, and its connection is not reset") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     const std::string bytes = SocketRig::place_task(7);
@@ -51,7 +52,7 @@
     CHECK(!client.was_reset);
 }
 
-TEST_CASE("what lies in the listener's backlog or unread at the end is rejected, not reset") {
+TEST_CASE("a request that is in the listen backlog or unread at the end of a drain is rejected, not reset") {
     SocketRig rig;
     const bool accepted = GENERATE(false, true);
     SocketPeer client;
@@ -62,7 +63,7 @@
     bool done = false;
     rig.server->drain([&] { done = true; });
     rig.run_times(3);
-    // In one pass of the loop, after it has asked the kernel what there is and before it looks round.
+    // Runs within one pass of the loop, after the loop has polled the kernel and before the drain's sweep.
     auto between = rig.loop.make_timer([&] {
         if (!accepted) client = rig.connect_client();
         client.send_bytes(SocketRig::place_task(7));
@@ -74,7 +75,8 @@
     check_rejected_not_reset(rig, client);
 }
 
-TEST_CASE("what a client says while the process ends does not reset the connection that its answer is on") {
+TEST_CASE(
+    "a message from a client at the end of a drain does not reset the connection that carries its answer") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
@@ -90,7 +92,7 @@
     check_rejected_not_reset(rig, client);
 }
 
-TEST_CASE("what a worker says once clients can be told nothing more is left for the next placer") {
+TEST_CASE("a worker's release that arrives after client connections were closed is left to the next placer") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
--- a/tests/platform_sockets_requests_test.cpp
+++ b/tests/platform_sockets_requests_test.cpp
@@ -1,11 +1,11 @@
-// Requests to the platform's server on real sockets: each that was read is answered.
+// Requests to the platform server on real sockets: each request that was read is answered.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a request that comes in single bytes is taken as one") {
+TEST_CASE("a request that arrives in single bytes is accepted as one request") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     for (const char byte : SocketRig::place_task(7)) {
@@ -18,17 +18,17 @@
     CHECK(!client.peer_closed);
 }
 
-TEST_CASE("requests read together with what ends their connection are answered, each of them") {
+TEST_CASE("each request that is read together with bytes that end its connection is answered") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
-    Message stray;  // what only workers say
+    Message stray;  // a message that only workers send
     stray.type = MessageType::answer;
     stray.task = 5;
     stray.description = "stands";
     std::string ends;
     const int how = GENERATE(0, 1, 2);
     if (how == 0) platform_codec::encode(ends, stray);
-    if (how == 1) ends = SocketRig::place_task(7);  // open already
+    if (how == 1) ends = SocketRig::place_task(7);  // the id of an open request
     if (how == 2) ends = "";
     std::string after =
         how == 2 ? "GET / HTTP/1.1\r\n\r\n" : SocketRig::place_task(9) + SocketRig::place_task(10);
@@ -45,17 +45,18 @@
     CHECK(rig.server->task_count() == 0);
 }
 
-TEST_CASE("where all clients have a request open, a new client is rejected, not reset") {
+TEST_CASE(
+    "while all clients have an open request, the requests of a new client are rejected and it is not reset") {
     SocketRig rig(64);
     std::vector<SocketPeer> clients;
-    for (std::uint64_t i = 0; i < 30; ++i) {  // all that there is room for
+    for (std::uint64_t i = 0; i < 30; ++i) {  // the limit of client connections
         clients.push_back(rig.connect_client());
         clients.back().send_bytes(SocketRig::place_task(100 + i));
         rig.run_until([&] { return rig.planner.submitted.size() == i + 1; });
     }
     for (std::uint64_t id = 7; id < 27; ++id) {
         SocketPeer newcomer = rig.connect_client();
-        if (id % 2) rig.run_times(3);  // the request comes with the connection, or after it
+        if (id % 2) rig.run_times(3);  // the requests arrive with the connection, or after it
         newcomer.send_bytes(SocketRig::place_task(id) + SocketRig::place_task(id + 1000));
         rig.run_until([&] {
             newcomer.read_available();
@@ -73,7 +74,7 @@
     }
 }
 
-TEST_CASE("the time left that is passed on leaves out the time for which a request lay unread") {
+TEST_CASE("the time left that is sent to a worker excludes the time for which the request was unread") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
--- a/tests/platform_sockets_workers_test.cpp
+++ b/tests/platform_sockets_workers_test.cpp
@@ -1,18 +1,19 @@
-// Workers of the platform's server on real sockets: left, restarted, and more than descriptors.
+// Workers of the platform server on real sockets: workers that left or restarted, and more workers than
+// descriptors.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
 
 using namespace whinpost;
 
-TEST_CASE("a dial that was begun before its worker left says nothing to the one that has its address now") {
+TEST_CASE("a connect begun before its worker left sends nothing to the worker that has the address now") {
     SocketRig rig;
     ListeningSocket socket(0);
-    SocketPeer in_backlog = SocketPeer::dial(socket.port());  // it accepts nothing
+    SocketPeer in_backlog = SocketPeer::dial(socket.port());  // fills the listen backlog
     rig.publish_initial({SocketRig::entry("h", socket.address())}, true);
     const bool by_cancel = GENERATE(true, false);
     SocketPeer client = rig.connect_client();
-    if (by_cancel) {  // taken over there, and ended by its client while the connection is not up
+    if (by_cancel) {  // adopted on the worker, and cancelled by its client before the connection is up
         client.send_bytes(SocketRig::place_task(7, "free", ";at:h"));
         rig.run_until([&] { return rig.server->task_count() == 1; });
         client.release(7, platform_codec::Cause::cancelled);
@@ -20,13 +21,13 @@
     } else rig.server->check_health(0);
     rig.run_times(5);
     rig.publish_initial(
-        {SocketRig::entry("h", socket.address(), "left"), SocketRig::entry("heir", socket.address())});
-    // The line moves on: from here on it is the heir who accepts.
+        {SocketRig::entry("h", socket.address(), "left"), SocketRig::entry("successor", socket.address())});
+    // The backlog has room again: from here on the successor accepts.
     rig.run_until([&] {
         socket.accept_and_read();
         return socket.connections.size() >= 1;
     });
-    rig.block_for(1200 * kMillisecond);  // the dial's next try, if there is one
+    rig.block_for(1200 * kMillisecond);  // time for a second connect to be made, if there is one
     for (int i = 0; i < 50; ++i) {
         rig.run_once();
         socket.accept_and_read();
@@ -36,8 +37,7 @@
 }
 
 TEST_CASE(
-    "a task that ended while the placer restarted is released, though its worker says so before its client "
-    "asks") {
+    "a task that ended while the placer restarted is released, also if its worker's release comes first") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -62,7 +62,8 @@
     CHECK(rig.server->task_count() == 0);
 }
 
-TEST_CASE("a worker that is listed as restarted runs nothing from before, and what was sent to it since") {
+TEST_CASE(
+    "a worker that is listed as restarted has lost its tasks from before, and keeps those sent to it since") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
@@ -85,7 +86,8 @@
     CHECK(rig.server->task_count() == 1);
 }
 
-TEST_CASE("more workers than descriptors: the sum holds, each has its turn, and the watch finds one") {
+TEST_CASE(
+    "more workers than descriptors: the limit holds, each worker is reached, and the watch connects again") {
     SocketRig rig(64);
     std::vector<std::unique_ptr<ListeningSocket>> workers;
     std::vector<std::string> entries;
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -1,6 +1,5 @@
-// The platform's server on real sockets, among clients, workers and a discovery service that a test plays by
-// hand. The loop runs only where the test says so: what is written between two passes has come, all of it,
-// before the next.
+// The platform server on real sockets. The test plays the clients, the workers and discovery. The event loop
+// runs only when the test calls it, so all bytes written between two passes have arrived before the second.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -33,10 +32,10 @@
     return address;
 }
 inline void require(bool holds, const char* what) {
-    if (!holds) throw std::runtime_error(std::string("the rig: ") + what + ": " + std::strerror(errno));
+    if (!holds) throw std::runtime_error(std::string("socket rig: ") + what + ": " + std::strerror(errno));
 }
 
-// One end of a connection.
+// The test's end of a TCP connection.
 class SocketPeer final : public ProtocolPeer {
 public:
     SocketPeer() = default;
@@ -74,7 +73,7 @@
             message.cause = cause;
         send(message);
     }
-    // Reads all that is there.
+    // Reads and decodes all bytes that have arrived, without blocking.
     void read_available() {
         if (fd_ < 0) return;
         char bytes[4096];
@@ -86,13 +85,12 @@
                 continue;
             }
             peer_closed = peer_closed || count == 0;
-            was_reset =
-                was_reset || (count < 0 && errno != EAGAIN);  // after an end it shows as a broken pipe
+            was_reset = was_reset || (count < 0 && errno != EAGAIN);  // EPIPE: a reset after the peer's FIN
             break;
         }
         int error = 0;
         socklen_t length = sizeof error;
-        getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &length);  // a reset after the end shows here only
+        getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &length);  // some resets after a FIN show here only
         was_reset = was_reset || error != 0;
         undecoded_.erase(0, decode_received(undecoded_));
     }
@@ -100,7 +98,7 @@
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     }
     void half_close() { ::shutdown(fd_, SHUT_WR); }
-    // Room for so many bytes that nobody reads yet.
+    // Sets the size in bytes of the kernel's send buffer.
     void set_send_buffer(int bytes) { setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes); }
     void reset_connection() {
         const linger at_once{1, 0};
@@ -108,7 +106,7 @@
         close();
     }
 
-    std::string received_bytes;  // all that came
+    std::string received_bytes;  // decoded or not
     bool peer_closed = false, was_reset = false;
 
 private:
@@ -140,7 +138,7 @@
         inet_ntop(AF_INET, &ip, text, sizeof text);
         return std::string(text) + ":" + std::to_string(port_);
     }
-    // All that have come are accepted and read.
+    // Accepts all pending connections, and reads from every connection.
     void accept_and_read() {
         for (int fd; fd_ >= 0 && (fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
             connections.push_back(std::make_unique<SocketPeer>(fd));
@@ -196,7 +194,8 @@
                                               descriptors,
                                               5})) {
         server->set_planner(planner);
-        require(server->listen("127.0.0.1:" + std::to_string(port)).has_value(), "the server listens");
+        require(server->listen("127.0.0.1:" + std::to_string(port)).has_value(),
+                "listen on the server's port");
         server->discovery_watch().follow(discovery.address(), 0);
     }
     static std::vector<QueueGroup> groups() {
@@ -212,17 +211,17 @@
     void run_times(int count) {
         while (count-- > 0) run_once();
     }
-    // Runs the loop until it holds; a failure of the test where it does not for very long, though less than
-    // any request waits.
+    // Runs the loop until `holds` returns true. Fails the test after 20 s, which is less than the time left
+    // of a request.
     void run_until(const std::function<bool()>& holds) {
         const Nanos give_up = loop.now() + 20 * kSecond;
         while (!holds()) {
-            require(loop.now() < give_up, "what was waited for does not come");
+            require(loop.now() < give_up, "the awaited condition did not hold within 20 s");
             run_once();
             usleep(100);
         }
     }
-    // Time passes, and the loop does not run.
+    // Waits without running the loop.
     void block_for(Nanos by) {
         for (const Nanos to = loop.now() + by; loop.now() < to;) usleep(1000);
     }
@@ -238,7 +237,7 @@
     static std::string response_head() {
         return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     }
-    // Told by the events of the start, which need no connection.
+    // Applies the entries as an initial event from the configuration, which needs no connection to discovery.
     void publish_initial(const std::vector<std::string>& entries, bool whole = false) {
         const std::string published = event(entries, whole);
         const std::size_t from = published.find("data: ") + 6;
@@ -249,7 +248,7 @@
                                   const std::string& more = "", int time_left_ms = 60'000) {
         return place_task_bytes(id, group, time_left_ms, more);
     }
-    // A task of the client with an attempt at worker 0, which has received it whole.
+    // Sends a request and places its task on worker 0; returns once the worker has received the attempt.
     planner::TaskNumber start_attempt(SocketPeer& other, ListeningSocket& worker, std::uint64_t id,
                                       const std::string& group = "free") {
         const std::size_t before = planner.submitted.size();
