--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,4 +1,4 @@
-// The placer as a process of its own, under faults: whoever waits is told or ended in time (incident 04174b).
+// A placer's process under faults: each client that waits receives a message or a close in time.
 #include <catch2/catch.hpp>
 
 #include "support/process_rig.h"
@@ -8,11 +8,11 @@
 
 namespace {
 
-// A client is owed a word or a close 3 s after it connects.
+// From a client's connect to its first message or the close of its connection.
 constexpr Nanos kClientLimit = 3 * kSecond;
-// What is over is released 8 s after its end at the latest, whatever is down.
+// From a task's end to its release, also while its worker or discovery is down.
 constexpr Nanos kEndLimit = 8 * kSecond;
-// Of a worker's or the list's word: 1 s.
+// From a worker's message or a discovery event to the message to the client.
 constexpr Nanos kWordLimit = kSecond;
 
 bool told_or_closed(SocketPeer& client) {
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-TEST_CASE("a client that reports a task which its worker does not run is told so or closed in 3 s",
+TEST_CASE("a client that reports a task which its worker does not run gets a message or a close in 3 s",
           "[reports]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
@@ -40,7 +40,7 @@
     rig.report_running(others[1], worker, 101, -5);
     others[2].send_plain(MessageType::health_check, 9);
     rig.report_running(others[2], worker, 102);
-    rig.report_running(others[3], worker, 1);  // another client's task
+    rig.report_running(others[3], worker, 1);  // the task of `genuine`
     const Nanos waited = rig.time_until(
         [&] { return std::all_of(others.begin(), others.end(), told_or_closed) && released(others[2], 102); },
         kClientLimit);
@@ -51,7 +51,7 @@
     CHECK(rig.time_until([&] { return released(genuine, 1); }, kWordLimit) < kWordLimit);
 }
 
-TEST_CASE("a task whose worker restarted before it was reported is ended, whenever the list tells it",
+TEST_CASE("a task whose worker restarted before the report is released, whenever discovery lists the restart",
           "[reports]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
@@ -68,7 +68,7 @@
     CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a task whose worker is back at once is ended in 8 s though the list is silent", "[restarts]") {
+TEST_CASE("a task whose worker restarts at once is released in 8 s while discovery is silent", "[restarts]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
@@ -81,8 +81,9 @@
     CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a running task outlives a break of its connection while the list says that its worker goes on",
-          "[kept]") {
+TEST_CASE(
+    "a running task survives resets of its worker's connections while discovery lists the worker unchanged",
+    "[kept]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
@@ -97,7 +98,7 @@
     CHECK(worker.running.contains(1));
 }
 
-TEST_CASE("a report of a task on a worker that no list names is ended", "[reports]") {
+TEST_CASE("a reported task on a worker that discovery never listed is released", "[reports]") {
     ProcessRig rig;
     rig.add_worker("w1");
     ModelWorker& unlisted = rig.add_worker("w2", false);
@@ -107,7 +108,7 @@
     CHECK(rig.time_until([&] { return released(client, 1); }, kClientLimit) < kClientLimit);
 }
 
-TEST_CASE("a task that is reported again under another id ends under both", "[reports]") {
+TEST_CASE("a task that is reported again under another id is released under both ids", "[reports]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
@@ -115,7 +116,7 @@
     worker.run(1);
     rig.report_running(first, worker, 1);
     rig.run_for(100 * kMillisecond);
-    // The worker speaks of it under the id that it was reported with last.
+    // The worker uses the id of the latest report.
     Message again;
     again.type = MessageType::place_task;
     again.task = 2;
@@ -134,7 +135,7 @@
     CHECK(rig.time_until([&] { return released(first, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a configuration that is half written at the signal is read once it is whole", "[restarts]") {
+TEST_CASE("a configuration that is half written at SIGHUP is loaded once it is complete", "[restarts]") {
     ProcessRig rig;
     rig.add_worker("w1");
     rig.wait_until_ready();
--- a/tests/process_soak_test.cpp
+++ b/tests/process_soak_test.cpp
@@ -1,5 +1,5 @@
-// Seeded runs of a placer's process under random faults. WHINPOST_SOAK_SEEDS, as in `1-50`, names others than
-// the few of CI; WHINPOST_SOAK_LOGS a folder for the logs of runs that went wrong.
+// Seeded runs of a placer's process under random faults. WHINPOST_SOAK_SEEDS, as in `1-50`, replaces the
+// default seeds; WHINPOST_SOAK_LOGS names a folder for the logs of runs with violations.
 #include "support/process_soak.h"
 
 #include <catch2/catch.hpp>
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-TEST_CASE("nobody is left waiting, and nothing that runs is ended without a ground, whatever fails") {
+TEST_CASE("under random faults every wait ends in time and no running task is released without a cause") {
     const auto [first, last] = seeds();
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         ProcessSoak soak(seed, kDuration);
--- a/tests/release_delivery_faults_test.cpp
+++ b/tests/release_delivery_faults_test.cpp
@@ -1,16 +1,9 @@
-// Incident e995fa: a client was left waiting for the end of its running task.
+// Delivery of a task's release to its client after a connection broke or stalled.
 //
-// Symptom: in two runs under fault injection clients waited for good; the placers' logs said that the tasks
-// had ended, `connected=true`. Sequence: the connection on which a task had been placed or reported broke or
-// fell silent, its client came back on another one, the task ended, and the release went to whichever
-// connection of the same address was first: the health checker's, or another client's. In the saved logs all
-// clients and the checker share 127.0.0.1. Cause: written was taken for delivered, and an address for a
-// connection.
-//
-// What settled it, on the code as it was: `event=release_written ... client=127.0.0.1:PORT
-// own_connection=false age_ms=0` with the health checker's port, and no byte to the client in 1 s, in 8 of 8
-// variants of the first case; with the first connection silent, `own_connection=true age_ms=0`, and nothing
-// more for 8 s.
+// The failure that these tests guard against: the connection on which a task was placed or reported broke or
+// stalled, and its client connected again. When the task ended, the placer wrote the release to the stalled
+// connection, or to the first one from the client's address: the health checker's or another client's. The
+// client waited forever. A write is not a delivery, and an address does not identify a client.
 #include <catch2/catch.hpp>
 
 #include "support/process_rig.h"
@@ -20,11 +13,11 @@
 
 namespace {
 
-// Of a worker's word to the client's.
+// From a release sent by a worker to the one received by the client.
 constexpr Nanos kReleaseLimit = kSecond;
-// Of a task's end whose word does not come through.
+// From a task's end to its release if the worker's release is lost.
 constexpr Nanos kEndLimit = 8 * kSecond;
-// For a word or a close to a misbehaving client, from its connect.
+// From a misbehaving client's connect to its first message or its close.
 constexpr Nanos kMisbehavingLimit = 3 * kSecond;
 constexpr Nanos kBriefly = 150 * kMillisecond;
 
@@ -33,7 +26,7 @@
     return client.count(MessageType::release, id) > 0;
 }
 
-// A placer among one worker, the health checker and clients, all of which have one address.
+// A placer with one worker, and a health checker and clients that share one address.
 struct SharedAddress {
     SharedAddress() : worker(rig.add_worker("w1")) {
         rig.wait_until_ready();
@@ -43,16 +36,17 @@
     void check_health() {
         const std::size_t before = checker.received.size();
         checker.send_plain(MessageType::health_check, ++last_check);
-        rig.run_until("the health checker's answer", [&] {
+        rig.run_until("the health checker has its reply", [&] {
             checker.read_available();
             return checker.received.size() > before;
         });
     }
-    // A client that acknowledges: it has a task, which ends, and says that it has heard so.
+    // Places and ends a task, whose release the client acknowledges: this tells the placer that it sends
+    // acknowledgements.
     void run_and_acknowledge(SocketPeer& client, std::uint64_t id) {
         rig.place(client, id);
         worker.end_task(id, Cause::ok);
-        rig.run_until("the end of a task", [&] { return is_released(client, id); });
+        rig.run_until("the client has the release", [&] { return is_released(client, id); });
         client.send_plain(MessageType::release_ack, id);
     }
     bool is_released_in(SocketPeer& client, std::uint64_t id, Nanos limit) {
@@ -68,7 +62,7 @@
 }  // namespace
 
 TEST_CASE(
-    "a client that is back on another connection is told of the end of its task, whatever else is there",
+    "a client that reconnects receives the release of its task, whatever other connections its address has",
     "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
@@ -94,7 +88,8 @@
     CHECK(shared.checker.count(MessageType::release, 1) == 0);
 }
 
-TEST_CASE("an end that waits for its client is not taken by who only checks health", "[delivery]") {
+TEST_CASE("a release that waits for its client is not sent to a health checker of the same address",
+          "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
     SocketPeer client = rig.connect_client();
@@ -111,7 +106,8 @@
     CHECK(shared.is_released_in(back, 1, kReleaseLimit));
 }
 
-TEST_CASE("another client's acknowledgement ends nothing for the one that is owed", "[delivery]") {
+TEST_CASE("a release_ack from another client does not discard a release that waits for its own client",
+          "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
     SocketPeer client = rig.connect_client(), neighbour = rig.connect_client();
@@ -128,7 +124,7 @@
     CHECK(shared.is_released_in(back, 1, kReleaseLimit));
 }
 
-TEST_CASE("an end that is written to a connection that is open and silent goes to the client's other one",
+TEST_CASE("a release written to a connection that is open but stalled is also sent on the client's new one",
           "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
@@ -147,7 +143,7 @@
     CHECK(shared.is_released_in(back, 2, kReleaseLimit));
 }
 
-TEST_CASE("an end that a half-closed connection may not have carried goes to the client's next one",
+TEST_CASE("a release written to a half-closed connection is sent again on the client's next one",
           "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
@@ -164,8 +160,9 @@
     CHECK(shared.is_released_in(back, 2, kReleaseLimit));
 }
 
-TEST_CASE("a worker's word on a connection that fell silent is heard on another, whatever its neighbours say",
-          "[delivery]") {
+TEST_CASE(
+    "a task that ends while one connection of its worker is stalled is released, though the others are busy",
+    "[delivery]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1", false);
     TcpProxy& proxy = rig.add_worker_proxy(worker);
@@ -182,7 +179,7 @@
     rig.run_for(kBriefly);
     worker.end_task(1, Cause::ok);
     worker.end_task(2, Cause::ok);
-    // Its neighbours are busy all the time.
+    // Requests keep the worker's other connections busy.
     std::uint64_t next = 10;
     Nanos place_at = 0;
     const auto both_told = [&] {
@@ -196,7 +193,8 @@
     CHECK(rig.time_until(both_told, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a report of a task by another client at the address takes its end from nobody", "[delivery]") {
+TEST_CASE("a task that a second client of the same address reports is released to both clients",
+          "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
     SocketPeer client = rig.connect_client(), other = rig.connect_client();
@@ -208,7 +206,7 @@
     CHECK(shared.is_released_in(other, 1, kReleaseLimit));
 }
 
-TEST_CASE("a misbehaving client that reports a task late has a word or a close in 3 s of its connect",
+TEST_CASE("a client that reports an unknown task 1.5 s after connecting gets a message or a close in 3 s",
           "[delivery]") {
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
@@ -225,9 +223,8 @@
     CHECK(read_clock(CLOCK_MONOTONIC) - connected_at < kMisbehavingLimit);
 }
 
-TEST_CASE(
-    "a task whose worker could not be heard is kept where its client has shown what it reports to be true",
-    "[delivery]") {
+TEST_CASE("a reported task on a silent worker is kept if its client's report on another worker was confirmed",
+          "[delivery]") {
     ProcessRig rig;
     ModelWorker &heard = rig.add_worker("w1"), &unheard = rig.add_worker("w2");
     rig.wait_until_ready();
@@ -246,8 +243,9 @@
     CHECK(client.messages(MessageType::release)[0].cause == Cause::ok);
 }
 
-TEST_CASE("a task whose machine is back with a new process and silent old connections is ended in 8 s",
-          "[silence]") {
+TEST_CASE(
+    "a task is released in 8 s after its worker's machine was replaced and left its old connections open",
+    "[silence]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
@@ -260,11 +258,11 @@
     } else {
         rig.place(client, 1);
     }
-    worker.replace_silently();  // and the list says nothing of it
+    worker.replace_silently();  // and discovery publishes no restart
     CHECK(rig.time_until([&] { return is_released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a task whose worker hangs, or one connection of which stalls, is kept for as long", "[silence]") {
+TEST_CASE("a task is kept while its worker hangs or one of the worker's connections stalls", "[silence]") {
     ProcessRig rig;
     ModelWorker& worker = rig.add_worker("w1", false);
     TcpProxy& proxy = rig.add_worker_proxy(worker);
--- a/tests/support/fault_shim.cpp
+++ b/tests/support/fault_shim.cpp
@@ -1,5 +1,5 @@
-// Loaded into a placer's process with LD_PRELOAD: makes chosen system calls fail as Linux documents that they
-// may, and steps the wall clock. The monotonic clock runs on.
+// Preloaded into a placer's process with LD_PRELOAD. Makes selected system calls fail with errors that Linux
+// documents for them, and steps the wall clock; the monotonic clock is not affected.
 #include "support/fault_shim.h"
 
 #include <dlfcn.h>
@@ -31,7 +31,7 @@
     return mapped;
 }
 
-// Whether this call is one that fails; `error` is set then.
+// Consumes one pending fault of `call` and sets `error`; false if none is pending.
 bool takes_fault(ShimmedCall call, int& error) {
     FaultShimControl* const shared = control();
     if (!shared) return false;
@@ -55,7 +55,7 @@
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
-// The first byte of a vector of buffers.
+// A one-byte buffer: the first byte of a vector of buffers.
 iovec first_byte(const iovec* vector, int count) {
     for (int i = 0; i < count; ++i)
         if (vector[i].iov_len > 0) return {vector[i].iov_base, 1};
--- a/tests/support/fault_shim.h
+++ b/tests/support/fault_shim.h
@@ -1,4 +1,4 @@
-// What a test and the fault shim in a placer's process share: one memory-mapped file.
+// Memory-mapped file through which a test controls the fault shim that is preloaded into a placer's process.
 #pragma once
 #include <fcntl.h>
 #include <sys/mman.h>
@@ -16,8 +16,8 @@
 enum class ShimmedCall { accept4, socket, connect, connect_result, readv, writev, send, epoll_wait };
 constexpr std::size_t kShimmedCalls = static_cast<std::size_t>(ShimmedCall::epoll_wait) + 1;
 
-// The next `count` calls fail with `error`; with an error of 0 they move one byte only, where they move
-// bytes.
+// The next `count` calls fail with the errno `error`. With an `error` of 0, calls that transfer bytes succeed
+// but transfer a single byte. `hits` counts the calls that were affected.
 struct ShimmedCallFault {
     std::atomic<std::int32_t> error{0}, count{0}, hits{0};
 };
@@ -27,20 +27,21 @@
     ShimmedCallFault faults[kShimmedCalls];
 };
 
-constexpr const char* kFaultShimVariable = "WHINPOST_FAULT_SHIM";  // the file's path
+constexpr const char* kFaultShimVariable = "WHINPOST_FAULT_SHIM";  // environment variable: path of the file
 
-// The test's side.
+// The test's side: creates the file and sets the faults.
 class FaultShim {
 public:
     FaultShim() {
         char pattern[] = "/tmp/whinpost-shim-XXXXXX";
         const int file = ::mkstemp(pattern);
         if (file < 0 || ::ftruncate(file, sizeof(FaultShimControl)) != 0)
-            throw std::runtime_error("no file for the fault shim");
+            throw std::runtime_error("cannot create the control file of the fault shim");
         path_ = pattern;
         void* memory = ::mmap(nullptr, sizeof(FaultShimControl), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
         ::close(file);
-        if (memory == MAP_FAILED) throw std::runtime_error("no memory for the fault shim");
+        if (memory == MAP_FAILED)
+            throw std::runtime_error("cannot map the control file of the fault shim: " + path_);
         control_ = new (memory) FaultShimControl;
     }
     ~FaultShim() {
--- a/tests/support/placer_process.h
+++ b/tests/support/placer_process.h
@@ -1,4 +1,4 @@
-// `whinpost platform` as a process of its own, with its configuration, its log and its signals.
+// Runs `whinpost platform` as a child process, with its configuration and its log in a temporary folder.
 #pragma once
 #include <fcntl.h>
 #include <signal.h>
@@ -16,19 +16,20 @@
 namespace whinpost {
 
 struct PlacerProcessOptions {
-    std::string listen, discovery;      // addresses
-    std::string initial_events = "[]";  // of the configuration, as JSON
-    std::int64_t initial_sequence = 0;  // of the last of these
+    std::string listen, discovery;      // as host:port
+    std::string initial_events = "[]";  // of discovery; JSON array for the configuration
+    std::int64_t initial_sequence = 0;  // sequence number of the last initial event
     int descriptors = 256;
-    std::int64_t longest_deadline_ms = 5000;  // of the queue groups
-    std::vector<std::string> environment;     // as in `NAME=value`
+    std::int64_t longest_deadline_ms = 5000;  // of both queue groups
+    std::vector<std::string> environment;     // as `NAME=value`
 };
 
 class PlacerProcess {
 public:
     explicit PlacerProcess(PlacerProcessOptions options) : options_(std::move(options)) {
         std::string pattern = (std::filesystem::temp_directory_path() / "whinpost-test-XXXXXX").string();
-        if (!::mkdtemp(pattern.data())) throw std::runtime_error("no folder for the placer");
+        if (!::mkdtemp(pattern.data()))
+            throw std::runtime_error("cannot create a temporary folder for the placer");
         folder_ = pattern;
         write_config();
         start();
@@ -43,7 +44,7 @@
     PlacerProcess& operator=(const PlacerProcess&) = delete;
 
     PlacerProcessOptions& options() { return options_; }
-    // Again from nothing, with the options as they are now; the one before must have ended.
+    // Starts a new process with the current options. The previous process must have ended.
     void restart() {
         write_config();
         start();
@@ -57,7 +58,7 @@
         pid_ = 0;
         return true;
     }
-    // Its exit status; the signal's number plus 128 where a signal ended it.
+    // Exit status of the process, or 128 plus the signal's number if a signal ended it.
     int exit_status() const { return WIFSIGNALED(status_) ? 128 + WTERMSIG(status_) : WEXITSTATUS(status_); }
     std::string log() const {
         std::ifstream file(folder_ + "/log");
@@ -72,12 +73,13 @@
             ++count;
         return count;
     }
-    // Replaces the configuration by another text; empty: by what the options say now.
+    // Overwrites the configuration file with `text`; if that is empty, with one made from the current
+    // options.
     void replace_config(const std::string& text = "") const {
         if (text.empty()) return write_config();
         std::ofstream(path("config.json")) << text;
     }
-    // A file that the process and the test share.
+    // Path of a file in the process's folder.
     std::string path(const std::string& name) const { return folder_ + "/" + name; }
 
 private:
@@ -117,7 +119,7 @@
         char* arguments[] = {program.data(), command, option, level, nullptr};
         const int log = ::open(path("log").c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
         pid_ = ::fork();
-        if (pid_ < 0) throw std::runtime_error("no process for the placer");
+        if (pid_ < 0) throw std::runtime_error("cannot fork a process for the placer");
         if (pid_ == 0) {
             ::dup2(log, STDERR_FILENO);
             ::execve(program.c_str(), arguments, environment.data());
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -1,6 +1,6 @@
-// A placer's process on loopback among workers, clients and a discovery service that a test plays, with the
-// faults that real ones have. Real time: a test waits for what has to come, up to a limit far over what it
-// takes.
+// A placer's process on loopback. The test plays the workers, the clients and discovery, and injects the
+// faults that real ones have. It runs in real time: a test waits for an expected message up to a limit far
+// above the time that the message usually takes.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -21,11 +21,12 @@
     return static_cast<Nanos>(time.tv_sec) * kSecond + time.tv_nsec;
 }
 
-// A worker as the platform's are: accepts what it is sent, reports what its tasks use when they start or are
-// handed to a placer, and says their ends until a connection is there to say them on.
+// Simulated worker that behaves as the platform's workers do: accepts each attempt, sends the usage of a task
+// when the task starts or is reported to a placer, and keeps the release of an ended task until a connection
+// is open.
 class ModelWorker {
 public:
-    // On an address of its own, so that its port stays free while it is down.
+    // Listens on an IP address of its own, so that no other socket takes its port while it is down.
     ModelWorker(std::string worker_name, int host)
         : name(std::move(worker_name)),
           ip_(INADDR_LOOPBACK + kWorkerNetwork + static_cast<std::uint32_t>(host)),
@@ -37,15 +38,15 @@
     const std::string& address() const { return address_; }
     std::uint32_t ip() const { return ip_; }
     int port() const { return port_; }
-    // One task that runs there though the placer under test never sent it.
+    // Adds a running task that the placer under test did not send.
     void run(std::uint64_t id) { running.insert(id); }
-    // A placer was handed the task: its figures are reported on a connection of that placer.
+    // Called when a client has reported the task to the placer: the next step() sends the task's usage.
     void on_handed_over(std::uint64_t id) { unreported_.insert(id); }
     void end_task(std::uint64_t id, platform_codec::Cause cause) {
         running.erase(id);
         unsent_ends_[id] = cause;
     }
-    // The process dies: its connections are reset, its tasks are cut, and nothing listens.
+    // Ends the worker's process: its connections are reset, its tasks are lost, and nothing listens.
     void crash() {
         for (const auto& connection : connections_) connection->peer->reset_connection();
         connections_.clear();
@@ -56,8 +57,8 @@
         sent_ends_.clear();
         unreported_.clear();
     }
-    // Its machine vanished and is back with a new process: what ran is gone, and the old connections stay
-    // open and silent.
+    // Replaces the worker's machine without closing its connections: its tasks are lost, and the old
+    // connections stay open and silent.
     void replace_silently() {
         for (auto& connection : connections_) silent_connections_.push_back(std::move(connection));
         connections_.clear();
@@ -75,13 +76,13 @@
         for (const auto& connection : connections_) connection->peer->reset_connection();
         connections_.clear();
     }
-    // Silent: as if the machine were cut off. Bytes are taken by the kernel and nothing is said.
+    // Simulates a hang or a network partition: the kernel accepts bytes, but the worker sends nothing.
     bool is_silent = false;
     bool answers_attempts = true;
     bool reports_handed_over = true;
     std::int64_t started_at_ms = 0;
     const std::string name;
-    std::string listed_address;  // its own, or that of a proxy before it
+    std::string listed_address;  // in discovery: its own or its proxy's
     std::set<std::uint64_t> running, cancelled;
     std::size_t attempts = 0;
 
@@ -90,7 +91,7 @@
     void step() {
         if (!listener_ || is_silent) return;
         listener_->accept_and_read();
-        // What was said before may have been read by nobody: it is said again on the next connection.
+        // The placer may not have read the releases sent before, so they are sent again on a new connection.
         const bool is_opened = !listener_->connections.empty();
         for (std::unique_ptr<SocketPeer>& accepted : listener_->connections)
             connections_.push_back(std::make_unique<Connection>(Connection{std::move(accepted), 0}));
@@ -125,7 +126,7 @@
         std::size_t handled = 0;
     };
 
-    // Where that is gone: `other`. What was ended there before is said again on the next one that is opened.
+    // The connection on which the task's attempt arrived; `other` if that one is closed.
     SocketPeer& set_up_connection(std::uint64_t id, SocketPeer& other) const {
         const auto set_up = set_up_on_.find(id);
         if (set_up == set_up_on_.end()) return other;
@@ -133,7 +134,7 @@
             if (connection->peer.get() == set_up->second) return *connection->peer;
         return other;
     }
-    // The placer may be killed at any moment.
+    // Runs `action`; marks the peer as reset if a send fails, since the placer may be killed at any moment.
     static void while_it_lasts(SocketPeer& peer, const std::function<void()>& action) {
         try {
             action();
@@ -155,7 +156,8 @@
                 connection.peer->report_use(message.task);
             } else if (message.type == MessageType::release) {
                 cancelled.insert(message.task);
-                // An attempt is given up on its own connection; the same id may have been sent again.
+                // `given_up` cancels the attempt of its own connection only: the id may since have been sent
+                // again on another connection.
                 const bool is_given_up = message.cause == platform_codec::Cause::given_up;
                 const auto set_up = set_up_on_.find(message.task);
                 const bool is_other = set_up != set_up_on_.end() && set_up->second != connection.peer.get();
@@ -186,12 +188,12 @@
     Ends unsent_ends_, sent_ends_;
 };
 
-// The endpoint list, told to whoever watches.
+// Simulated discovery service: sends the events of the endpoint list to every watch.
 class ModelDiscovery {
 public:
     std::string address() const { return listener_.address(); }
-    bool is_silent = false;  // watches stay open and hear nothing
-    // All events so far, as a configuration holds them.
+    bool is_silent = false;  // watches stay open but receive nothing
+    // All events so far, in the form of PlacerProcessOptions::initial_events.
     std::string events_as_json() const {
         std::string list;
         for (const std::string& event : events_) {
@@ -261,7 +263,7 @@
         options.discovery = discovery.address();
         placer = std::make_unique<PlacerProcess>(std::move(options));
     }
-    // Listed from now on.
+    // Starts a worker and, if `listed`, publishes it in the endpoint list.
     ModelWorker& add_worker(const std::string& name, bool listed = true) {
         workers.push_back(std::make_unique<ModelWorker>(name, static_cast<int>(workers.size())));
         if (listed) publish(*workers.back());
@@ -273,7 +275,7 @@
                           R"(","share":1,"born_ms":)" + std::to_string(worker.started_at_ms) +
                           R"(,"free":[16,32]})");
     }
-    // Until the front's first health check has passed.
+    // Waits until the placer passes a health check.
     void wait_until_ready() {
         run_until("the placer is healthy", [this] {
             SocketPeer front = try_connect();
@@ -281,7 +283,7 @@
             try {
                 front.send_plain(MessageType::health_check, 1);
             } catch (const std::runtime_error&) {
-                return false;  // it was reset at once
+                return false;  // the placer reset the connection at once
             }
             const Nanos give_up = read_clock(CLOCK_MONOTONIC) + kSecond;
             while (front.received.empty() && read_clock(CLOCK_MONOTONIC) < give_up) {
@@ -291,13 +293,13 @@
             return !front.received.empty() && front.received[0].cause == platform_codec::Cause::check_passed;
         });
     }
-    // Clients are told apart by their address, the last part of which is `host`.
+    // Connects from 127.0.0.`host`: the placer tells clients apart by their address.
     SocketPeer connect_client(int host = 1) {
         SocketPeer client = try_connect(host);
-        require(client.is_open(), "the placer accepts a client");
+        require(client.is_open(), "connect a client to the placer");
         return client;
     }
-    // Not open where nobody listens.
+    // Returns a closed peer if the placer refuses the connection.
     SocketPeer try_connect(int host = 1) {
         SocketPeer peer(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         const sockaddr_in from = loopback(0, INADDR_LOOPBACK - 1 + static_cast<std::uint32_t>(host));
@@ -307,13 +309,13 @@
         if (::connect(peer.descriptor(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) return {};
         return peer;
     }
-    // A client says that a worker runs its task; the worker hears of it as the platform's do.
+    // The client reports to the placer that the worker runs its task, and the worker learns of the report.
     void report_running(SocketPeer& client, ModelWorker& worker, std::uint64_t id,
                         int time_left_ms = 4'294'967) {
         client.send_bytes(place_task_bytes(id, "free", time_left_ms, ";at:" + worker.name));
         worker.on_handed_over(id);
     }
-    // The client's task, placed by the placer itself.
+    // Sends a request and waits until the placer has answered that its task runs.
     void place(SocketPeer& client, std::uint64_t id) {
         client.send_bytes(place_task_bytes(id, "free", 5000, ""));
         run_until("a task is placed", [&] {
@@ -321,26 +323,26 @@
             return client.count(MessageType::answer, id) == 1;
         });
     }
-    // Between clients and the placer: all that pass it come from one address, that of clients with host 1.
+    // Adds a proxy between clients and the placer, which sees them all at one address, that of host 1.
     TcpProxy& add_client_proxy() {
         proxies.push_back(std::make_unique<TcpProxy>(kProxyIp, kPlacerIp, port_));
         return *proxies.back();
     }
-    // Between the placer and that worker, which is listed at the proxy's address from now on.
+    // Adds a proxy between the placer and the worker, and publishes the worker at the proxy's address.
     TcpProxy& add_worker_proxy(ModelWorker& worker) {
         proxies.push_back(std::make_unique<TcpProxy>(kProxyIp, worker.ip(), worker.port()));
         worker.listed_address = proxies.back()->address();
         publish(worker);
         return *proxies.back();
     }
-    // Through the proxy.
+    // Connects to the placer through the proxy.
     SocketPeer connect_client(TcpProxy& proxy) {
         TcpProxy::Connection* connection = nullptr;
         SocketPeer peer = try_connect(proxy, connection);
-        require(peer.is_open(), "the placer accepts a client behind the proxy");
+        require(peer.is_open(), "connect a client to the placer through the proxy");
         return peer;
     }
-    // Not open where nobody listens behind the proxy.
+    // Returns a closed peer, and a null `connection`, if the proxy cannot connect to its server.
     static SocketPeer try_connect(TcpProxy& proxy, TcpProxy::Connection*& connection) {
         SocketPeer peer(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         const sockaddr_in to = loopback(proxy.port(), kProxyIp);
@@ -364,11 +366,11 @@
         const Nanos give_up = read_clock(CLOCK_MONOTONIC) + limit;
         while (!holds()) {
             if (read_clock(CLOCK_MONOTONIC) > give_up)
-                throw std::runtime_error("did not come: " + what + "\n" + placer->log());
+                throw std::runtime_error("timed out waiting until " + what + "\n" + placer->log());
             step();
         }
     }
-    // How long it took; the limit where it did not come.
+    // Returns the time until `holds` returned true, or `limit` if it did not do so in time.
     Nanos time_until(const std::function<bool()>& holds, Nanos limit) {
         const Nanos began = read_clock(CLOCK_MONOTONIC);
         while (!holds() && read_clock(CLOCK_MONOTONIC) - began < limit) step();
--- a/tests/support/process_soak.h
+++ b/tests/support/process_soak.h
@@ -1,5 +1,6 @@
-// One seeded run of a placer's process under random faults, with clients and misbehaving clients, and what it
-// must not do: leave anybody waiting, or end what runs without a ground.
+// One seeded run of a placer's process under random faults, with clients and misbehaving clients. Checks that
+// each request is answered, each ended task released and each misbehaving client answered or closed in time,
+// and that no running task is released unless an injected fault explains it.
 #pragma once
 #include <array>
 #include <cerrno>
@@ -20,7 +21,7 @@
         : random_(static_cast<std::mt19937::result_type>(seed)), duration_(duration), rig_(options(shim_)),
           with_crowd_(seed % 3 == 0), is_shared_(seed % 4 != 3) {}
 
-    // Each line is one thing that it must not do; empty: none was seen.
+    // Returns a description of each violation; empty if there was none.
     std::vector<std::string> run() {
         const std::size_t count = 3 + pick(3);
         for (std::size_t i = 0; i < count; ++i) add_worker("w" + std::to_string(i));
@@ -34,8 +35,9 @@
         const Nanos settled = now() + kEndLimit + 2 * kSecond;
         while (now() < settled) step(false);
         check_running();
-        if (!placer_is_down_ && rig_.placer->has_ended()) violate("the process ended by itself");
-        if (rig_.placer->log().find("ERROR: AddressSanitizer") != std::string::npos) violate("memory error");
+        if (!placer_is_down_ && rig_.placer->has_ended()) violate("the placer exited unexpectedly");
+        if (rig_.placer->log().find("ERROR: AddressSanitizer") != std::string::npos)
+            violate("AddressSanitizer reported an error");
         return violations_;
     }
     const std::string log() const { return rig_.placer->log() + history_; }
@@ -48,16 +50,18 @@
     static constexpr Nanos kDeadline = kDeadlineMs * kMillisecond;
     static constexpr Nanos kAnswerSlack = 500 * kMillisecond;
     static constexpr Nanos kCrossing = 50 * kMillisecond;
-    static constexpr Nanos kKillAfter = kDeadline + 700 * kMillisecond;  // of SIGTERM, the earliest
+    static constexpr Nanos kKillAfter = kDeadline + 700 * kMillisecond;  // earliest SIGKILL after SIGTERM
     static constexpr Nanos kEndLimit = 8 * kSecond + 300 * kMillisecond;
     static constexpr Nanos kMisbehavingLimit = 3 * kSecond + 200 * kMillisecond;
-    static constexpr Nanos kGround = 13 * kSecond;  // a fault that raises a doubt explains an end for so long
+    // For so long after a fault that hides a worker or discovery from the placer, the release of a running
+    // task is no violation.
+    static constexpr Nanos kGround = 13 * kSecond;
 
     struct Misbehaving {
         SocketPeer connection;
         Nanos since;
         const char* kind;
-        std::size_t life;  // of the placer
+        std::size_t life;  // number of the placer's process to which it connected
         Nanos limit = kMisbehavingLimit;
     };
 
@@ -100,20 +104,20 @@
 
     // ---- workers and clients
 
-    // Half of them behind a proxy, which breaks single connections.
+    // Puts about half of the workers behind proxies, which can break single connections.
     void add_worker(const std::string& name) {
         const bool is_proxied = pick(2) == 0;
         ModelWorker& worker = rig_.add_worker(name, !is_proxied);
         worker_proxies_.push_back(is_proxied ? &rig_.add_worker_proxy(worker) : nullptr);
     }
-    // Behind one address, that of the health checker, or each with its own.
+    // Clients share the address of the health checker by a proxy, or each has an address of its own.
     void add_client(int host) {
         SoakClient::Options options{host, client_proxy_, host != 2, kDeadline};
         clients_.push_back(
             std::make_unique<SoakClient>(rig_, options, [this](const std::string& what) { violate(what); }));
         clients_.back()->on_ended_while_running = [this](std::uint64_t id) {
             const bool excused = now() <= doubt_until_ || withdrawn_.contains(id);
-            if (!excused) violate("task " + std::to_string(id) + " was ended though it runs");
+            if (!excused) violate("task " + std::to_string(id) + " was released while it runs");
         };
     }
     SoakClient& any_client() { return *clients_[pick(clients_.size())]; }
@@ -122,7 +126,8 @@
         if (placer_is_down_) return;
         requests_ += any_client().send_request(++last_id_, pick(4) ? "free" : "once", kDeadlineMs);
     }
-    // The front asks on a connection for each check, and on one that it keeps. It is told of no task.
+    // Sends health checks on a new connection each time and on one that is kept. Neither may receive a
+    // message about a task.
     void check_health() {
         if (now() < next_check_at_ || placer_is_down_) return;
         next_check_at_ = now() + 100 * kMillisecond;
@@ -134,7 +139,7 @@
             checker.read_available();
             for (const auto& message : checker.received)
                 if (message.type != MessageType::health_check_reply)
-                    violate("a health checker hears of a task");
+                    violate("a health checker received a message other than a reply");
             checker.received.clear();
             if (checker.peer_closed || checker.was_reset) checker = SocketPeer();
             if (!checker.is_open()) continue;
@@ -145,7 +150,7 @@
             }
         }
     }
-    // What is over must have been released in time to a client that can be reached.
+    // Checks that each ended task was released to its client in time, if the client is reachable.
     void check_running() {
         for (const auto& client : clients_) {
             const Nanos reachable_since = client->reachable_since();
@@ -155,7 +160,7 @@
                 if (runs || !reachable_since) continue;
                 const Nanos since = std::max({task.over_at, task.known_since, reachable_since});
                 if (now() - since > kEndLimit + stopped_for_ && reported_.insert(id).second)
-                    violate("task " + std::to_string(id) + " is over and was not released");
+                    violate("task " + std::to_string(id) + " has ended and was not released");
             }
         }
     }
@@ -170,42 +175,44 @@
     void add_misbehaving() {
         const std::uint64_t id = 1'000'000 + ++last_id_;
         const std::string at = ";at:w" + std::to_string(pick(rig_.workers.size()));
-        static constexpr std::array kKinds = {"report",      "odd report",  "unlisted", "silent", "garbage",
-                                              "partial",     "bad class",   "twice",    "known",  "progress",
-                                              "same report", "late report", "withdraw"};
+        static constexpr std::array kKinds = {
+            "report",      "negative time left",  "unlisted worker", "silent",   "garbage",
+            "partial",     "unknown queue group", "duplicate id",    "known id", "progress",
+            "same report", "late report",         "cancel"};
         const char* kind = kKinds[pick(kKinds.size())];
         const std::string name = kind;
-        // Some share the address of a client that does well; the same report from there would be that
-        // client's own.
+        // Some share the address of a client that behaves well, but not for `same report`, which would then
+        // count as that client's own report.
         const std::size_t host = pick(4) || name == "same report" ? 20 + pick(200) : 2 + pick(4);
         SocketPeer peer = rig_.try_connect(is_shared_ ? 1 : static_cast<int>(host));
         if (!peer.is_open()) return;
         ++misbehaving_count_;
         std::string bytes;
         if (name == "report") bytes = place_task_bytes(id, "free", 1000, at);
-        if (name == "odd report") bytes = place_task_bytes(id, "free", -5, at);
-        if (name == "unlisted") bytes = place_task_bytes(id, "free", 1000, ";at:nowhere");
+        if (name == "negative time left") bytes = place_task_bytes(id, "free", -5, at);
+        if (name == "unlisted worker") bytes = place_task_bytes(id, "free", 1000, ";at:nowhere");
         if (name == "garbage") bytes = std::string(100, '\xfe');
         if (name == "partial") bytes = place_task_bytes(id, "free", 1000, "").substr(0, 30);
-        if (name == "bad class") bytes = place_task_bytes(id, "nothing", 1000, "");
-        if (name == "twice")
+        if (name == "unknown queue group") bytes = place_task_bytes(id, "nothing", 1000, "");
+        if (name == "duplicate id")
             bytes = place_task_bytes(id, "free", 0, "") + place_task_bytes(id, "free", 0, "");
         const std::uint64_t known = some_known_id();
-        if (name == "known") bytes = place_task_bytes(known, "free", 1000, at, id);
+        if (name == "known id") bytes = place_task_bytes(known, "free", 1000, at, id);
         if (name == "same report") bytes = place_task_bytes(known, "free", 1000, at);
         if (name == "late report")
             return report_late(std::move(peer), place_task_bytes(id, "free", 1000, at));
         try {
             if (!bytes.empty()) peer.send_bytes(bytes);
             if (name == "progress") peer.send_plain(MessageType::progress, id);
-            if (name == "withdraw") {
+            if (name == "cancel") {
                 peer.release(known, platform_codec::Cause::given_up);
                 withdrawn_.insert(known);
             }
         } catch (const std::runtime_error&) {
             return;
         }
-        // Where the address is shared the same report may be that of the client itself, come back.
+        // At a shared address `same report` may count as the report of the task's own client after a
+        // reconnect, to which nothing is sent while the task runs.
         const bool may_be_owner = is_shared_ && name == "same report";
         others_.push_back(
             {std::move(peer), now(), kind, life_, may_be_owner ? kEndLimit * 100 : kMisbehavingLimit});
@@ -223,7 +230,7 @@
             others_.push_back({std::move(*kept), connected_at, "late report", life});
         });
     }
-    // Of a task that runs, where there is one.
+    // Id of a running task of a random client; 1 if the client has none.
     std::uint64_t some_known_id() {
         const SoakClient& client = any_client();
         if (client.running.empty()) return 1;
@@ -238,7 +245,8 @@
                 other.connection.was_reset || other.life != life_)
                 return true;
             if (now() - other.since <= other.limit + stopped_for_) return false;
-            violate(std::string("a misbehaving client (") + other.kind + ") has no word and no close");
+            violate(std::string("a misbehaving client (") + other.kind +
+                    ") received no message and was not closed");
             return true;
         });
     }
@@ -263,14 +271,14 @@
             case 1:
                 return crash_worker(pick(2) ? 0 : between(100 * kMillisecond, 3 * kSecond));
             case 2:
-                remember("connections reset");
+                remember("connections of a worker reset");
                 return any_worker().reset_connections();
             case 3:
                 return silence_worker();
             case 4:
                 return silence_list();
             case 5:
-                remember("clock stepped");
+                remember("wall clock stepped");
                 return shim_.step_wall_clock((pick(2) ? 1 : -1) * between(kSecond, 3600 * kSecond));
             case 6:
                 return fail_calls();
@@ -296,18 +304,19 @@
             case 18:
                 return replace_worker();
             default:
-                remember("connections reset everywhere");
+                remember("connections of all workers reset");
                 for (const auto& worker : rig_.workers) worker->reset_connections();
         }
     }
-    // Its client takes it for dead and is back on another one, or before that.
+    // Breaks a client's connection. The client stops using it and connects again after a delay.
     void break_client_connection() {
         SoakClient& client = any_client();
         SoakClient::Connection* connection = client.healthy_connection();
         if (!connection) return;
         const std::size_t kind = connection->proxied && client.acknowledges() ? pick(6) : pick(2);
         static constexpr std::array kNames = {
-            "reset", "closed", "stalled to the client", "stalled to the placer", "held", "half-closed"};
+            "reset",      "closed", "stalled to the client", "stalled to the placer", "stalled both ways",
+            "half-closed"};
         remember(std::string("a client's connection is ") + kNames[kind]);
         client.mark_faulty(*connection);
         if (kind == 0) connection->peer.reset_connection();
@@ -330,7 +339,7 @@
         client_proxy_->half_close_to_server(connection);
         connection.to_client.stall();
     }
-    // One of several to a worker: nothing passes one way, or both, and then it goes on or breaks.
+    // Stalls one of a worker's connections in one direction or both, then resumes or resets it.
     void stall_worker_connection() {
         const std::size_t number = pick(rig_.workers.size());
         TcpProxy* proxy = worker_proxies_[number];
@@ -341,7 +350,8 @@
         if (open.empty()) return;
         TcpProxy::Connection* connection = open[pick(open.size())];
         const std::size_t kind = pick(3);
-        remember("a connection of " + rig_.workers[number]->name + " stalls, " + std::to_string(kind));
+        remember("a connection of " + rig_.workers[number]->name + " stalls (kind " + std::to_string(kind) +
+                 ")");
         if (kind != 1) connection->to_client.stall();
         if (kind != 0) connection->to_server.stall();
         raise_doubt();
@@ -352,16 +362,16 @@
             if (!goes_on) proxy->reset(*connection);
         });
     }
-    // Its machine is back with a new process; its old connections stay open, and the list is late.
+    // Replaces a worker's machine; its old connections stay open, and discovery publishes the restart later.
     void replace_worker() {
         ModelWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
-        remember("replaced " + worker.name);
+        remember("replace machine of " + worker.name);
         worker.replace_silently();
         worker.started_at_ms = (read_clock(CLOCK_REALTIME) + shim_.wall_clock_offset()) / kMillisecond;
         later(between(0, 9 * kSecond), [this, &worker] { rig_.publish(worker); });
     }
-    // A client uses another connection from now on, and its first one stays open.
+    // A client sends a request on a new connection; its earlier connections stay open.
     void come_back_elsewhere() {
         if (placer_is_down_) return;
         remember("a client opens another connection");
@@ -370,7 +380,7 @@
     void crash_worker(Nanos down_for) {
         ModelWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
-        remember("crash " + worker.name + " for ms " + std::to_string(down_for / kMillisecond));
+        remember("crash " + worker.name + " for " + std::to_string(down_for / kMillisecond) + " ms");
         worker.crash();
         if (down_for == 0) return start_worker(worker);
         later(down_for, [this, &worker] { start_worker(worker); });
@@ -392,7 +402,7 @@
         });
     }
     void silence_list() {
-        remember("list silent");
+        remember("discovery silent");
         rig_.discovery.is_silent = true;
         raise_doubt();
         later(between(kSecond, 9 * kSecond), [this] {
@@ -416,7 +426,7 @@
                                                         {ShimmedCall::send, 0},
                                                         {ShimmedCall::epoll_wait, EINTR}}};
         const Fault fault = kFaults[pick(kFaults.size())];
-        remember("calls fail " + std::to_string(static_cast<int>(fault.call)) + " " +
+        remember("system call " + std::to_string(static_cast<int>(fault.call)) + " fails with errno " +
                  std::to_string(fault.error));
         shim_.fail(fault.call, fault.error, 1 + static_cast<int>(pick(6)));
     }
@@ -427,7 +437,8 @@
         stopped_for_ += duration + 100 * kMillisecond;
         later(duration, [this] { rig_.placer->kill(SIGCONT); });
     }
-    // Clients go on sending on open connections until the end, which comes at the earliest moment allowed.
+    // Sends SIGTERM, and SIGKILL at the earliest time allowed if the process still runs. Clients go on
+    // sending on open connections until it exits.
     void restart_gracefully() {
         if (placer_is_down_ || is_draining_) return;
         remember("SIGTERM");
@@ -443,9 +454,9 @@
             if (!rig_.placer->has_ended() && now() < kill_at) return watch_for_end(kill_at);
             const bool by_itself = rig_.placer->has_ended();
             if (by_itself && rig_.placer->exit_status() != 0)
-                violate("exit status " + std::to_string(rig_.placer->exit_status()));
-            remember(by_itself ? "ended by itself" : "killed while it drained");
-            serve_clients();  // what it sent before it ended
+                violate("the placer exited with status " + std::to_string(rig_.placer->exit_status()));
+            remember(by_itself ? "placer exited" : "placer killed while draining");
+            serve_clients();  // read what the placer sent before it exited
             go_down();
         });
     }
@@ -461,7 +472,7 @@
         is_draining_ = false;
         placer_is_down_ = true;
         ++life_;
-        rig_.run_until("the placer's end", [this] { return rig_.placer->has_ended(); });
+        rig_.run_until("the placer has exited", [this] { return rig_.placer->has_ended(); });
         serve_clients();
         killed_ = false;
         later(between(100 * kMillisecond, 2 * kSecond), [this] { bring_up(); });
@@ -473,7 +484,7 @@
         rig_.wait_until_ready();
         placer_is_down_ = false;
         stopped_for_ = 0;
-        remember("up again");
+        remember("placer restarted");
         for (const auto& client : clients_) {
             client->close_all();
             client->report_running();
@@ -492,7 +503,7 @@
         worker.end_task(*it, platform_codec::Cause::ok);
     }
     void heal() {
-        remember("healing");
+        remember("faults end");
         while (!later_.empty()) {
             rig_.step();
             run_later();
@@ -503,7 +514,7 @@
                 connection->to_client.resume();
                 connection->to_server.resume();
             }
-        // Each is back, and says so.
+        // Each client reconnects and sends a request.
         for (const auto& client : clients_) client->come_back(++last_id_, kDeadlineMs);
         for (std::size_t call = 0; call < kShimmedCalls; ++call)
             shim_.fail(static_cast<ShimmedCall>(call), 0, 0);
@@ -517,7 +528,7 @@
     const bool with_crowd_;
     const bool is_shared_;  // clients, health checker and misbehaving clients have one address
     TcpProxy* client_proxy_ = nullptr;
-    std::vector<TcpProxy*> worker_proxies_;  // by worker; null: none
+    std::vector<TcpProxy*> worker_proxies_;  // by worker; null: no proxy
     std::vector<std::unique_ptr<SoakClient>> clients_;
     std::vector<SocketPeer> checkers_;
     std::vector<Misbehaving> others_;
--- a/tests/support/soak_client.h
+++ b/tests/support/soak_client.h
@@ -1,5 +1,5 @@
-// One client of a soak run: its connections, what it asked for on each, and the tasks that it knows to run.
-// It comes back on another connection where one breaks or falls silent, as real clients do.
+// One client of a soak run: its connections, the open requests on each, and the tasks that it knows to run.
+// It connects again when a connection breaks or stalls, as real clients do.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,10 +14,10 @@
 class SoakClient {
 public:
     struct Options {
-        int host = 1;               // its address, without a proxy
-        TcpProxy* proxy = nullptr;  // else all clients share the proxy's
-        bool acknowledges = true;   // ends of its tasks
-        Nanos deadline = 0;         // of its requests
+        int host = 1;               // last part of its address, without a proxy
+        TcpProxy* proxy = nullptr;  // if set, it connects there and has the proxy's address
+        bool acknowledges = true;   // sends release_ack for each release of its tasks
+        Nanos deadline = 0;         // of its requests, from the send
     };
     struct RunningTask {
         ModelWorker* worker = nullptr;
@@ -26,9 +26,9 @@
     struct Connection {
         SocketPeer peer;
         TcpProxy::Connection* proxied = nullptr;
-        bool is_faulty = false;  // the network does something to it: what was asked on it is excused
+        bool is_faulty = false;  // a fault was injected: its requests may stay unanswered
         Nanos opened_at = 0;
-        std::map<std::uint64_t, Nanos> requests;  // by id: when it was sent
+        std::map<std::uint64_t, Nanos> requests;  // time of the send, by id
         std::size_t handled = 0;
     };
     using Violate = std::function<void(const std::string&)>;
@@ -36,7 +36,7 @@
     SoakClient(ProcessRig& rig, Options options, Violate violate)
         : rig_(rig), options_(options), violate_(std::move(violate)) {}
 
-    // False where nobody took it.
+    // Returns false if there is no connection or the send fails.
     bool send_request(std::uint64_t id, const std::string& group, int deadline_ms) {
         Connection* connection = usable_connection();
         if (!connection) return false;
@@ -44,12 +44,13 @@
         connection->requests[id] = now();
         return true;
     }
-    // The placer's process was killed just now: what was open is excused.
+    // Handles received messages and checks the open requests. `is_killed`: the placer's process was killed
+    // just now, so a request may be lost with its connection.
     void serve(bool is_killed) {
         for (const auto& connection : connections_) serve(*connection, is_killed);
         std::erase_if(connections_, [](const auto& connection) { return !connection->peer.is_open(); });
     }
-    // What it knows to run is named on a connection of its own.
+    // Reports all tasks that it knows to run on a new connection.
     void report_running() {
         if (running.empty()) return;
         Connection* connection = open();
@@ -61,29 +62,29 @@
             task.known_since = now();
         }
     }
-    // Closes its end of all connections, as when its process starts again.
+    // Closes all connections, as a restart of the client's process does.
     void close_all() {
         for (const auto& connection : connections_) connection->peer.close();
         connections_.clear();
     }
-    // A connection without a fault so far, for one; null where there is none.
+    // Returns the oldest open connection without a fault; null if there is none.
     Connection* healthy_connection() {
         for (const auto& connection : connections_)
             if (!connection->is_faulty && connection->peer.is_open()) return connection.get();
         return nullptr;
     }
-    // It takes the connection for dead and asks on another one from now on. The old one stays open.
+    // The client stops using the connection, which stays open, and gives up the requests on it.
     void mark_faulty(Connection& connection) {
         connection.is_faulty = true;
         connection.requests.clear();
     }
-    // Closes those that had a fault.
+    // Closes the connections that are marked as faulty.
     void close_faulty() {
         for (const auto& connection : connections_)
             if (connection->is_faulty) connection->peer.close();
         std::erase_if(connections_, [](const auto& connection) { return connection->is_faulty; });
     }
-    // Since when it has a connection that works; 0: it has none.
+    // Time at which its oldest working connection was opened; 0 if it has none.
     Nanos reachable_since() const {
         Nanos since = 0;
         for (const auto& connection : connections_)
@@ -92,7 +93,7 @@
                 since = connection->opened_at;
         return since;
     }
-    // Opens another connection and says something on it.
+    // Opens another connection and sends a request on it.
     void come_back(std::uint64_t id, int deadline_ms) {
         Connection* connection = open();
         if (connection && send(*connection, place_task_bytes(id, "free", deadline_ms, "")))
@@ -101,7 +102,7 @@
     bool acknowledges() const { return options_.acknowledges; }
 
     std::map<std::uint64_t, RunningTask> running;
-    // A task was said to be over that its worker runs, by the placer and not by the worker.
+    // Called when the placer releases a task that its worker still runs, without a release from the worker.
     std::function<void(std::uint64_t id)> on_ended_while_running = [](std::uint64_t) {};
 
 private:
@@ -114,7 +115,7 @@
             connection.peer.send_bytes(bytes);
             return true;
         } catch (const std::runtime_error&) {
-            return false;  // it broke before a byte left
+            return false;  // the connection broke before the send
         }
     }
     Connection* open() {
@@ -136,14 +137,14 @@
             handle(connection, connection.peer.received[connection.handled++]);
         for (const auto& [id, sent_at] : connection.requests)
             if (now() - sent_at > options_.deadline + kAnswerSlack) {
-                violate_("request " + std::to_string(id) + " has no answer");
+                violate_("request " + std::to_string(id) + " has no answer after its deadline");
                 connection.requests.erase(id);
                 break;
             }
         if (!connection.peer.peer_closed && !connection.peer.was_reset) return;
         for (const auto& [id, sent_at] : connection.requests) {
             const bool excused = is_killed || connection.is_faulty || now() - sent_at <= kCrossing;
-            if (!excused) violate_("request " + std::to_string(id) + " lost with its connection");
+            if (!excused) violate_("request " + std::to_string(id) + " was lost with its connection");
         }
         connection.requests.clear();
         connection.peer.close();
@@ -151,7 +152,7 @@
     void handle(Connection& connection, const ProtocolPeer::ReceivedMessage& message) {
         const std::uint64_t id = message.task;
         if (message.type == MessageType::answer) {
-            if (!connection.requests.erase(id)) return;  // it was given up with its connection
+            if (!connection.requests.erase(id)) return;  // given up by mark_faulty()
             RunningTask& task = running[id];
             task.known_since = now();
             for (const auto& worker : rig_.workers)
@@ -161,7 +162,8 @@
             const auto task = running.find(id);
             if (task == running.end()) return;
             const ModelWorker* worker = task->second.worker;
-            // Only a worker says `ok`; a copy that was cancelled elsewhere may run on for a moment.
+            // `ok` comes only from a worker; another attempt of the task, cancelled on its worker because of
+            // that, may still run for a moment.
             const bool ended_by_worker = message.cause == platform_codec::Cause::ok;
             if (worker && worker->running.contains(id) && !ended_by_worker &&
                 message.type == MessageType::release)
--- a/tests/support/tcp_proxy.h
+++ b/tests/support/tcp_proxy.h
@@ -1,6 +1,5 @@
-// A proxy between a test's peers and a placer's process that breaks connections in the ways networks do: it
-// stalls one direction, holds bytes for a while, or closes one half, of one connection and not of its
-// neighbours.
+// TCP proxy between a test's peers and a placer's process. Breaks single connections in the ways networks do:
+// it stalls a direction, delays bytes, or closes one half.
 #pragma once
 #include <memory>
 #include <string>
@@ -15,7 +14,7 @@
     // One direction of one connection.
     class Direction {
     public:
-        // Nothing passes any more, until resume(); the sender's bytes are taken all the same.
+        // Forwards nothing until resume(); bytes from the sender are read and kept.
         void stall() { stalled_ = true; }
         void resume() { stalled_ = false; }
         bool is_stalled() const { return stalled_; }
@@ -62,12 +61,12 @@
             if (descriptor >= 0) setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
         end(connection);
     }
-    // The server sees the client's side closed, and the client notices nothing.
+    // The server sees the client's side closed; the client's own connection does not change.
     void half_close_to_server(Connection& connection) {
         connection.to_server.half_closed_ = true;
         if (connection.dialed >= 0) ::shutdown(connection.dialed, SHUT_WR);
     }
-    // Accepts what has connected; the last of it, or null where the server took none.
+    // Accepts all pending connections. Returns the newest, or null if none could be connected to the server.
     Connection* accept_last() {
         const std::size_t before = connections.size();
         accept_new();
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -1,4 +1,4 @@
-// The placer as a process of its own, whose system calls fail in turn and whose wall clock is stepped.
+// A placer's process whose system calls fail and whose wall clock is stepped.
 #include <catch2/catch.hpp>
 #include <cerrno>
 
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-TEST_CASE("a step of the wall clock ends no running task, and hides no restart of a worker", "[clock]") {
+TEST_CASE("a step of the wall clock releases no running task and hides no worker restart", "[clock]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
     ModelWorker& worker = rig.add_worker("w1");
@@ -46,13 +46,13 @@
     const Nanos step = GENERATE(-3600 * kSecond, -5 * kSecond, 5 * kSecond, 3600 * kSecond);
     shimmed.shim.step_wall_clock(step);
     rig.run_for(200 * kMillisecond);
-    // The machine's clock is the worker's too.
+    // The worker reads the same stepped clock.
     worker.crash();
     worker.start_again();
     worker.started_at_ms += step / kMillisecond;
     rig.publish(worker);
     CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
-    // A task that starts after the step is younger than its worker.
+    // A task that is placed after the step started after its worker, so it is kept.
     SocketPeer other = rig.connect_client();
     rig.place(other, 3);
     rig.publish(worker);
@@ -62,7 +62,7 @@
     CHECK_FALSE(released(client, 2));
 }
 
-TEST_CASE("accepting goes on after each error that passes, also while the process ends", "[accept]") {
+TEST_CASE("accepting continues after each transient error, also during shutdown", "[accept]") {
     const int error =
         GENERATE(ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM);
     const bool ending = GENERATE(false, true);
@@ -73,7 +73,7 @@
     shimmed.shim.fail(ShimmedCall::accept4, error, 3);
     std::vector<SocketPeer> clients;
     if (ending) {
-        // What comes while the process is stopped lies in the backlog when it goes on.
+        // Connections made while the process is stopped are in the listen backlog when it continues.
         rig.placer->kill(SIGTERM);
         rig.run_for(300 * kMillisecond);
         rig.placer->kill(SIGSTOP);
@@ -95,7 +95,7 @@
     for (const SocketPeer& client : clients) CHECK_FALSE(client.was_reset);
 }
 
-TEST_CASE("a dial that fails for a reason of this machine ends no running task", "[dial]") {
+TEST_CASE("a connect that fails with a local or network error releases no running task", "[dial]") {
     struct Fault {
         ShimmedCall call;
         int error;
@@ -123,7 +123,7 @@
     CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
 }
 
-TEST_CASE("interrupted waits and short reads and writes change nothing", "[short]") {
+TEST_CASE("a task is placed and kept despite interrupted waits and short reads and writes", "[short]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
     rig.add_worker("w1");
@@ -147,12 +147,12 @@
     }
 }
 
-TEST_CASE("a start that lacks resources for a moment comes up", "[short]") {
+TEST_CASE("a placer starts although socket() fails with ENOBUFS at first", "[short]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
     rig.wait_until_ready();
     rig.placer->kill(SIGKILL);
-    rig.run_until("its end", [&] { return rig.placer->has_ended(); });
+    rig.run_until("the placer has exited", [&] { return rig.placer->has_ended(); });
     shimmed.shim.fail(ShimmedCall::socket, ENOBUFS, 3);
     rig.placer->restart();
     rig.wait_until_ready();
