--- a/tests/support/fault_shim.cpp
+++ b/tests/support/fault_shim.cpp
@@ -32,7 +32,7 @@
 }
 
 // Consumes one pending fault of `call` and sets `error`; false if none is pending.
-bool takes_fault(ShimmedCall call, int& error) {
+bool consume_fault(ShimmedCall call, int& error) {
     FaultShimControl* const shared = control();
     if (!shared) return false;
     whinpost::ShimmedCallFault& fault = shared->faults[static_cast<std::size_t>(call)];
@@ -43,15 +43,15 @@
     return true;
 }
 
-bool fails(ShimmedCall call) {
+bool inject_error(ShimmedCall call) {
     int error = 0;
-    if (!takes_fault(call, error)) return false;
+    if (!consume_fault(call, error)) return false;
     errno = error;
     return true;
 }
 
 template <class Function>
-Function* next(const char* name) {
+Function* real_function(const char* name) {
     return reinterpret_cast<Function*>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -67,37 +67,37 @@
 extern "C" {
 
 int accept4(int descriptor, sockaddr* address, socklen_t* length, int flags) {
-    if (fails(ShimmedCall::accept4)) return -1;
-    static auto* const real = next<decltype(accept4)>("accept4");
+    if (inject_error(ShimmedCall::accept4)) return -1;
+    static auto* const real = real_function<decltype(accept4)>("accept4");
     return real(descriptor, address, length, flags);
 }
 
 int socket(int domain, int type, int protocol) noexcept {
-    if (domain == AF_INET && fails(ShimmedCall::socket)) return -1;
-    static auto* const real = next<decltype(socket)>("socket");
+    if (domain == AF_INET && inject_error(ShimmedCall::socket)) return -1;
+    static auto* const real = real_function<decltype(socket)>("socket");
     return real(domain, type, protocol);
 }
 
 int connect(int descriptor, const sockaddr* address, socklen_t length) {
-    if (fails(ShimmedCall::connect)) return -1;
-    static auto* const real = next<decltype(connect)>("connect");
+    if (inject_error(ShimmedCall::connect)) return -1;
+    static auto* const real = real_function<decltype(connect)>("connect");
     return real(descriptor, address, length);
 }
 
 int getsockopt(int descriptor, int level, int name, void* value, socklen_t* length) noexcept {
     int error = 0;
-    if (level == SOL_SOCKET && name == SO_ERROR && takes_fault(ShimmedCall::connect_result, error)) {
+    if (level == SOL_SOCKET && name == SO_ERROR && consume_fault(ShimmedCall::connect_result, error)) {
         *static_cast<int*>(value) = error;
         return 0;
     }
-    static auto* const real = next<decltype(getsockopt)>("getsockopt");
+    static auto* const real = real_function<decltype(getsockopt)>("getsockopt");
     return real(descriptor, level, name, value, length);
 }
 
 ssize_t readv(int descriptor, const iovec* vector, int count) {
-    static auto* const real = next<decltype(readv)>("readv");
+    static auto* const real = real_function<decltype(readv)>("readv");
     int error = 0;
-    if (!takes_fault(ShimmedCall::readv, error)) return real(descriptor, vector, count);
+    if (!consume_fault(ShimmedCall::readv, error)) return real(descriptor, vector, count);
     if (error) {
         errno = error;
         return -1;
@@ -107,9 +107,9 @@
 }
 
 ssize_t writev(int descriptor, const iovec* vector, int count) {
-    static auto* const real = next<decltype(writev)>("writev");
+    static auto* const real = real_function<decltype(writev)>("writev");
     int error = 0;
-    if (!takes_fault(ShimmedCall::writev, error)) return real(descriptor, vector, count);
+    if (!consume_fault(ShimmedCall::writev, error)) return real(descriptor, vector, count);
     if (error) {
         errno = error;
         return -1;
@@ -119,9 +119,9 @@
 }
 
 ssize_t send(int descriptor, const void* bytes, size_t length, int flags) {
-    static auto* const real = next<decltype(send)>("send");
+    static auto* const real = real_function<decltype(send)>("send");
     int error = 0;
-    if (!takes_fault(ShimmedCall::send, error)) return real(descriptor, bytes, length, flags);
+    if (!consume_fault(ShimmedCall::send, error)) return real(descriptor, bytes, length, flags);
     if (error) {
         errno = error;
         return -1;
@@ -129,14 +129,14 @@
     return real(descriptor, bytes, length > 0 ? 1 : 0, flags);
 }
 
-int epoll_wait(int descriptor, epoll_event* events, int most, int timeout) {
-    if (fails(ShimmedCall::epoll_wait)) return -1;
-    static auto* const real = next<decltype(epoll_wait)>("epoll_wait");
-    return real(descriptor, events, most, timeout);
+int epoll_wait(int descriptor, epoll_event* events, int max_events, int timeout) {
+    if (inject_error(ShimmedCall::epoll_wait)) return -1;
+    static auto* const real = real_function<decltype(epoll_wait)>("epoll_wait");
+    return real(descriptor, events, max_events, timeout);
 }
 
 int clock_gettime(clockid_t clock, timespec* time) noexcept {
-    static auto* const real = next<decltype(clock_gettime)>("clock_gettime");
+    static auto* const real = real_function<decltype(clock_gettime)>("clock_gettime");
     const int result = real(clock, time);
     FaultShimControl* const shared = control();
     if (result != 0 || clock != CLOCK_REALTIME || !shared) return result;
--- a/tests/support/fault_shim.h
+++ b/tests/support/fault_shim.h
@@ -14,7 +14,7 @@
 namespace whinpost {
 
 enum class ShimmedCall { accept4, socket, connect, connect_result, readv, writev, send, epoll_wait };
-constexpr std::size_t kShimmedCalls = static_cast<std::size_t>(ShimmedCall::epoll_wait) + 1;
+constexpr std::size_t kShimmedCallCount = static_cast<std::size_t>(ShimmedCall::epoll_wait) + 1;
 
 // The next `count` calls fail with the errno `error`. With an `error` of 0, calls that transfer bytes succeed
 // but transfer a single byte. `hits` counts the calls that were affected.
@@ -24,7 +24,7 @@
 
 struct FaultShimControl {
     std::atomic<std::int64_t> wall_clock_offset{0};  // nanoseconds
-    ShimmedCallFault faults[kShimmedCalls];
+    ShimmedCallFault faults[kShimmedCallCount];
 };
 
 constexpr const char* kFaultShimVariable = "WHINPOST_FAULT_SHIM";  // environment variable: path of the file
@@ -51,7 +51,7 @@
     FaultShim(const FaultShim&) = delete;
     FaultShim& operator=(const FaultShim&) = delete;
 
-    std::string variable() const { return std::string(kFaultShimVariable) + "=" + path_; }
+    std::string environment_entry() const { return std::string(kFaultShimVariable) + "=" + path_; }
     void fail(ShimmedCall call, int error, int count) {
         ShimmedCallFault& fault = control_->faults[static_cast<std::size_t>(call)];
         fault.error = error;
--- a/tests/support/process_soak.h
+++ b/tests/support/process_soak.h
@@ -68,7 +68,7 @@
     static PlacerProcessOptions options(const FaultShim& shim) {
         PlacerProcessOptions options;
         options.longest_deadline_ms = kDeadlineMs;
-        options.environment = {shim.variable(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
+        options.environment = {shim.environment_entry(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
                                "ASAN_OPTIONS=verify_asan_link_order=0"};
         return options;
     }
@@ -516,7 +516,7 @@
             }
         // Each client reconnects and sends a request.
         for (const auto& client : clients_) client->come_back(++last_id_, kDeadlineMs);
-        for (std::size_t call = 0; call < kShimmedCalls; ++call)
+        for (std::size_t call = 0; call < kShimmedCallCount; ++call)
             shim_.fail(static_cast<ShimmedCall>(call), 0, 0);
         rig_.placer->kill(SIGCONT);
     }
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -18,7 +18,7 @@
 
     static PlacerProcessOptions options(const FaultShim& shim) {
         PlacerProcessOptions options;
-        options.environment = {shim.variable(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
+        options.environment = {shim.environment_entry(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
                                "ASAN_OPTIONS=verify_asan_link_order=0"};
         return options;
     }
