--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -29,7 +29,7 @@
 TEST_CASE("a client that reports a task which its worker does not run gets a message or a close in 3 s",
           "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer genuine = rig.connect_client();
     worker.run(1);
@@ -54,7 +54,7 @@
 TEST_CASE("a task whose worker restarted before the report is released, whenever discovery lists the restart",
           "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     const bool listed_before = GENERATE(true, false);
     worker.crash();
@@ -70,7 +70,7 @@
 
 TEST_CASE("a task whose worker restarts at once is released in 8 s while discovery is silent", "[restarts]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
@@ -85,7 +85,7 @@
     "a running task survives resets of its worker's connections while discovery lists the worker unchanged",
     "[kept]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
@@ -101,7 +101,7 @@
 TEST_CASE("a reported task on a worker that discovery never listed is released", "[reports]") {
     ProcessRig rig;
     rig.add_worker("w1");
-    ModelWorker& unlisted = rig.add_worker("w2", false);
+    FakeWorker& unlisted = rig.add_worker("w2", false);
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.report_running(client, unlisted, 1);
@@ -110,7 +110,7 @@
 
 TEST_CASE("a task that is reported again under another id is released under both ids", "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer first = rig.connect_client(1), second = rig.connect_client(2);
     worker.run(1);
@@ -128,7 +128,7 @@
     again.description = "asked";
     second.send(again);
     worker.running = {2};
-    worker.on_handed_over(2);
+    worker.on_task_reported(2);
     rig.run_for(kSecond);
     worker.end_task(2, Cause::ok);
     CHECK(rig.time_until([&] { return released(second, 2); }, kWordLimit) < kWordLimit);
@@ -139,7 +139,7 @@
     ProcessRig rig;
     rig.add_worker("w1");
     rig.wait_until_ready();
-    ModelDiscovery moved;
+    FakeDiscovery moved;
     moved.publish(R"({"host":"w1","health":"active"})");
     rig.placer->options().discovery = moved.address();
     rig.placer->replace_config(R"({"listen":"127.0.0.1:1","bus":")");
--- a/tests/release_delivery_faults_test.cpp
+++ b/tests/release_delivery_faults_test.cpp
@@ -54,7 +54,7 @@
     }
 
     ProcessRig rig;
-    ModelWorker& worker;
+    FakeWorker& worker;
     SocketPeer checker;
     std::uint64_t last_check = 0;
 };
@@ -164,7 +164,7 @@
     "a task that ends while one connection of its worker is stalled is released, though the others are busy",
     "[delivery]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1", false);
+    FakeWorker& worker = rig.add_worker("w1", false);
     TcpProxy& proxy = rig.add_worker_proxy(worker);
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
@@ -226,7 +226,7 @@
 TEST_CASE("a reported task on a silent worker is kept if its client's report on another worker was confirmed",
           "[delivery]") {
     ProcessRig rig;
-    ModelWorker &heard = rig.add_worker("w1"), &unheard = rig.add_worker("w2");
+    FakeWorker &heard = rig.add_worker("w1"), &unheard = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     heard.run(1);
@@ -247,7 +247,7 @@
     "a task is released in 8 s after its worker's machine was replaced and left its old connections open",
     "[silence]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     const bool was_reported = GENERATE(true, false);
@@ -264,7 +264,7 @@
 
 TEST_CASE("a task is kept while its worker hangs or one of the worker's connections stalls", "[silence]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1", false);
+    FakeWorker& worker = rig.add_worker("w1", false);
     TcpProxy& proxy = rig.add_worker_proxy(worker);
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -24,15 +24,15 @@
 // Simulated worker that behaves as the platform's workers do: accepts each attempt, sends the usage of a task
 // when the task starts or is reported to a placer, and keeps the release of an ended task until a connection
 // is open.
-class ModelWorker {
+class FakeWorker {
 public:
     // Listens on an IP address of its own, so that no other socket takes its port while it is down.
-    ModelWorker(std::string worker_name, int host)
+    FakeWorker(std::string worker_name, int host)
         : name(std::move(worker_name)),
           ip_(INADDR_LOOPBACK + kWorkerNetwork + static_cast<std::uint32_t>(host)),
           listener_(std::make_unique<ListeningSocket>(kBacklog, 0, ip_)), port_(listener_->port()),
           address_(listener_->address()) {
-        listed_address = address_;
+        published_address = address_;
     }
 
     const std::string& address() const { return address_; }
@@ -41,7 +41,7 @@
     // Adds a running task that the placer under test did not send.
     void run(std::uint64_t id) { running.insert(id); }
     // Called when a client has reported the task to the placer: the next step() sends the task's usage.
-    void on_handed_over(std::uint64_t id) { unreported_.insert(id); }
+    void on_task_reported(std::uint64_t id) { unsent_usage_.insert(id); }
     void end_task(std::uint64_t id, platform_codec::Cause cause) {
         running.erase(id);
         unsent_ends_[id] = cause;
@@ -55,7 +55,7 @@
         running.clear();
         unsent_ends_.clear();
         sent_ends_.clear();
-        unreported_.clear();
+        unsent_usage_.clear();
     }
     // Replaces the worker's machine without closing its connections: its tasks are lost, and the old
     // connections stay open and silent.
@@ -65,7 +65,7 @@
         running.clear();
         unsent_ends_.clear();
         sent_ends_.clear();
-        unreported_.clear();
+        unsent_usage_.clear();
         started_at_ms = read_clock(CLOCK_REALTIME) / kMillisecond;
     }
     void start_again() {
@@ -79,10 +79,10 @@
     // Simulates a hang or a network partition: the kernel accepts bytes, but the worker sends nothing.
     bool is_silent = false;
     bool answers_attempts = true;
-    bool reports_handed_over = true;
+    bool sends_usage_of_reported = true;
     std::int64_t started_at_ms = 0;
     const std::string name;
-    std::string listed_address;  // in discovery: its own or its proxy's
+    std::string published_address;  // in discovery: its own or its proxy's
     std::set<std::uint64_t> running, cancelled;
     std::size_t attempts = 0;
 
@@ -92,31 +92,31 @@
         if (!listener_ || is_silent) return;
         listener_->accept_and_read();
         // The placer may not have read the releases sent before, so they are sent again on a new connection.
-        const bool is_opened = !listener_->connections.empty();
+        const bool has_new_connection = !listener_->connections.empty();
         for (std::unique_ptr<SocketPeer>& accepted : listener_->connections)
             connections_.push_back(std::make_unique<Connection>(Connection{std::move(accepted), 0}));
         listener_->connections.clear();
         for (const auto& connection : connections_)
-            while_it_lasts(*connection->peer, [&] { serve(*connection); });
+            mark_reset_on_failure(*connection->peer, [&] { serve(*connection); });
         std::erase_if(connections_, [](const auto& connection) {
             return connection->peer->peer_closed || connection->peer->was_reset;
         });
         if (connections_.empty()) return;
-        SocketPeer& any = *connections_.back()->peer;
-        const auto repeated = is_opened ? std::exchange(sent_ends_, {}) : Ends{};
+        SocketPeer& newest = *connections_.back()->peer;
+        const auto repeated = has_new_connection ? std::exchange(sent_ends_, {}) : Ends{};
         const auto ends = std::exchange(unsent_ends_, {});
         sent_ends_.insert(ends.begin(), ends.end());
-        while_it_lasts(any, [&] {
-            if (reports_handed_over)
-                for (const std::uint64_t id : std::exchange(unreported_, {}))
-                    if (running.contains(id)) any.report_use(id);
+        mark_reset_on_failure(newest, [&] {
+            if (sends_usage_of_reported)
+                for (const std::uint64_t id : std::exchange(unsent_usage_, {}))
+                    if (running.contains(id)) newest.report_use(id);
         });
-        while_it_lasts(any, [&] {
-            for (const auto& [id, cause] : repeated) any.release(id, cause);
+        mark_reset_on_failure(newest, [&] {
+            for (const auto& [id, cause] : repeated) newest.release(id, cause);
         });
         for (const auto& [id, cause] : ends) {
-            SocketPeer& on = set_up_connection(id, any);
-            while_it_lasts(on, [&, task = id, why = cause] { on.release(task, why); });
+            SocketPeer& on = connection_of_attempt(id, newest);
+            mark_reset_on_failure(on, [&, task = id, why = cause] { on.release(task, why); });
         }
     }
 
@@ -127,15 +127,15 @@
     };
 
     // The connection on which the task's attempt arrived; `other` if that one is closed.
-    SocketPeer& set_up_connection(std::uint64_t id, SocketPeer& other) const {
-        const auto set_up = set_up_on_.find(id);
-        if (set_up == set_up_on_.end()) return other;
+    SocketPeer& connection_of_attempt(std::uint64_t id, SocketPeer& other) const {
+        const auto attempt = attempt_connections_.find(id);
+        if (attempt == attempt_connections_.end()) return other;
         for (const auto& connection : connections_)
-            if (connection->peer.get() == set_up->second) return *connection->peer;
+            if (connection->peer.get() == attempt->second) return *connection->peer;
         return other;
     }
     // Runs `action`; marks the peer as reset if a send fails, since the placer may be killed at any moment.
-    static void while_it_lasts(SocketPeer& peer, const std::function<void()>& action) {
+    static void mark_reset_on_failure(SocketPeer& peer, const std::function<void()>& action) {
         try {
             action();
         } catch (const std::runtime_error&) {
@@ -151,7 +151,7 @@
                 ++attempts;
                 if (!answers_attempts) continue;
                 running.insert(message.task);
-                set_up_on_[message.task] = connection.peer.get();
+                attempt_connections_[message.task] = connection.peer.get();
                 connection.peer->answer(message.task, name);
                 connection.peer->report_use(message.task);
             } else if (message.type == MessageType::release) {
@@ -159,9 +159,10 @@
                 // `given_up` cancels the attempt of its own connection only: the id may since have been sent
                 // again on another connection.
                 const bool is_given_up = message.cause == platform_codec::Cause::given_up;
-                const auto set_up = set_up_on_.find(message.task);
-                const bool is_other = set_up != set_up_on_.end() && set_up->second != connection.peer.get();
-                if (is_given_up && is_other) continue;
+                const auto attempt = attempt_connections_.find(message.task);
+                const bool is_other_connection =
+                    attempt != attempt_connections_.end() && attempt->second != connection.peer.get();
+                if (is_given_up && is_other_connection) continue;
                 if (running.erase(message.task))
                     connection.peer->release(message.task, platform_codec::Cause::cancelled);
             } else if (message.type == MessageType::health_check) {
@@ -182,14 +183,14 @@
     int port_;
     std::string address_;
     std::vector<std::unique_ptr<Connection>> connections_, silent_connections_;
-    std::set<std::uint64_t> unreported_;
-    std::map<std::uint64_t, const SocketPeer*> set_up_on_;
+    std::set<std::uint64_t> unsent_usage_;
+    std::map<std::uint64_t, const SocketPeer*> attempt_connections_;
     using Ends = std::map<std::uint64_t, platform_codec::Cause>;
     Ends unsent_ends_, sent_ends_;
 };
 
 // Simulated discovery service: sends the events of the endpoint list to every watch.
-class ModelDiscovery {
+class FakeDiscovery {
 public:
     std::string address() const { return listener_.address(); }
     bool is_silent = false;  // watches stay open but receive nothing
@@ -219,12 +220,12 @@
                 watch.close();
                 continue;
             }
-            if (sent_[i].next == 0) greet(watch, sent_[i]);
+            if (sent_[i].next == 0) start_stream(watch, sent_[i]);
             for (; sent_[i].next <= events_.size(); ++sent_[i].next)
                 try_send(watch, events_[sent_[i].next - 1]);
-            if (const Nanos now = read_clock(CLOCK_MONOTONIC); now >= sent_[i].comment_at) {
+            if (const Nanos now = read_clock(CLOCK_MONOTONIC); now >= sent_[i].next_keepalive_at) {
                 try_send(watch, ": here\n\n");
-                sent_[i].comment_at = now + kSecond;
+                sent_[i].next_keepalive_at = now + kSecond;
             }
         }
     }
@@ -232,7 +233,7 @@
 private:
     struct Watch {
         std::size_t next = 0;
-        Nanos comment_at = 0;
+        Nanos next_keepalive_at = 0;
     };
     static void try_send(SocketPeer& watch, const std::string& bytes) {
         try {
@@ -241,7 +242,7 @@
             watch.close();
         }
     }
-    static void greet(SocketPeer& watch, Watch& state) {
+    static void start_stream(SocketPeer& watch, Watch& state) {
         const std::string name = "Last-Event-ID: ";
         const std::size_t at = watch.received_bytes.find(name);
         state.next =
@@ -264,13 +265,13 @@
         placer = std::make_unique<PlacerProcess>(std::move(options));
     }
     // Starts a worker and, if `listed`, publishes it in the endpoint list.
-    ModelWorker& add_worker(const std::string& name, bool listed = true) {
-        workers.push_back(std::make_unique<ModelWorker>(name, static_cast<int>(workers.size())));
+    FakeWorker& add_worker(const std::string& name, bool listed = true) {
+        workers.push_back(std::make_unique<FakeWorker>(name, static_cast<int>(workers.size())));
         if (listed) publish(*workers.back());
         return *workers.back();
     }
-    void publish(const ModelWorker& worker, const char* state = "active") {
-        discovery.publish(R"({"host":")" + worker.name + R"(","dial":")" + worker.listed_address +
+    void publish(const FakeWorker& worker, const char* state = "active") {
+        discovery.publish(R"({"host":")" + worker.name + R"(","dial":")" + worker.published_address +
                           R"(","site":"a","class":"std","block":1,"health":")" + state +
                           R"(","share":1,"born_ms":)" + std::to_string(worker.started_at_ms) +
                           R"(,"free":[16,32]})");
@@ -278,19 +279,20 @@
     // Waits until the placer passes a health check.
     void wait_until_ready() {
         run_until("the placer is healthy", [this] {
-            SocketPeer front = try_connect();
-            if (!front.is_open()) return false;
+            SocketPeer checker = try_connect();
+            if (!checker.is_open()) return false;
             try {
-                front.send_plain(MessageType::health_check, 1);
+                checker.send_plain(MessageType::health_check, 1);
             } catch (const std::runtime_error&) {
                 return false;  // the placer reset the connection at once
             }
             const Nanos give_up = read_clock(CLOCK_MONOTONIC) + kSecond;
-            while (front.received.empty() && read_clock(CLOCK_MONOTONIC) < give_up) {
+            while (checker.received.empty() && read_clock(CLOCK_MONOTONIC) < give_up) {
                 step();
-                front.read_available();
+                checker.read_available();
             }
-            return !front.received.empty() && front.received[0].cause == platform_codec::Cause::check_passed;
+            return !checker.received.empty() &&
+                   checker.received[0].cause == platform_codec::Cause::check_passed;
         });
     }
     // Connects from 127.0.0.`host`: the placer tells clients apart by their address.
@@ -310,10 +312,10 @@
         return peer;
     }
     // The client reports to the placer that the worker runs its task, and the worker learns of the report.
-    void report_running(SocketPeer& client, ModelWorker& worker, std::uint64_t id,
+    void report_running(SocketPeer& client, FakeWorker& worker, std::uint64_t id,
                         int time_left_ms = 4'294'967) {
         client.send_bytes(place_task_bytes(id, "free", time_left_ms, ";at:" + worker.name));
-        worker.on_handed_over(id);
+        worker.on_task_reported(id);
     }
     // Sends a request and waits until the placer has answered that its task runs.
     void place(SocketPeer& client, std::uint64_t id) {
@@ -329,9 +331,9 @@
         return *proxies.back();
     }
     // Adds a proxy between the placer and the worker, and publishes the worker at the proxy's address.
-    TcpProxy& add_worker_proxy(ModelWorker& worker) {
+    TcpProxy& add_worker_proxy(FakeWorker& worker) {
         proxies.push_back(std::make_unique<TcpProxy>(kProxyIp, worker.ip(), worker.port()));
-        worker.listed_address = proxies.back()->address();
+        worker.published_address = proxies.back()->address();
         publish(worker);
         return *proxies.back();
     }
@@ -372,13 +374,13 @@
     }
     // Returns the time until `holds` returned true, or `limit` if it did not do so in time.
     Nanos time_until(const std::function<bool()>& holds, Nanos limit) {
-        const Nanos began = read_clock(CLOCK_MONOTONIC);
-        while (!holds() && read_clock(CLOCK_MONOTONIC) - began < limit) step();
-        return std::min(limit, read_clock(CLOCK_MONOTONIC) - began);
+        const Nanos started_at = read_clock(CLOCK_MONOTONIC);
+        while (!holds() && read_clock(CLOCK_MONOTONIC) - started_at < limit) step();
+        return std::min(limit, read_clock(CLOCK_MONOTONIC) - started_at);
     }
 
-    ModelDiscovery discovery;
-    std::vector<std::unique_ptr<ModelWorker>> workers;
+    FakeDiscovery discovery;
+    std::vector<std::unique_ptr<FakeWorker>> workers;
     std::vector<std::unique_ptr<TcpProxy>> proxies;
     std::unique_ptr<PlacerProcess> placer;
 
--- a/tests/support/process_soak.h
+++ b/tests/support/process_soak.h
@@ -79,7 +79,7 @@
     Nanos between(Nanos least, Nanos most) {
         return std::uniform_int_distribution<Nanos>(least, most)(random_);
     }
-    ModelWorker& any_worker() { return *rig_.workers[pick(rig_.workers.size())]; }
+    FakeWorker& any_worker() { return *rig_.workers[pick(rig_.workers.size())]; }
     void violate(const std::string& what) {
         violations_.push_back(what);
         remember("VIOLATION " + what);
@@ -107,7 +107,7 @@
     // Puts about half of the workers behind proxies, which can break single connections.
     void add_worker(const std::string& name) {
         const bool is_proxied = pick(2) == 0;
-        ModelWorker& worker = rig_.add_worker(name, !is_proxied);
+        FakeWorker& worker = rig_.add_worker(name, !is_proxied);
         worker_proxies_.push_back(is_proxied ? &rig_.add_worker_proxy(worker) : nullptr);
     }
     // Clients share the address of the health checker by a proxy, or each has an address of its own.
@@ -364,7 +364,7 @@
     }
     // Replaces a worker's machine; its old connections stay open, and discovery publishes the restart later.
     void replace_worker() {
-        ModelWorker& worker = any_worker();
+        FakeWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
         remember("replace machine of " + worker.name);
         worker.replace_silently();
@@ -378,20 +378,20 @@
         any_client().come_back(++last_id_, kDeadlineMs);
     }
     void crash_worker(Nanos down_for) {
-        ModelWorker& worker = any_worker();
+        FakeWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
         remember("crash " + worker.name + " for " + std::to_string(down_for / kMillisecond) + " ms");
         worker.crash();
         if (down_for == 0) return start_worker(worker);
         later(down_for, [this, &worker] { start_worker(worker); });
     }
-    void start_worker(ModelWorker& worker) {
+    void start_worker(FakeWorker& worker) {
         worker.start_again();
         worker.started_at_ms = (read_clock(CLOCK_REALTIME) + shim_.wall_clock_offset()) / kMillisecond;
         later(between(0, 3 * kSecond), [this, &worker] { rig_.publish(worker); });
     }
     void silence_worker() {
-        ModelWorker& worker = any_worker();
+        FakeWorker& worker = any_worker();
         if (worker.is_silent) return;
         remember("silent " + worker.name);
         worker.is_silent = true;
@@ -496,7 +496,7 @@
     }
     void end_some_task() {
         next_end_at_ = now() + between(20 * kMillisecond, 200 * kMillisecond);
-        ModelWorker& worker = any_worker();
+        FakeWorker& worker = any_worker();
         if (worker.running.empty() || worker.is_down()) return;
         auto it = worker.running.begin();
         std::advance(it, static_cast<long>(pick(worker.running.size())));
--- a/tests/support/soak_client.h
+++ b/tests/support/soak_client.h
@@ -20,7 +20,7 @@
         Nanos deadline = 0;         // of its requests, from the send
     };
     struct RunningTask {
-        ModelWorker* worker = nullptr;
+        FakeWorker* worker = nullptr;
         Nanos over_at = 0, known_since = 0;
     };
     struct Connection {
@@ -58,7 +58,7 @@
         for (auto& [id, task] : running) {
             const std::string name = task.worker ? task.worker->name : "w0";
             if (!send(*connection, place_task_bytes(id, "free", 4'294'967, ";at:" + name))) return;
-            if (task.worker) task.worker->on_handed_over(id);
+            if (task.worker) task.worker->on_task_reported(id);
             task.known_since = now();
         }
     }
@@ -161,7 +161,7 @@
             connection.requests.erase(id);
             const auto task = running.find(id);
             if (task == running.end()) return;
-            const ModelWorker* worker = task->second.worker;
+            const FakeWorker* worker = task->second.worker;
             // `ok` comes only from a worker; another attempt of the task, cancelled on its worker because of
             // that, may still run for a moment.
             const bool ended_by_worker = message.cause == platform_codec::Cause::ok;
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -34,8 +34,8 @@
 TEST_CASE("a step of the wall clock releases no running task and hides no worker restart", "[clock]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
-    ModelWorker& worker = rig.add_worker("w1");
-    ModelWorker& steady = rig.add_worker("w2");
+    FakeWorker& worker = rig.add_worker("w1");
+    FakeWorker& steady = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     worker.run(1);
@@ -108,7 +108,7 @@
     CAPTURE(static_cast<int>(fault.call), fault.error);
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
