--- a/tests/platform_sockets_attempts_test.cpp
+++ b/tests/platform_sockets_attempts_test.cpp
@@ -16,7 +16,7 @@
         client.release(7, platform_codec::Cause::given_up);
     } else {
         client.release(7, platform_codec::Cause::given_up);
-        rig.run_times(5);
+        rig.run_passes(5);
         worker.connections.back()->answer(7);
     }
     rig.run_until([&] {
@@ -40,7 +40,7 @@
         client.read_available();
         return !client.received.empty();
     });
-    rig.run_times(20);
+    rig.run_passes(20);
     client.read_available();
     worker.accept_and_read();
     REQUIRE(client.received.size() == 1);
@@ -62,7 +62,7 @@
         client.read_available();
         return client.count(MessageType::release, 7) == 1;
     });
-    rig.run_times(20);
+    rig.run_passes(20);
     client.read_available();
     CHECK(client.received.size() == 2);
     CHECK(!worker.connections.back()->peer_closed);
--- a/tests/platform_sockets_clients_test.cpp
+++ b/tests/platform_sockets_clients_test.cpp
@@ -19,7 +19,7 @@
     client.close();
     rig.run_until([&] { return rig.server->task_count() == 0; });
     rig.server->place(task, 0, kSecond);
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 1);
 }
@@ -33,14 +33,14 @@
     client.send_bytes(SocketRig::place_task(7));
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     rig.server->place(rig.planner.submitted[0], 0, 10 * kSecond);
-    rig.run_times(5);
+    rig.run_passes(5);
     client.close();
     rig.run_until([&] { return rig.server->task_count() == 0; });
     rig.run_until([&] {
         worker.accept_and_read();
         return worker.connections.size() == 2;
     });
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 0);
     backlog[0].close();
@@ -57,7 +57,7 @@
     other.release(7, platform_codec::Cause::given_up);
     rig.run_until([&] { return rig.server->task_count() == 0; });
     rig.server->place(task, 0, kSecond);
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 1);
 }
@@ -75,7 +75,7 @@
         return client.count(MessageType::release, 7) == 1;
     });
     rig.server->place(rig.planner.submitted[0], 0, kSecond);
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 0);
     CHECK(rig.server->task_count() == 0);
@@ -115,7 +115,7 @@
     });
     busy->arm(rig.loop.now());
     rig.run_until([&] { return rig.server->task_count() == 0; });
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 7) == 0);
 }
@@ -163,7 +163,7 @@
     client.send_plain(MessageType::release_ack, 7);
     worker.connections.front()->release(8, platform_codec::Cause::ok);
     rig.run_until([&] { return rig.server->task_count() == 0; });
-    rig.run_times(3);
+    rig.run_passes(3);
     client.close();  // the release is unread in its socket
     rig.run_until([&] { return rig.server->connection_count() == worker.connections.size(); });
     SocketPeer next = rig.connect_client();
--- a/tests/platform_sockets_discovery_test.cpp
+++ b/tests/platform_sockets_discovery_test.cpp
@@ -38,7 +38,7 @@
     });
     const std::string event = rig.event({SocketRig::entry("h", "127.0.0.1:1")}, true);
     rig.discovery.connections[0]->send_bytes(SocketRig::response_head() + event.substr(0, event.size() / 2));
-    rig.run_times(5);
+    rig.run_passes(5);
     CHECK(rig.server->worker_count() == 0);
     ListeningSocket other;
     rig.server->discovery_watch().move_to(other.address());
@@ -50,7 +50,7 @@
     CHECK(other.connections.back()->received_bytes.find("Last-Event-ID: 0\r\n") != std::string::npos);
     other.connections.back()->send_bytes(SocketRig::response_head() + event + event);
     rig.run_until([&] { return rig.server->discovery_watch().last_sequence() == 1; });
-    rig.run_times(5);
+    rig.run_passes(5);
     CHECK(rig.server->worker_count() == 1);
     rig.discovery.accept_and_read();
     CHECK(rig.discovery.connections[0]->peer_closed);
@@ -67,7 +67,7 @@
     rig.run_until([&] { return rig.planner.submitted.size() == 2; });
     rig.publish_initial({SocketRig::entry("o", other.address())}, true);
     rig.server->place(rig.planner.submitted[1], 0, kSecond);
-    rig.run_times(20);
+    rig.run_passes(20);
     worker.accept_and_read();
     CHECK(worker.count(MessageType::place_task, 8) == 0);
     CHECK(rig.ledger.statistics().refused_to_planner == 1);
--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -39,10 +39,10 @@
     const std::string bytes = SocketRig::place_task(7);
     client.send_bytes(bytes.substr(0, bytes.size() / 2));
     rig.run_until([&] { return rig.server->connection_count() == 1; });
-    rig.run_times(3);
+    rig.run_passes(3);
     bool done = false;
     rig.server->drain([&] { done = true; });
-    rig.run_times(3);
+    rig.run_passes(3);
     client.send_bytes(bytes.substr(bytes.size() / 2));
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     rig.server->reject(rig.planner.submitted[0], 0);
@@ -62,7 +62,7 @@
     }
     bool done = false;
     rig.server->drain([&] { done = true; });
-    rig.run_times(3);
+    rig.run_passes(3);
     // Runs within one pass of the loop, after the loop has polled the kernel and before the drain's sweep.
     auto between = rig.loop.make_timer([&] {
         if (!accepted) client = rig.connect_client();
--- a/tests/platform_sockets_requests_test.cpp
+++ b/tests/platform_sockets_requests_test.cpp
@@ -56,7 +56,7 @@
     }
     for (std::uint64_t id = 7; id < 27; ++id) {
         SocketPeer newcomer = rig.connect_client();
-        if (id % 2) rig.run_times(3);  // the requests arrive with the connection, or after it
+        if (id % 2) rig.run_passes(3);  // the requests arrive with the connection, or after it
         newcomer.send_bytes(SocketRig::place_task(id) + SocketRig::place_task(id + 1000));
         rig.run_until([&] {
             newcomer.read_available();
@@ -85,11 +85,11 @@
         client = rig.connect_client();
         rig.run_until([&] { return rig.server->connection_count() == 1; });
     }
-    rig.run_times(2);
+    rig.run_passes(2);
     if (new_connection) client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7, "free", "", kTimeLeft));
     rig.block_for(kAway * kMillisecond);
-    rig.run_times(1);  // a new connection is accepted in one pass and read in the next
+    rig.run_passes(1);  // a new connection is accepted in one pass and read in the next
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     rig.server->place(rig.planner.submitted[0], 0, kTimeLeft * kMillisecond);
     rig.run_until([&] {
--- a/tests/platform_sockets_workers_test.cpp
+++ b/tests/platform_sockets_workers_test.cpp
@@ -19,7 +19,7 @@
         client.release(7, platform_codec::Cause::cancelled);
         rig.run_until([&] { return rig.server->task_count() == 0; });
     } else rig.server->check_health(0);
-    rig.run_times(5);
+    rig.run_passes(5);
     rig.publish_initial(
         {SocketRig::entry("h", socket.address(), "left"), SocketRig::entry("successor", socket.address())});
     // The backlog has room again: from here on the successor accepts.
@@ -80,7 +80,7 @@
         client.read_available();
         return client.count(MessageType::release, 7) == 1;
     });
-    rig.run_times(20);
+    rig.run_passes(20);
     client.read_available();
     CHECK(client.count(MessageType::release, 8) == 0);
     CHECK(rig.server->task_count() == 1);
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -31,8 +31,9 @@
     address.sin_port = htons(static_cast<std::uint16_t>(port));
     return address;
 }
-inline void require(bool holds, const char* what) {
-    if (!holds) throw std::runtime_error(std::string("socket rig: ") + what + ": " + std::strerror(errno));
+inline void require(bool condition, const char* what) {
+    if (!condition)
+        throw std::runtime_error(std::string("socket rig: ") + what + ": " + std::strerror(errno));
 }
 
 // The test's end of a TCP connection.
@@ -101,8 +102,8 @@
     // Sets the size in bytes of the kernel's send buffer.
     void set_send_buffer(int bytes) { setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes); }
     void reset_connection() {
-        const linger at_once{1, 0};
-        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        const linger abortive_close{1, 0};
+        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &abortive_close, sizeof abortive_close);
         close();
     }
 
@@ -118,8 +119,8 @@
 public:
     explicit ListeningSocket(int backlog = 64, int port = 0, std::uint32_t ip = INADDR_LOOPBACK)
         : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), ip_(ip) {
-        const int on = 1;
-        setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+        const int enabled = 1;
+        setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
         sockaddr_in address = loopback(port, ip);
         require(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0, "bind");
         require(::listen(fd_, backlog) == 0, "listen");
@@ -208,22 +209,22 @@
     }
 
     void run_once() { loop.run_once(false); }
-    void run_times(int count) {
+    void run_passes(int count) {
         while (count-- > 0) run_once();
     }
-    // Runs the loop until `holds` returns true. Fails the test after 20 s, which is less than the time left
-    // of a request.
-    void run_until(const std::function<bool()>& holds) {
-        const Nanos give_up = loop.now() + 20 * kSecond;
-        while (!holds()) {
-            require(loop.now() < give_up, "the awaited condition did not hold within 20 s");
+    // Runs the loop until `condition` returns true. Fails the test after 20 s, which is less than the time
+    // left of a request.
+    void run_until(const std::function<bool()>& condition) {
+        const Nanos deadline = loop.now() + 20 * kSecond;
+        while (!condition()) {
+            require(loop.now() < deadline, "the awaited condition did not hold within 20 s");
             run_once();
             usleep(100);
         }
     }
     // Waits without running the loop.
-    void block_for(Nanos by) {
-        for (const Nanos to = loop.now() + by; loop.now() < to;) usleep(1000);
+    void block_for(Nanos duration) {
+        for (const Nanos to = loop.now() + duration; loop.now() < to;) usleep(1000);
     }
     SocketPeer connect_client() { return SocketPeer::dial(port); }
 
@@ -231,28 +232,28 @@
                              const char* state = "active") {
         return endpoint_entry(name, address, state);
     }
-    std::string event(const std::vector<std::string>& entries, bool whole = false) {
-        return watch_event(++last_event, entries, whole);
+    std::string event(const std::vector<std::string>& entries, bool is_snapshot = false) {
+        return watch_event(++last_event, entries, is_snapshot);
     }
     static std::string response_head() {
         return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     }
     // Applies the entries as an initial event from the configuration, which needs no connection to discovery.
-    void publish_initial(const std::vector<std::string>& entries, bool whole = false) {
-        const std::string published = event(entries, whole);
+    void publish_initial(const std::vector<std::string>& entries, bool is_snapshot = false) {
+        const std::string published = event(entries, is_snapshot);
         const std::size_t from = published.find("data: ") + 6;
         server->discovery_watch().apply_initial_event(
             std::string_view(published).substr(from, published.size() - from - 2));
     }
     static std::string place_task(std::uint64_t id, const std::string& group = "free",
-                                  const std::string& more = "", int time_left_ms = 60'000) {
-        return place_task_bytes(id, group, time_left_ms, more);
+                                  const std::string& extra_requirements = "", int time_left_ms = 60'000) {
+        return place_task_bytes(id, group, time_left_ms, extra_requirements);
     }
     // Sends a request and places its task on worker 0; returns once the worker has received the attempt.
-    planner::TaskNumber start_attempt(SocketPeer& other, ListeningSocket& worker, std::uint64_t id,
+    planner::TaskNumber start_attempt(SocketPeer& client, ListeningSocket& worker, std::uint64_t id,
                                       const std::string& group = "free") {
         const std::size_t before = planner.submitted.size();
-        other.send_bytes(place_task(id, group));
+        client.send_bytes(place_task(id, group));
         run_until([&] { return planner.submitted.size() == before + 1; });
         server->place(planner.submitted.back(), 0, 10 * kSecond);
         run_until([&] {
@@ -261,12 +262,12 @@
         });
         return planner.submitted.back();
     }
-    void run_task(SocketPeer& other, ListeningSocket& worker, std::uint64_t id) {
-        start_attempt(other, worker, id);
+    void run_task(SocketPeer& client, ListeningSocket& worker, std::uint64_t id) {
+        start_attempt(client, worker, id);
         worker.connections.back()->answer(id);
         run_until([&] {
-            other.read_available();
-            return other.count(MessageType::answer, id) == 1;
+            client.read_available();
+            return client.count(MessageType::answer, id) == 1;
         });
     }
 
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -115,8 +115,8 @@
             for (const auto& [id, cause] : repeated) newest.release(id, cause);
         });
         for (const auto& [id, cause] : ends) {
-            SocketPeer& on = connection_of_attempt(id, newest);
-            mark_reset_on_failure(on, [&, task = id, why = cause] { on.release(task, why); });
+            SocketPeer& peer = connection_of_attempt(id, newest);
+            mark_reset_on_failure(peer, [&, task = id, why = cause] { peer.release(task, why); });
         }
     }
 
@@ -286,8 +286,8 @@
             } catch (const std::runtime_error&) {
                 return false;  // the placer reset the connection at once
             }
-            const Nanos give_up = read_clock(CLOCK_MONOTONIC) + kSecond;
-            while (checker.received.empty() && read_clock(CLOCK_MONOTONIC) < give_up) {
+            const Nanos deadline = read_clock(CLOCK_MONOTONIC) + kSecond;
+            while (checker.received.empty() && read_clock(CLOCK_MONOTONIC) < deadline) {
                 step();
                 checker.read_available();
             }
@@ -360,22 +360,23 @@
         for (const auto& proxy : proxies) proxy->step();
         usleep(500);
     }
-    void run_for(Nanos by) {
-        for (const Nanos until = read_clock(CLOCK_MONOTONIC) + by; read_clock(CLOCK_MONOTONIC) < until;)
+    void run_for(Nanos duration) {
+        for (const Nanos until = read_clock(CLOCK_MONOTONIC) + duration; read_clock(CLOCK_MONOTONIC) < until;)
             step();
     }
-    void run_until(const std::string& what, const std::function<bool()>& holds, Nanos limit = 20 * kSecond) {
-        const Nanos give_up = read_clock(CLOCK_MONOTONIC) + limit;
-        while (!holds()) {
-            if (read_clock(CLOCK_MONOTONIC) > give_up)
+    void run_until(const std::string& what, const std::function<bool()>& condition,
+                   Nanos limit = 20 * kSecond) {
+        const Nanos deadline = read_clock(CLOCK_MONOTONIC) + limit;
+        while (!condition()) {
+            if (read_clock(CLOCK_MONOTONIC) > deadline)
                 throw std::runtime_error("timed out waiting until " + what + "\n" + placer->log());
             step();
         }
     }
-    // Returns the time until `holds` returned true, or `limit` if it did not do so in time.
-    Nanos time_until(const std::function<bool()>& holds, Nanos limit) {
+    // Returns the time until `condition` returned true, or `limit` if it did not do so in time.
+    Nanos time_until(const std::function<bool()>& condition, Nanos limit) {
         const Nanos started_at = read_clock(CLOCK_MONOTONIC);
-        while (!holds() && read_clock(CLOCK_MONOTONIC) - started_at < limit) step();
+        while (!condition() && read_clock(CLOCK_MONOTONIC) - started_at < limit) step();
         return std::min(limit, read_clock(CLOCK_MONOTONIC) - started_at);
     }
 
--- a/tests/support/tcp_proxy.h
+++ b/tests/support/tcp_proxy.h
@@ -22,7 +22,7 @@
     private:
         friend class TcpProxy;
         bool stalled_ = false, half_closed_ = false, sender_closed_ = false;
-        std::string held_;
+        std::string buffered_;
     };
     struct Connection {
         int accepted = -1, dialed = -1;
@@ -41,7 +41,7 @@
         port_ = ntohs(address.sin_port);
     }
     ~TcpProxy() {
-        for (const auto& connection : connections) end(*connection);
+        for (const auto& connection : connections) close_both(*connection);
         ::close(listener_);
     }
     TcpProxy(const TcpProxy&) = delete;
@@ -56,10 +56,11 @@
     }
     // Resets both sides of one connection.
     void reset(Connection& connection) {
-        const linger at_once{1, 0};
+        const linger abortive_close{1, 0};
         for (const int descriptor : {connection.accepted, connection.dialed})
-            if (descriptor >= 0) setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
-        end(connection);
+            if (descriptor >= 0)
+                setsockopt(descriptor, SOL_SOCKET, SO_LINGER, &abortive_close, sizeof abortive_close);
+        close_both(connection);
     }
     // The server sees the client's side closed; the client's own connection does not change.
     void half_close_to_server(Connection& connection) {
@@ -77,9 +78,11 @@
         for (const auto& connection : connections) {
             forward(connection->accepted, connection->dialed, connection->to_server);
             forward(connection->dialed, connection->accepted, connection->to_client);
-            const bool over = connection->to_server.sender_closed_ && connection->to_client.sender_closed_;
-            if (over && connection->to_server.held_.empty() && connection->to_client.held_.empty())
-                end(*connection);
+            const bool both_closed =
+                connection->to_server.sender_closed_ && connection->to_client.sender_closed_;
+            if (both_closed && connection->to_server.buffered_.empty() &&
+                connection->to_client.buffered_.empty())
+                close_both(*connection);
         }
     }
 
@@ -100,7 +103,7 @@
             connections.push_back(std::move(connection));
         }
     }
-    static void end(Connection& connection) {
+    static void close_both(Connection& connection) {
         for (int* descriptor : {&connection.accepted, &connection.dialed})
             if (*descriptor >= 0) ::close(std::exchange(*descriptor, -1));
     }
@@ -109,17 +112,18 @@
         char bytes[16384];
         while (!direction.sender_closed_) {
             const ssize_t count = ::recv(from, bytes, sizeof bytes, MSG_DONTWAIT);
-            if (count > 0) direction.held_.append(bytes, static_cast<std::size_t>(count));
+            if (count > 0) direction.buffered_.append(bytes, static_cast<std::size_t>(count));
             else if (count == 0) direction.sender_closed_ = true;
             else if (errno != EAGAIN) return reset_pair(from, to);
             else break;
         }
         if (direction.stalled_ || direction.half_closed_) return;
-        while (!direction.held_.empty()) {
-            const ssize_t sent = ::send(to, direction.held_.data(), direction.held_.size(), MSG_NOSIGNAL);
+        while (!direction.buffered_.empty()) {
+            const ssize_t sent =
+                ::send(to, direction.buffered_.data(), direction.buffered_.size(), MSG_NOSIGNAL);
             if (sent < 0 && errno == EAGAIN) return;
             if (sent < 0) return reset_pair(from, to);
-            direction.held_.erase(0, static_cast<std::size_t>(sent));
+            direction.buffered_.erase(0, static_cast<std::size_t>(sent));
         }
         if (direction.sender_closed_) ::shutdown(to, SHUT_WR);
     }
