--- a/tests/process_soak_test.cpp
+++ b/tests/process_soak_test.cpp
@@ -29,9 +29,9 @@
     for (std::uint64_t seed = first; seed <= last; ++seed) {
         ProcessSoak soak(seed, kDuration);
         const std::vector<std::string> violations = soak.run();
-        std::cout << "soak seed " << seed << ": " << soak.requests() << " requests, " << soak.misbehaving()
-                  << " misbehaving clients, " << soak.faults() << " faults, " << violations.size()
-                  << " violations" << std::endl;
+        std::cout << "soak seed " << seed << ": " << soak.requests() << " requests, "
+                  << soak.misbehaving_count() << " misbehaving clients, " << soak.faults() << " faults, "
+                  << violations.size() << " violations" << std::endl;
         for (const std::string& violation : violations) std::cout << "  " << violation << std::endl;
         const char* folder = std::getenv("WHINPOST_SOAK_LOGS");
         if (folder && !violations.empty())
--- a/tests/support/process_soak.h
+++ b/tests/support/process_soak.h
@@ -19,49 +19,49 @@
 public:
     ProcessSoak(std::uint64_t seed, Nanos duration)
         : random_(static_cast<std::mt19937::result_type>(seed)), duration_(duration), rig_(options(shim_)),
-          with_crowd_(seed % 3 == 0), is_shared_(seed % 4 != 3) {}
+          with_bursts_(seed % 3 == 0), is_address_shared_(seed % 4 != 3) {}
 
     // Returns a description of each violation; empty if there was none.
     std::vector<std::string> run() {
-        const std::size_t count = 3 + pick(3);
+        const std::size_t count = 3 + random_below(3);
         for (std::size_t i = 0; i < count; ++i) add_worker("w" + std::to_string(i));
         rig_.wait_until_ready();
-        if (is_shared_) client_proxy_ = &rig_.add_client_proxy();
+        if (is_address_shared_) client_proxy_ = &rig_.add_client_proxy();
         for (int host = 2; host < 7; ++host) add_client(host);
         const Nanos end = now() + duration_;
         next_fault_at_ = now() + kSecond;
         while (now() < end) step(true);
-        heal();
+        end_faults();
         const Nanos settled = now() + kEndLimit + 2 * kSecond;
         while (now() < settled) step(false);
         check_running();
-        if (!placer_is_down_ && rig_.placer->has_ended()) violate("the placer exited unexpectedly");
+        if (!placer_is_down_ && rig_.placer->has_ended()) record_violation("the placer exited unexpectedly");
         if (rig_.placer->log().find("ERROR: AddressSanitizer") != std::string::npos)
-            violate("AddressSanitizer reported an error");
+            record_violation("AddressSanitizer reported an error");
         return violations_;
     }
-    const std::string log() const { return rig_.placer->log() + history_; }
+    const std::string log() const { return rig_.placer->log() + fault_log_; }
     std::size_t requests() const { return requests_; }
-    std::size_t misbehaving() const { return misbehaving_count_; }
+    std::size_t misbehaving_count() const { return misbehaving_count_; }
     std::size_t faults() const { return faults_; }
 
 private:
     static constexpr int kDeadlineMs = 800;
     static constexpr Nanos kDeadline = kDeadlineMs * kMillisecond;
-    static constexpr Nanos kAnswerSlack = 500 * kMillisecond;
-    static constexpr Nanos kCrossing = 50 * kMillisecond;
+    static constexpr Nanos kAnswerTolerance = 500 * kMillisecond;
+    static constexpr Nanos kInFlightTolerance = 50 * kMillisecond;
     static constexpr Nanos kKillAfter = kDeadline + 700 * kMillisecond;  // earliest SIGKILL after SIGTERM
     static constexpr Nanos kEndLimit = 8 * kSecond + 300 * kMillisecond;
     static constexpr Nanos kMisbehavingLimit = 3 * kSecond + 200 * kMillisecond;
     // For so long after a fault that hides a worker or discovery from the placer, the release of a running
     // task is no violation.
-    static constexpr Nanos kGround = 13 * kSecond;
+    static constexpr Nanos kUncertaintyWindow = 13 * kSecond;
 
-    struct Misbehaving {
+    struct MisbehavingClient {
         SocketPeer connection;
         Nanos since;
         const char* kind;
-        std::size_t life;  // number of the placer's process to which it connected
+        std::size_t incarnation;  // number of the placer's process to which it connected
         Nanos limit = kMisbehavingLimit;
     };
 
@@ -73,32 +73,32 @@
         return options;
     }
     static Nanos now() { return read_clock(CLOCK_MONOTONIC); }
-    std::size_t pick(std::size_t count) {
+    std::size_t random_below(std::size_t count) {
         return std::uniform_int_distribution<std::size_t>(0, count - 1)(random_);
     }
-    Nanos between(Nanos least, Nanos most) {
+    Nanos random_between(Nanos least, Nanos most) {
         return std::uniform_int_distribution<Nanos>(least, most)(random_);
     }
-    FakeWorker& any_worker() { return *rig_.workers[pick(rig_.workers.size())]; }
-    void violate(const std::string& what) {
+    FakeWorker& any_worker() { return *rig_.workers[random_below(rig_.workers.size())]; }
+    void record_violation(const std::string& what) {
         violations_.push_back(what);
-        remember("VIOLATION " + what);
+        record("VIOLATION " + what);
     }
-    void remember(const std::string& what) {
-        history_ += "soak " + std::to_string(read_clock(CLOCK_REALTIME) / kMillisecond) + " " + what + "\n";
+    void record(const std::string& what) {
+        fault_log_ += "soak " + std::to_string(read_clock(CLOCK_REALTIME) / kMillisecond) + " " + what + "\n";
     }
 
     void step(bool active) {
         rig_.step();
-        run_later();
-        for (const auto& client : clients_) client->serve(killed_);
+        run_due_actions();
+        for (const auto& client : clients_) client->serve(is_killed_);
         check_misbehaving();
         check_running();
         check_health();
         if (!active) return;
         if (now() >= next_request_at_) send_request();
         if (now() >= next_misbehaving_at_) send_misbehaving();
-        if (now() >= next_fault_at_) inject();
+        if (now() >= next_fault_at_) inject_fault();
         if (now() >= next_end_at_) end_some_task();
     }
 
@@ -106,25 +106,25 @@
 
     // Puts about half of the workers behind proxies, which can break single connections.
     void add_worker(const std::string& name) {
-        const bool is_proxied = pick(2) == 0;
+        const bool is_proxied = random_below(2) == 0;
         FakeWorker& worker = rig_.add_worker(name, !is_proxied);
         worker_proxies_.push_back(is_proxied ? &rig_.add_worker_proxy(worker) : nullptr);
     }
     // Clients share the address of the health checker by a proxy, or each has an address of its own.
     void add_client(int host) {
         SoakClient::Options options{host, client_proxy_, host != 2, kDeadline};
-        clients_.push_back(
-            std::make_unique<SoakClient>(rig_, options, [this](const std::string& what) { violate(what); }));
+        clients_.push_back(std::make_unique<SoakClient>(
+            rig_, options, [this](const std::string& what) { record_violation(what); }));
         clients_.back()->on_ended_while_running = [this](std::uint64_t id) {
-            const bool excused = now() <= doubt_until_ || withdrawn_.contains(id);
-            if (!excused) violate("task " + std::to_string(id) + " was released while it runs");
+            const bool is_excused = now() <= uncertain_until_ || cancelled_.contains(id);
+            if (!is_excused) record_violation("task " + std::to_string(id) + " was released while it runs");
         };
     }
-    SoakClient& any_client() { return *clients_[pick(clients_.size())]; }
+    SoakClient& any_client() { return *clients_[random_below(clients_.size())]; }
     void send_request() {
-        next_request_at_ = now() + between(5 * kMillisecond, 80 * kMillisecond);
+        next_request_at_ = now() + random_between(5 * kMillisecond, 80 * kMillisecond);
         if (placer_is_down_) return;
-        requests_ += any_client().send_request(++last_id_, pick(4) ? "free" : "once", kDeadlineMs);
+        requests_ += any_client().send_request(++last_id_, random_below(4) ? "free" : "once", kDeadlineMs);
     }
     // Sends health checks on a new connection each time and on one that is kept. Neither may receive a
     // message about a task.
@@ -139,7 +139,7 @@
             checker.read_available();
             for (const auto& message : checker.received)
                 if (message.type != MessageType::health_check_reply)
-                    violate("a health checker received a message other than a reply");
+                    record_violation("a health checker received a message other than a reply");
             checker.received.clear();
             if (checker.peer_closed || checker.was_reset) checker = SocketPeer();
             if (!checker.is_open()) continue;
@@ -156,11 +156,11 @@
             const Nanos reachable_since = client->reachable_since();
             for (auto& [id, task] : client->running) {
                 const bool runs = task.worker && task.worker->running.contains(id);
-                if (!runs && !task.over_at) task.over_at = now();
+                if (!runs && !task.ended_at) task.ended_at = now();
                 if (runs || !reachable_since) continue;
-                const Nanos since = std::max({task.over_at, task.known_since, reachable_since});
-                if (now() - since > kEndLimit + stopped_for_ && reported_.insert(id).second)
-                    violate("task " + std::to_string(id) + " has ended and was not released");
+                const Nanos since = std::max({task.ended_at, task.known_since, reachable_since});
+                if (now() - since > kEndLimit + stopped_for_ && overdue_tasks_.insert(id).second)
+                    record_violation("task " + std::to_string(id) + " has ended and was not released");
             }
         }
     }
@@ -168,23 +168,24 @@
     // ---- misbehaving clients
 
     void send_misbehaving() {
-        next_misbehaving_at_ = now() + between(100 * kMillisecond, 500 * kMillisecond);
-        const std::size_t count = with_crowd_ && pick(8) == 0 ? 60 : 1;
+        next_misbehaving_at_ = now() + random_between(100 * kMillisecond, 500 * kMillisecond);
+        const std::size_t count = with_bursts_ && random_below(8) == 0 ? 60 : 1;
         for (std::size_t i = 0; i < count; ++i) add_misbehaving();
     }
     void add_misbehaving() {
         const std::uint64_t id = 1'000'000 + ++last_id_;
-        const std::string at = ";at:w" + std::to_string(pick(rig_.workers.size()));
+        const std::string at = ";at:w" + std::to_string(random_below(rig_.workers.size()));
         static constexpr std::array kKinds = {
             "report",      "negative time left",  "unlisted worker", "silent",   "garbage",
             "partial",     "unknown queue group", "duplicate id",    "known id", "progress",
             "same report", "late report",         "cancel"};
-        const char* kind = kKinds[pick(kKinds.size())];
+        const char* kind = kKinds[random_below(kKinds.size())];
         const std::string name = kind;
         // Some share the address of a client that behaves well, but not for `same report`, which would then
         // count as that client's own report.
-        const std::size_t host = pick(4) || name == "same report" ? 20 + pick(200) : 2 + pick(4);
-        SocketPeer peer = rig_.try_connect(is_shared_ ? 1 : static_cast<int>(host));
+        const std::size_t host =
+            random_below(4) || name == "same report" ? 20 + random_below(200) : 2 + random_below(4);
+        SocketPeer peer = rig_.try_connect(is_address_shared_ ? 1 : static_cast<int>(host));
         if (!peer.is_open()) return;
         ++misbehaving_count_;
         std::string bytes;
@@ -206,28 +207,28 @@
             if (name == "progress") peer.send_plain(MessageType::progress, id);
             if (name == "cancel") {
                 peer.release(known, platform_codec::Cause::given_up);
-                withdrawn_.insert(known);
+                cancelled_.insert(known);
             }
         } catch (const std::runtime_error&) {
             return;
         }
         // At a shared address `same report` may count as the report of the task's own client after a
         // reconnect, to which nothing is sent while the task runs.
-        const bool may_be_owner = is_shared_ && name == "same report";
-        others_.push_back(
-            {std::move(peer), now(), kind, life_, may_be_owner ? kEndLimit * 100 : kMisbehavingLimit});
+        const bool may_be_owner = is_address_shared_ && name == "same report";
+        misbehaving_clients_.push_back(
+            {std::move(peer), now(), kind, incarnation_, may_be_owner ? kEndLimit * 100 : kMisbehavingLimit});
     }
     void report_late(SocketPeer peer, const std::string& bytes) {
         const Nanos connected_at = now();
         auto kept = std::make_shared<SocketPeer>(std::move(peer));
-        later(1500 * kMillisecond, [this, kept, bytes, connected_at, life = life_] {
-            if (life != life_) return;
+        schedule(1500 * kMillisecond, [this, kept, bytes, connected_at, incarnation = incarnation_] {
+            if (incarnation != incarnation_) return;
             try {
                 kept->send_bytes(bytes);
             } catch (const std::runtime_error&) {
                 return;
             }
-            others_.push_back({std::move(*kept), connected_at, "late report", life});
+            misbehaving_clients_.push_back({std::move(*kept), connected_at, "late report", incarnation});
         });
     }
     // Id of a running task of a random client; 1 if the client has none.
@@ -235,55 +236,58 @@
         const SoakClient& client = any_client();
         if (client.running.empty()) return 1;
         auto it = client.running.begin();
-        std::advance(it, static_cast<long>(pick(client.running.size())));
+        std::advance(it, static_cast<long>(random_below(client.running.size())));
         return it->first;
     }
     void check_misbehaving() {
-        std::erase_if(others_, [this](Misbehaving& other) {
+        std::erase_if(misbehaving_clients_, [this](MisbehavingClient& other) {
             other.connection.read_available();
             if (!other.connection.received.empty() || other.connection.peer_closed ||
-                other.connection.was_reset || other.life != life_)
+                other.connection.was_reset || other.incarnation != incarnation_)
                 return true;
             if (now() - other.since <= other.limit + stopped_for_) return false;
-            violate(std::string("a misbehaving client (") + other.kind +
-                    ") received no message and was not closed");
+            record_violation(std::string("a misbehaving client (") + other.kind +
+                             ") received no message and was not closed");
             return true;
         });
     }
 
     // ---- faults
 
-    void later(Nanos by, std::function<void()> action) { later_.emplace(now() + by, std::move(action)); }
-    void run_later() {
-        while (!later_.empty() && later_.begin()->first <= now()) {
-            const auto action = std::move(later_.begin()->second);
-            later_.erase(later_.begin());
+    void schedule(Nanos delay, std::function<void()> action) {
+        scheduled_.emplace(now() + delay, std::move(action));
+    }
+    void run_due_actions() {
+        while (!scheduled_.empty() && scheduled_.begin()->first <= now()) {
+            const auto action = std::move(scheduled_.begin()->second);
+            scheduled_.erase(scheduled_.begin());
             action();
         }
     }
-    void raise_doubt() { doubt_until_ = std::max(doubt_until_, now() + kGround); }
+    void extend_uncertainty() { uncertain_until_ = std::max(uncertain_until_, now() + kUncertaintyWindow); }
 
-    void inject() {
-        next_fault_at_ = now() + between(300 * kMillisecond, 1500 * kMillisecond);
+    void inject_fault() {
+        next_fault_at_ = now() + random_between(300 * kMillisecond, 1500 * kMillisecond);
         ++faults_;
-        switch (pick(21)) {
+        switch (random_below(21)) {
             case 0:
             case 1:
-                return crash_worker(pick(2) ? 0 : between(100 * kMillisecond, 3 * kSecond));
+                return crash_worker(random_below(2) ? 0 : random_between(100 * kMillisecond, 3 * kSecond));
             case 2:
-                remember("connections of a worker reset");
+                record("connections of a worker reset");
                 return any_worker().reset_connections();
             case 3:
                 return silence_worker();
             case 4:
-                return silence_list();
+                return silence_discovery();
             case 5:
-                remember("wall clock stepped");
-                return shim_.step_wall_clock((pick(2) ? 1 : -1) * between(kSecond, 3600 * kSecond));
+                record("wall clock stepped");
+                return shim_.step_wall_clock((random_below(2) ? 1 : -1) *
+                                             random_between(kSecond, 3600 * kSecond));
             case 6:
                 return fail_calls();
             case 7:
-                remember("SIGHUP");
+                record("SIGHUP");
                 return rig_.placer->kill(SIGHUP);
             case 8:
                 return stop_for_a_while();
@@ -300,11 +304,11 @@
             case 16:
                 return stall_worker_connection();
             case 17:
-                return come_back_elsewhere();
+                return open_another_connection();
             case 18:
                 return replace_worker();
             default:
-                remember("connections of all workers reset");
+                record("connections of all workers reset");
                 for (const auto& worker : rig_.workers) worker->reset_connections();
         }
     }
@@ -313,50 +317,52 @@
         SoakClient& client = any_client();
         SoakClient::Connection* connection = client.healthy_connection();
         if (!connection) return;
-        const std::size_t kind = connection->proxied && client.acknowledges() ? pick(6) : pick(2);
+        const std::size_t kind =
+            connection->proxied && client.acknowledges() ? random_below(6) : random_below(2);
         static constexpr std::array kNames = {
             "reset",      "closed", "stalled to the client", "stalled to the placer", "stalled both ways",
             "half-closed"};
-        remember(std::string("a client's connection is ") + kNames[kind]);
+        record(std::string("a client's connection is ") + kNames[kind]);
         client.mark_faulty(*connection);
         if (kind == 0) connection->peer.reset_connection();
         if (kind == 1) connection->peer.close();
         if (kind == 2 || kind == 4) connection->proxied->to_client.stall();
         if (kind == 3 || kind == 4) connection->proxied->to_server.stall();
-        if (kind == 5) rig_half_close(*connection->proxied);
+        if (kind == 5) half_close_to_placer(*connection->proxied);
         TcpProxy::Connection* held = kind == 4 ? connection->proxied : nullptr;
-        later(between(10 * kMillisecond, 2 * kSecond), [this, &client, report = pick(3) == 0] {
-            if (placer_is_down_) return;
-            if (report) client.report_running();
-            else client.come_back(++last_id_, kDeadlineMs);
-        });
-        later(between(3 * kSecond, 8 * kSecond), [this, &client, held] {
+        schedule(random_between(10 * kMillisecond, 2 * kSecond),
+                 [this, &client, report = random_below(3) == 0] {
+                     if (placer_is_down_) return;
+                     if (report) client.report_running();
+                     else client.reconnect(++last_id_, kDeadlineMs);
+                 });
+        schedule(random_between(3 * kSecond, 8 * kSecond), [this, &client, held] {
             if (held) held->to_client.resume(), held->to_server.resume();
-            else if (pick(2)) client.close_faulty();
+            else if (random_below(2)) client.close_faulty();
         });
     }
-    void rig_half_close(TcpProxy::Connection& connection) {
+    void half_close_to_placer(TcpProxy::Connection& connection) {
         client_proxy_->half_close_to_server(connection);
         connection.to_client.stall();
     }
     // Stalls one of a worker's connections in one direction or both, then resumes or resets it.
     void stall_worker_connection() {
-        const std::size_t number = pick(rig_.workers.size());
+        const std::size_t number = random_below(rig_.workers.size());
         TcpProxy* proxy = worker_proxies_[number];
         if (!proxy) return;
         std::vector<TcpProxy::Connection*> open;
         for (const auto& connection : proxy->connections)
             if (connection->accepted >= 0) open.push_back(connection.get());
         if (open.empty()) return;
-        TcpProxy::Connection* connection = open[pick(open.size())];
-        const std::size_t kind = pick(3);
-        remember("a connection of " + rig_.workers[number]->name + " stalls (kind " + std::to_string(kind) +
-                 ")");
+        TcpProxy::Connection* connection = open[random_below(open.size())];
+        const std::size_t kind = random_below(3);
+        record("a connection of " + rig_.workers[number]->name + " stalls (kind " + std::to_string(kind) +
+               ")");
         if (kind != 1) connection->to_client.stall();
         if (kind != 0) connection->to_server.stall();
-        raise_doubt();
-        const bool goes_on = pick(2) == 0;
-        later(between(kSecond, 9 * kSecond), [proxy, connection, goes_on] {
+        extend_uncertainty();
+        const bool goes_on = random_below(2) == 0;
+        schedule(random_between(kSecond, 9 * kSecond), [proxy, connection, goes_on] {
             connection->to_client.resume();
             connection->to_server.resume();
             if (!goes_on) proxy->reset(*connection);
@@ -366,48 +372,48 @@
     void replace_worker() {
         FakeWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
-        remember("replace machine of " + worker.name);
+        record("replace machine of " + worker.name);
         worker.replace_silently();
         worker.started_at_ms = (read_clock(CLOCK_REALTIME) + shim_.wall_clock_offset()) / kMillisecond;
-        later(between(0, 9 * kSecond), [this, &worker] { rig_.publish(worker); });
+        schedule(random_between(0, 9 * kSecond), [this, &worker] { rig_.publish(worker); });
     }
     // A client sends a request on a new connection; its earlier connections stay open.
-    void come_back_elsewhere() {
+    void open_another_connection() {
         if (placer_is_down_) return;
-        remember("a client opens another connection");
-        any_client().come_back(++last_id_, kDeadlineMs);
+        record("a client opens another connection");
+        any_client().reconnect(++last_id_, kDeadlineMs);
     }
     void crash_worker(Nanos down_for) {
         FakeWorker& worker = any_worker();
         if (worker.is_silent || worker.is_down()) return;
-        remember("crash " + worker.name + " for " + std::to_string(down_for / kMillisecond) + " ms");
+        record("crash " + worker.name + " for " + std::to_string(down_for / kMillisecond) + " ms");
         worker.crash();
         if (down_for == 0) return start_worker(worker);
-        later(down_for, [this, &worker] { start_worker(worker); });
+        schedule(down_for, [this, &worker] { start_worker(worker); });
     }
     void start_worker(FakeWorker& worker) {
         worker.start_again();
         worker.started_at_ms = (read_clock(CLOCK_REALTIME) + shim_.wall_clock_offset()) / kMillisecond;
-        later(between(0, 3 * kSecond), [this, &worker] { rig_.publish(worker); });
+        schedule(random_between(0, 3 * kSecond), [this, &worker] { rig_.publish(worker); });
     }
     void silence_worker() {
         FakeWorker& worker = any_worker();
         if (worker.is_silent) return;
-        remember("silent " + worker.name);
+        record("silent " + worker.name);
         worker.is_silent = true;
-        raise_doubt();
-        later(between(kSecond, 5 * kSecond), [this, &worker] {
+        extend_uncertainty();
+        schedule(random_between(kSecond, 5 * kSecond), [this, &worker] {
             worker.is_silent = false;
-            raise_doubt();
+            extend_uncertainty();
         });
     }
-    void silence_list() {
-        remember("discovery silent");
+    void silence_discovery() {
+        record("discovery silent");
         rig_.discovery.is_silent = true;
-        raise_doubt();
-        later(between(kSecond, 9 * kSecond), [this] {
+        extend_uncertainty();
+        schedule(random_between(kSecond, 9 * kSecond), [this] {
             rig_.discovery.is_silent = false;
-            raise_doubt();
+            extend_uncertainty();
         });
     }
     void fail_calls() {
@@ -425,66 +431,67 @@
                                                         {ShimmedCall::readv, EINTR},
                                                         {ShimmedCall::send, 0},
                                                         {ShimmedCall::epoll_wait, EINTR}}};
-        const Fault fault = kFaults[pick(kFaults.size())];
-        remember("system call " + std::to_string(static_cast<int>(fault.call)) + " fails with errno " +
-                 std::to_string(fault.error));
-        shim_.fail(fault.call, fault.error, 1 + static_cast<int>(pick(6)));
+        const Fault fault = kFaults[random_below(kFaults.size())];
+        record("system call " + std::to_string(static_cast<int>(fault.call)) + " fails with errno " +
+               std::to_string(fault.error));
+        shim_.fail(fault.call, fault.error, 1 + static_cast<int>(random_below(6)));
     }
     void stop_for_a_while() {
-        remember("SIGSTOP");
-        const Nanos duration = between(50 * kMillisecond, 400 * kMillisecond);
+        record("SIGSTOP");
+        const Nanos duration = random_between(50 * kMillisecond, 400 * kMillisecond);
         rig_.placer->kill(SIGSTOP);
         stopped_for_ += duration + 100 * kMillisecond;
-        later(duration, [this] { rig_.placer->kill(SIGCONT); });
+        schedule(duration, [this] { rig_.placer->kill(SIGCONT); });
     }
     // Sends SIGTERM, and SIGKILL at the earliest time allowed if the process still runs. Clients go on
     // sending on open connections until it exits.
     void restart_gracefully() {
         if (placer_is_down_ || is_draining_) return;
-        remember("SIGTERM");
+        record("SIGTERM");
         is_draining_ = true;
         rig_.placer->kill(SIGTERM);
-        if (pick(3) == 0) rig_.placer->kill(SIGTERM);
-        if (pick(3) == 0) rig_.placer->kill(SIGHUP);
+        if (random_below(3) == 0) rig_.placer->kill(SIGTERM);
+        if (random_below(3) == 0) rig_.placer->kill(SIGHUP);
         const Nanos kill_at = now() + kKillAfter + stopped_for_;
-        watch_for_end(kill_at);
+        await_exit(kill_at);
     }
-    void watch_for_end(Nanos kill_at) {
-        later(5 * kMillisecond, [this, kill_at] {
-            if (!rig_.placer->has_ended() && now() < kill_at) return watch_for_end(kill_at);
+    void await_exit(Nanos kill_at) {
+        schedule(5 * kMillisecond, [this, kill_at] {
+            if (!rig_.placer->has_ended() && now() < kill_at) return await_exit(kill_at);
             const bool by_itself = rig_.placer->has_ended();
             if (by_itself && rig_.placer->exit_status() != 0)
-                violate("the placer exited with status " + std::to_string(rig_.placer->exit_status()));
-            remember(by_itself ? "placer exited" : "placer killed while draining");
+                record_violation("the placer exited with status " +
+                                 std::to_string(rig_.placer->exit_status()));
+            record(by_itself ? "placer exited" : "placer killed while draining");
             serve_clients();  // read what the placer sent before it exited
-            go_down();
+            stop_placer();
         });
     }
     void kill_placer() {
         if (placer_is_down_ || is_draining_) return;
-        remember("SIGKILL");
-        go_down();
+        record("SIGKILL");
+        stop_placer();
     }
-    void go_down() {
-        killed_ = true;
+    void stop_placer() {
+        is_killed_ = true;
         rig_.placer->kill(SIGCONT);
         rig_.placer->kill(SIGKILL);
         is_draining_ = false;
         placer_is_down_ = true;
-        ++life_;
+        ++incarnation_;
         rig_.run_until("the placer has exited", [this] { return rig_.placer->has_ended(); });
         serve_clients();
-        killed_ = false;
-        later(between(100 * kMillisecond, 2 * kSecond), [this] { bring_up(); });
+        is_killed_ = false;
+        schedule(random_between(100 * kMillisecond, 2 * kSecond), [this] { start_placer(); });
     }
-    void bring_up() {
+    void start_placer() {
         rig_.placer->options().initial_events = rig_.discovery.events_as_json();
         rig_.placer->options().initial_sequence = rig_.discovery.last_sequence();
         rig_.placer->restart();
         rig_.wait_until_ready();
         placer_is_down_ = false;
         stopped_for_ = 0;
-        remember("placer restarted");
+        record("placer restarted");
         for (const auto& client : clients_) {
             client->close_all();
             client->report_running();
@@ -492,22 +499,22 @@
     }
     void serve_clients() {
         for (const auto& proxy : rig_.proxies) proxy->step();
-        for (const auto& client : clients_) client->serve(killed_);
+        for (const auto& client : clients_) client->serve(is_killed_);
     }
     void end_some_task() {
-        next_end_at_ = now() + between(20 * kMillisecond, 200 * kMillisecond);
+        next_end_at_ = now() + random_between(20 * kMillisecond, 200 * kMillisecond);
         FakeWorker& worker = any_worker();
         if (worker.running.empty() || worker.is_down()) return;
         auto it = worker.running.begin();
-        std::advance(it, static_cast<long>(pick(worker.running.size())));
+        std::advance(it, static_cast<long>(random_below(worker.running.size())));
         worker.end_task(*it, platform_codec::Cause::ok);
     }
-    void heal() {
-        remember("faults end");
-        while (!later_.empty()) {
+    void end_faults() {
+        record("faults end");
+        while (!scheduled_.empty()) {
             rig_.step();
-            run_later();
-            for (const auto& client : clients_) client->serve(killed_);
+            run_due_actions();
+            for (const auto& client : clients_) client->serve(is_killed_);
         }
         for (const auto& proxy : rig_.proxies)
             for (const auto& connection : proxy->connections) {
@@ -515,7 +522,7 @@
                 connection->to_server.resume();
             }
         // Each client reconnects and sends a request.
-        for (const auto& client : clients_) client->come_back(++last_id_, kDeadlineMs);
+        for (const auto& client : clients_) client->reconnect(++last_id_, kDeadlineMs);
         for (std::size_t call = 0; call < kShimmedCallCount; ++call)
             shim_.fail(static_cast<ShimmedCall>(call), 0, 0);
         rig_.placer->kill(SIGCONT);
@@ -525,23 +532,23 @@
     const Nanos duration_;
     FaultShim shim_;
     ProcessRig rig_;
-    const bool with_crowd_;
-    const bool is_shared_;  // clients, health checker and misbehaving clients have one address
+    const bool with_bursts_;
+    const bool is_address_shared_;  // clients, health checker and misbehaving clients have one address
     TcpProxy* client_proxy_ = nullptr;
     std::vector<TcpProxy*> worker_proxies_;  // by worker; null: no proxy
     std::vector<std::unique_ptr<SoakClient>> clients_;
     std::vector<SocketPeer> checkers_;
-    std::vector<Misbehaving> others_;
-    std::multimap<Nanos, std::function<void()>> later_;
+    std::vector<MisbehavingClient> misbehaving_clients_;
+    std::multimap<Nanos, std::function<void()>> scheduled_;
     std::vector<std::string> violations_;
-    std::set<std::uint64_t> reported_, withdrawn_;
-    std::string history_;
+    std::set<std::uint64_t> overdue_tasks_, cancelled_;
+    std::string fault_log_;
     std::uint64_t last_id_ = 0;
-    std::size_t requests_ = 0, misbehaving_count_ = 0, faults_ = 0, life_ = 0;
+    std::size_t requests_ = 0, misbehaving_count_ = 0, faults_ = 0, incarnation_ = 0;
     Nanos next_request_at_ = 0, next_misbehaving_at_ = 0, next_fault_at_ = 0, next_end_at_ = 0,
           next_check_at_ = 0;
-    Nanos doubt_until_ = 0, stopped_for_ = 0;
-    bool killed_ = false, placer_is_down_ = false, is_draining_ = false;
+    Nanos uncertain_until_ = 0, stopped_for_ = 0;
+    bool is_killed_ = false, placer_is_down_ = false, is_draining_ = false;
 };
 
 }  // namespace whinpost
--- a/tests/support/soak_client.h
+++ b/tests/support/soak_client.h
@@ -21,7 +21,7 @@
     };
     struct RunningTask {
         FakeWorker* worker = nullptr;
-        Nanos over_at = 0, known_since = 0;
+        Nanos ended_at = 0, known_since = 0;
     };
     struct Connection {
         SocketPeer peer;
@@ -31,10 +31,10 @@
         std::map<std::uint64_t, Nanos> requests;  // time of the send, by id
         std::size_t handled = 0;
     };
-    using Violate = std::function<void(const std::string&)>;
+    using ViolationHandler = std::function<void(const std::string&)>;
 
-    SoakClient(ProcessRig& rig, Options options, Violate violate)
-        : rig_(rig), options_(options), violate_(std::move(violate)) {}
+    SoakClient(ProcessRig& rig, Options options, ViolationHandler on_violation)
+        : rig_(rig), options_(options), on_violation_(std::move(on_violation)) {}
 
     // Returns false if there is no connection or the send fails.
     bool send_request(std::uint64_t id, const std::string& group, int deadline_ms) {
@@ -94,7 +94,7 @@
         return since;
     }
     // Opens another connection and sends a request on it.
-    void come_back(std::uint64_t id, int deadline_ms) {
+    void reconnect(std::uint64_t id, int deadline_ms) {
         Connection* connection = open();
         if (connection && send(*connection, place_task_bytes(id, "free", deadline_ms, "")))
             connection->requests[id] = now();
@@ -106,8 +106,8 @@
     std::function<void(std::uint64_t id)> on_ended_while_running = [](std::uint64_t) {};
 
 private:
-    static constexpr Nanos kAnswerSlack = 500 * kMillisecond;
-    static constexpr Nanos kCrossing = 50 * kMillisecond;
+    static constexpr Nanos kAnswerTolerance = 500 * kMillisecond;
+    static constexpr Nanos kInFlightTolerance = 50 * kMillisecond;
 
     static Nanos now() { return read_clock(CLOCK_MONOTONIC); }
     static bool send(Connection& connection, const std::string& bytes) {
@@ -136,15 +136,16 @@
         while (connection.handled < connection.peer.received.size())
             handle(connection, connection.peer.received[connection.handled++]);
         for (const auto& [id, sent_at] : connection.requests)
-            if (now() - sent_at > options_.deadline + kAnswerSlack) {
-                violate_("request " + std::to_string(id) + " has no answer after its deadline");
+            if (now() - sent_at > options_.deadline + kAnswerTolerance) {
+                on_violation_("request " + std::to_string(id) + " has no answer after its deadline");
                 connection.requests.erase(id);
                 break;
             }
         if (!connection.peer.peer_closed && !connection.peer.was_reset) return;
         for (const auto& [id, sent_at] : connection.requests) {
-            const bool excused = is_killed || connection.is_faulty || now() - sent_at <= kCrossing;
-            if (!excused) violate_("request " + std::to_string(id) + " was lost with its connection");
+            const bool is_excused =
+                is_killed || connection.is_faulty || now() - sent_at <= kInFlightTolerance;
+            if (!is_excused) on_violation_("request " + std::to_string(id) + " was lost with its connection");
         }
         connection.requests.clear();
         connection.peer.close();
@@ -181,7 +182,7 @@
 
     ProcessRig& rig_;
     const Options options_;
-    const Violate violate_;
+    const ViolationHandler on_violation_;
     std::vector<std::unique_ptr<Connection>> connections_;
 };
 
