--- a/tests/platform_sockets_clients_test.cpp
+++ b/tests/platform_sockets_clients_test.cpp
@@ -11,8 +11,8 @@
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
     SocketPeer client = rig.connect_client();
     const auto task = rig.start_attempt(client, worker, 7);
-    const bool ahead = GENERATE(false, true);  // other requests are unread before its close
-    if (ahead)
+    const bool has_unread_requests = GENERATE(false, true);  // other requests are unread before its close
+    if (has_unread_requests)
         for (std::uint64_t id = 100; id < 150; ++id)
             client.send_bytes(SocketRig::place_task(id, "no such class"));
     worker.connections.back()->release(7, platform_codec::Cause::full);
@@ -91,23 +91,23 @@
                (worker.accept_and_read(), worker.received_byte_count() > 0);
     });
     SocketPeer client = rig.connect_client();
-    const int how = GENERATE(0, 1, 2);
+    const int variant = GENERATE(0, 1, 2);
     constexpr int kFlood = 160 << 10;  // bytes; over twice what one read takes
     client.set_send_buffer(kFlood);
     std::string bytes = SocketRig::place_task(7);
-    if (how < 2) {  // more than one read takes, ahead of the cancel or close
+    if (variant < 2) {  // more than one read takes, ahead of the cancel or close
         Message message;
         message.type = MessageType::progress;
         message.task = 7;
         while (bytes.size() < kFlood) platform_codec::encode(bytes, message);
     }
     client.send_bytes(bytes);
-    if (how == 0) client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
-    if (how == 1) client.close();
+    if (variant == 0) client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
+    if (variant == 1) client.close();
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     // Within one pass of the loop: the client cancels, the loop is busy for a while, then the task is placed.
     auto busy = rig.loop.make_timer([&] {
-        if (how == 2) {
+        if (variant == 2) {
             client.send_plain(MessageType::release, 7, platform_codec::Cause::given_up);
             rig.block_for(80 * kMillisecond);
         }
--- a/tests/platform_sockets_discovery_test.cpp
+++ b/tests/platform_sockets_discovery_test.cpp
@@ -7,25 +7,25 @@
 
 TEST_CASE("a watch that receives no complete message in time is opened again from the last event") {
     SocketRig rig;
-    const int how = GENERATE(0, 1, 2, 3);
+    const int variant = GENERATE(0, 1, 2, 3);
     // 0: no response at all; 1: silence after an event; 2: an endless response head; 3: an endless event.
     rig.run_until([&] {
         rig.discovery.accept_and_read();
         return rig.discovery.connections.size() == 1 && !rig.discovery.connections[0]->received_bytes.empty();
     });
     SocketPeer& first = *rig.discovery.connections[0];
-    if (how == 1)
+    if (variant == 1)
         first.send_bytes(SocketRig::response_head() +
                          rig.event({SocketRig::entry("h", "127.0.0.1:1")}, true));
-    if (how == 2) first.send_bytes("HTTP/1.1 200 OK\r\nX-Long: ");
-    if (how == 3) first.send_bytes(SocketRig::response_head() + "data: {");
+    if (variant == 2) first.send_bytes("HTTP/1.1 200 OK\r\nX-Long: ");
+    if (variant == 3) first.send_bytes(SocketRig::response_head() + "data: {");
     rig.run_until([&] {
         rig.discovery.accept_and_read();
-        if (how >= 2 && !first.peer_closed && !first.was_reset && rig.discovery.connections.size() == 1)
+        if (variant >= 2 && !first.peer_closed && !first.was_reset && rig.discovery.connections.size() == 1)
             first.send_bytes("a");
         return rig.discovery.connections.size() == 2 && !rig.discovery.connections[1]->received_bytes.empty();
     });
-    const std::string last = how == 1 ? "Last-Event-ID: 1\r\n" : "Last-Event-ID: 0\r\n";
+    const std::string last = variant == 1 ? "Last-Event-ID: 1\r\n" : "Last-Event-ID: 0\r\n";
     CHECK(rig.discovery.connections[1]->received_bytes.find(last) != std::string::npos);
 }
 
--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -8,7 +8,8 @@
 
 namespace {
 
-constexpr Nanos kPastAccepting = 800 * kMillisecond;  // after drain(): new requests are rejected by then
+constexpr Nanos kPastRequestAcceptance =
+    800 * kMillisecond;  // after drain(): new requests are rejected by then
 
 // Runs the loop until the drain is done; each client closes its side once the server has closed.
 void run_until_drained(SocketRig& rig, std::vector<SocketPeer*> clients, bool& done) {
@@ -64,12 +65,12 @@
     rig.server->drain([&] { done = true; });
     rig.run_passes(3);
     // Runs within one pass of the loop, after the loop has polled the kernel and before the drain's sweep.
-    auto between = rig.loop.make_timer([&] {
+    auto mid_pass = rig.loop.make_timer([&] {
         if (!accepted) client = rig.connect_client();
         client.send_bytes(SocketRig::place_task(7));
     });
-    between->arm(rig.loop.now());
-    rig.block_for(kPastAccepting);
+    mid_pass->arm(rig.loop.now());
+    rig.block_for(kPastRequestAcceptance);
     rig.run_once();
     run_until_drained(rig, {&client}, done);
     check_rejected_not_reset(rig, client);
@@ -86,7 +87,7 @@
         done = true;
         if (client.is_open()) client.send_plain(MessageType::progress, 7);
     });
-    rig.block_for(kPastAccepting);
+    rig.block_for(kPastRequestAcceptance);
     rig.server->reject(rig.planner.submitted[0], 0);
     run_until_drained(rig, {&client}, done);
     check_rejected_not_reset(rig, client);
--- a/tests/platform_sockets_requests_test.cpp
+++ b/tests/platform_sockets_requests_test.cpp
@@ -21,17 +21,17 @@
 TEST_CASE("each request that is read together with bytes that end its connection is answered") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
-    Message stray;  // a message that only workers send
-    stray.type = MessageType::answer;
-    stray.task = 5;
-    stray.description = "stands";
+    Message worker_message;  // a message that only workers send
+    worker_message.type = MessageType::answer;
+    worker_message.task = 5;
+    worker_message.description = "stands";
     std::string ends;
-    const int how = GENERATE(0, 1, 2);
-    if (how == 0) platform_codec::encode(ends, stray);
-    if (how == 1) ends = SocketRig::place_task(7);  // the id of an open request
-    if (how == 2) ends = "";
+    const int variant = GENERATE(0, 1, 2);
+    if (variant == 0) platform_codec::encode(ends, worker_message);
+    if (variant == 1) ends = SocketRig::place_task(7);  // the id of an open request
+    if (variant == 2) ends = "";
     std::string after =
-        how == 2 ? "GET / HTTP/1.1\r\n\r\n" : SocketRig::place_task(9) + SocketRig::place_task(10);
+        variant == 2 ? "GET / HTTP/1.1\r\n\r\n" : SocketRig::place_task(9) + SocketRig::place_task(10);
     client.send_bytes(SocketRig::place_task(7) + SocketRig::place_task(8) + ends + after);
     rig.run_until([&] {
         client.read_available();
@@ -40,8 +40,8 @@
     CHECK(!client.was_reset);
     CHECK(client.count(MessageType::release, 7) == 1);
     CHECK(client.count(MessageType::release, 8) == 1);
-    CHECK(client.count(MessageType::release, 9) == (how == 2 ? 0 : 1));
-    CHECK(client.count(MessageType::release, 10) == (how == 2 ? 0 : 1));
+    CHECK(client.count(MessageType::release, 9) == (variant == 2 ? 0 : 1));
+    CHECK(client.count(MessageType::release, 10) == (variant == 2 ? 0 : 1));
     CHECK(rig.server->task_count() == 0);
 }
 
@@ -78,7 +78,7 @@
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
-    constexpr int kTimeLeft = 30'000, kAway = 400;  // milliseconds
+    constexpr int kTimeLeft = 30'000, kUnreadFor = 400;  // milliseconds
     const bool new_connection = GENERATE(false, true);
     SocketPeer client;
     if (!new_connection) {
@@ -88,7 +88,7 @@
     rig.run_passes(2);
     if (new_connection) client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7, "free", "", kTimeLeft));
-    rig.block_for(kAway * kMillisecond);
+    rig.block_for(kUnreadFor * kMillisecond);
     rig.run_passes(1);  // a new connection is accepted in one pass and read in the next
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     rig.server->place(rig.planner.submitted[0], 0, kTimeLeft * kMillisecond);
@@ -97,5 +97,5 @@
         return worker.count(MessageType::place_task, 7) == 1;
     });
     CHECK(std::stoi(worker.connections.back()->messages(MessageType::place_task)[0].time_left_ms) <=
-          kTimeLeft - kAway);
+          kTimeLeft - kUnreadFor);
 }
--- a/tests/platform_sockets_workers_test.cpp
+++ b/tests/platform_sockets_workers_test.cpp
@@ -70,11 +70,12 @@
     SocketPeer client = rig.connect_client();
     rig.run_task(client, worker, 7);
     rig.block_for(2 * kMillisecond);
-    const Nanos back = rig.loop.now() / kMillisecond * kMillisecond;
+    const Nanos restarted_at = rig.loop.now() / kMillisecond * kMillisecond;
     rig.block_for(2 * kMillisecond);
     rig.run_task(client, worker, 8);
     std::string event = SocketRig::entry("h", worker.address());
-    event.replace(event.find("\"born_ms\":0"), 11, "\"born_ms\":" + std::to_string(back / kMillisecond));
+    event.replace(event.find("\"born_ms\":0"), 11,
+                  "\"born_ms\":" + std::to_string(restarted_at / kMillisecond));
     rig.publish_initial({event});
     rig.run_until([&] {
         client.read_available();
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -13,13 +13,13 @@
 // From a task's end to its release, also while its worker or discovery is down.
 constexpr Nanos kEndLimit = 8 * kSecond;
 // From a worker's message or a discovery event to the message to the client.
-constexpr Nanos kWordLimit = kSecond;
+constexpr Nanos kMessageLimit = kSecond;
 
-bool told_or_closed(SocketPeer& client) {
+bool has_message_or_close(SocketPeer& client) {
     client.read_available();
     return !client.received.empty() || client.peer_closed || client.was_reset;
 }
-bool released(SocketPeer& client, std::uint64_t id) {
+bool is_released(SocketPeer& client, std::uint64_t id) {
     client.read_available();
     return client.count(MessageType::release, id) > 0;
 }
@@ -42,13 +42,16 @@
     rig.report_running(others[2], worker, 102);
     rig.report_running(others[3], worker, 1);  // the task of `genuine`
     const Nanos waited = rig.time_until(
-        [&] { return std::all_of(others.begin(), others.end(), told_or_closed) && released(others[2], 102); },
+        [&] {
+            return std::all_of(others.begin(), others.end(), has_message_or_close) &&
+                   is_released(others[2], 102);
+        },
         kClientLimit);
     CHECK(waited < kClientLimit);
     rig.run_for(kSecond);
-    CHECK_FALSE(told_or_closed(genuine));
+    CHECK_FALSE(has_message_or_close(genuine));
     worker.end_task(1, Cause::ok);
-    CHECK(rig.time_until([&] { return released(genuine, 1); }, kWordLimit) < kWordLimit);
+    CHECK(rig.time_until([&] { return is_released(genuine, 1); }, kMessageLimit) < kMessageLimit);
 }
 
 TEST_CASE("a task whose worker restarted before the report is released, whenever discovery lists the restart",
@@ -65,7 +68,7 @@
     rig.report_running(client, worker, 1);
     rig.run_for(200 * kMillisecond);
     if (!listed_before) rig.publish(worker);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
 TEST_CASE("a task whose worker restarts at once is released in 8 s while discovery is silent", "[restarts]") {
@@ -78,7 +81,7 @@
     rig.discovery.is_silent = true;
     worker.crash();
     worker.start_again();
-    CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
 TEST_CASE(
@@ -94,7 +97,7 @@
         rig.run_for(500 * kMillisecond);
         rig.publish(worker);
     }
-    CHECK_FALSE(released(client, 1));
+    CHECK_FALSE(is_released(client, 1));
     CHECK(worker.running.contains(1));
 }
 
@@ -105,7 +108,7 @@
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.report_running(client, unlisted, 1);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kClientLimit) < kClientLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kClientLimit) < kClientLimit);
 }
 
 TEST_CASE("a task that is reported again under another id is released under both ids", "[reports]") {
@@ -131,25 +134,25 @@
     worker.on_task_reported(2);
     rig.run_for(kSecond);
     worker.end_task(2, Cause::ok);
-    CHECK(rig.time_until([&] { return released(second, 2); }, kWordLimit) < kWordLimit);
-    CHECK(rig.time_until([&] { return released(first, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(second, 2); }, kMessageLimit) < kMessageLimit);
+    CHECK(rig.time_until([&] { return is_released(first, 1); }, kEndLimit) < kEndLimit);
 }
 
 TEST_CASE("a configuration that is half written at SIGHUP is loaded once it is complete", "[restarts]") {
     ProcessRig rig;
     rig.add_worker("w1");
     rig.wait_until_ready();
-    FakeDiscovery moved;
-    moved.publish(R"({"host":"w1","health":"active"})");
-    rig.placer->options().discovery = moved.address();
+    FakeDiscovery new_discovery;
+    new_discovery.publish(R"({"host":"w1","health":"active"})");
+    rig.placer->options().discovery = new_discovery.address();
     rig.placer->replace_config(R"({"listen":"127.0.0.1:1","bus":")");
     rig.placer->kill(SIGHUP);
     rig.run_for(300 * kMillisecond);
     CHECK(rig.placer->count_in_log("config_reload_failed") >= 1);
     rig.placer->replace_config();
     const auto watched = [&] {
-        moved.step();
-        return moved.watch_count() > 0;
+        new_discovery.step();
+        return new_discovery.watch_count() > 0;
     };
     CHECK(rig.time_until(watched, 3 * kSecond) < 3 * kSecond);
     CHECK(rig.placer->count_in_log("config_reloaded") == 1);
--- a/tests/release_delivery_faults_test.cpp
+++ b/tests/release_delivery_faults_test.cpp
@@ -19,7 +19,7 @@
 constexpr Nanos kEndLimit = 8 * kSecond;
 // From a misbehaving client's connect to its first message or its close.
 constexpr Nanos kMisbehavingLimit = 3 * kSecond;
-constexpr Nanos kBriefly = 150 * kMillisecond;
+constexpr Nanos kSettleTime = 150 * kMillisecond;
 
 bool is_released(SocketPeer& client, std::uint64_t id) {
     client.read_available();
@@ -67,23 +67,24 @@
     SharedAddress shared;
     ProcessRig& rig = shared.rig;
     const bool was_reset = GENERATE(true, false);
-    const bool ends_while_away = GENERATE(true, false);
+    const bool ends_while_disconnected = GENERATE(true, false);
     const bool neighbour_first = GENERATE(true, false);
-    INFO("reset " << was_reset << ", while away " << ends_while_away << ", neighbour " << neighbour_first);
+    INFO("reset " << was_reset << ", while away " << ends_while_disconnected << ", neighbour "
+                  << neighbour_first);
     SocketPeer neighbour = rig.connect_client();
     if (neighbour_first) rig.place(neighbour, 50);
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
     if (was_reset) client.reset_connection();
     else client.close();
-    rig.run_for(kBriefly);
-    if (ends_while_away) shared.worker.end_task(1, Cause::ok);
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
+    if (ends_while_disconnected) shared.worker.end_task(1, Cause::ok);
+    rig.run_for(kSettleTime);
     shared.check_health();
-    SocketPeer back = rig.connect_client();
-    rig.place(back, 2);
-    if (!ends_while_away) shared.worker.end_task(1, Cause::ok);
-    CHECK(shared.is_released_in(back, 1, kReleaseLimit));
+    SocketPeer reconnected = rig.connect_client();
+    rig.place(reconnected, 2);
+    if (!ends_while_disconnected) shared.worker.end_task(1, Cause::ok);
+    CHECK(shared.is_released_in(reconnected, 1, kReleaseLimit));
     shared.checker.read_available();
     CHECK(shared.checker.count(MessageType::release, 1) == 0);
 }
@@ -96,14 +97,14 @@
     rig.place(client, 1);
     client.close();
     shared.checker.close();
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     shared.worker.end_task(1, Cause::ok);
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     shared.checker = rig.connect_client();
     shared.check_health();
-    SocketPeer back = rig.connect_client();
-    rig.place(back, 2);
-    CHECK(shared.is_released_in(back, 1, kReleaseLimit));
+    SocketPeer reconnected = rig.connect_client();
+    rig.place(reconnected, 2);
+    CHECK(shared.is_released_in(reconnected, 1, kReleaseLimit));
 }
 
 TEST_CASE("a release_ack from another client does not discard a release that waits for its own client",
@@ -114,14 +115,14 @@
     rig.place(neighbour, 50);
     rig.place(client, 1);
     client.reset_connection();
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     shared.worker.end_task(1, Cause::ok);
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     neighbour.send_plain(MessageType::release_ack, 1);
-    rig.run_for(kBriefly);
-    SocketPeer back = rig.connect_client();
-    rig.place(back, 2);
-    CHECK(shared.is_released_in(back, 1, kReleaseLimit));
+    rig.run_for(kSettleTime);
+    SocketPeer reconnected = rig.connect_client();
+    rig.place(reconnected, 2);
+    CHECK(shared.is_released_in(reconnected, 1, kReleaseLimit));
 }
 
 TEST_CASE("a release written to a connection that is open but stalled is also sent on the client's new one",
@@ -133,14 +134,14 @@
     shared.run_and_acknowledge(client, 1);
     rig.place(client, 2);
     proxy.connections[0]->to_client.stall();
-    const bool is_back_before = GENERATE(true, false);
-    SocketPeer back;
-    if (!is_back_before) shared.worker.end_task(2, Cause::ok);
-    rig.run_for(kBriefly);
-    back = rig.connect_client(proxy);
-    rig.place(back, 3);
-    if (is_back_before) shared.worker.end_task(2, Cause::ok);
-    CHECK(shared.is_released_in(back, 2, kReleaseLimit));
+    const bool reconnects_first = GENERATE(true, false);
+    SocketPeer reconnected;
+    if (!reconnects_first) shared.worker.end_task(2, Cause::ok);
+    rig.run_for(kSettleTime);
+    reconnected = rig.connect_client(proxy);
+    rig.place(reconnected, 3);
+    if (reconnects_first) shared.worker.end_task(2, Cause::ok);
+    CHECK(shared.is_released_in(reconnected, 2, kReleaseLimit));
 }
 
 TEST_CASE("a release written to a half-closed connection is sent again on the client's next one",
@@ -153,11 +154,11 @@
     rig.place(client, 2);
     proxy.connections[0]->to_client.stall();
     proxy.half_close_to_server(*proxy.connections[0]);
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     shared.worker.end_task(2, Cause::ok);
-    SocketPeer back = rig.connect_client(proxy);
-    rig.place(back, 3);
-    CHECK(shared.is_released_in(back, 2, kReleaseLimit));
+    SocketPeer reconnected = rig.connect_client(proxy);
+    rig.place(reconnected, 3);
+    CHECK(shared.is_released_in(reconnected, 2, kReleaseLimit));
 }
 
 TEST_CASE(
@@ -176,13 +177,13 @@
     REQUIRE(proxy.connections.size() >= 2);
     const std::size_t silent = GENERATE(std::size_t{0}, std::size_t{1});
     proxy.connections[silent]->to_client.stall();
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     worker.end_task(1, Cause::ok);
     worker.end_task(2, Cause::ok);
     // Requests keep the worker's other connections busy.
     std::uint64_t next = 10;
     Nanos place_at = 0;
-    const auto both_told = [&] {
+    const auto both_released = [&] {
         if (const Nanos now = read_clock(CLOCK_MONOTONIC); now >= place_at) {
             place_at = now + 400 * kMillisecond;
             client.send_bytes(place_task_bytes(++next, "free", 5000, ""));
@@ -190,7 +191,7 @@
         const bool first = is_released(client, 1);
         return is_released(client, 2) && first;
     };
-    CHECK(rig.time_until(both_told, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until(both_released, kEndLimit) < kEndLimit);
 }
 
 TEST_CASE("a task that a second client of the same address reports is released to both clients",
@@ -200,7 +201,7 @@
     SocketPeer client = rig.connect_client(), other = rig.connect_client();
     rig.place(client, 1);
     other.send_bytes(place_task_bytes(1, "free", 4'294'967, ";at:w1"));
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     shared.worker.end_task(1, Cause::ok);
     CHECK(shared.is_released_in(client, 1, kReleaseLimit));
     CHECK(shared.is_released_in(other, 1, kReleaseLimit));
@@ -214,31 +215,31 @@
     const Nanos connected_at = read_clock(CLOCK_MONOTONIC);
     rig.run_for(1500 * kMillisecond);
     client.send_bytes(place_task_bytes(100, "free", 4'294'967, ";at:w1"));
-    const auto has_a_word = [&] {
+    const auto has_message_or_close = [&] {
         client.read_available();
         return !client.received.empty() || client.peer_closed || client.was_reset;
     };
-    rig.time_until(has_a_word, kMisbehavingLimit);
-    CHECK(has_a_word());
+    rig.time_until(has_message_or_close, kMisbehavingLimit);
+    CHECK(has_message_or_close());
     CHECK(read_clock(CLOCK_MONOTONIC) - connected_at < kMisbehavingLimit);
 }
 
 TEST_CASE("a reported task on a silent worker is kept if its client's report on another worker was confirmed",
           "[delivery]") {
     ProcessRig rig;
-    FakeWorker &heard = rig.add_worker("w1"), &unheard = rig.add_worker("w2");
+    FakeWorker &reachable = rig.add_worker("w1"), &silent_worker = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
-    heard.run(1);
-    unheard.run(2);
-    unheard.is_silent = true;
-    rig.report_running(client, heard, 1);
-    rig.report_running(client, unheard, 2);
+    reachable.run(1);
+    silent_worker.run(2);
+    silent_worker.is_silent = true;
+    rig.report_running(client, reachable, 1);
+    rig.report_running(client, silent_worker, 2);
     rig.run_for(5 * kSecond);
     CHECK_FALSE(is_released(client, 2));
-    unheard.is_silent = false;
+    silent_worker.is_silent = false;
     rig.run_for(kSecond);
-    unheard.end_task(2, Cause::ok);
+    silent_worker.end_task(2, Cause::ok);
     CHECK(rig.time_until([&] { return is_released(client, 2); }, kReleaseLimit) < kReleaseLimit);
     CHECK(client.messages(MessageType::release)[0].cause == Cause::ok);
 }
@@ -254,7 +255,7 @@
     if (was_reported) {
         worker.run(1);
         rig.report_running(client, worker, 1);
-        rig.run_for(kBriefly);
+        rig.run_for(kSettleTime);
     } else {
         rig.place(client, 1);
     }
@@ -273,7 +274,7 @@
         client.read_available();
         return client.count(MessageType::answer, 1) + client.count(MessageType::answer, 2) == 2;
     });
-    rig.run_for(kBriefly);
+    rig.run_for(kSettleTime);
     const bool hangs = GENERATE(true, false);
     if (hangs) worker.is_silent = true;
     else proxy.connections[0]->to_client.stall();
@@ -284,9 +285,9 @@
     rig.run_for(kSecond);
     worker.end_task(1, Cause::ok);
     worker.end_task(2, Cause::ok);
-    const auto both_told = [&] {
+    const auto both_released = [&] {
         const bool first = is_released(client, 1);
         return is_released(client, 2) && first;
     };
-    CHECK(rig.time_until(both_told, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until(both_released, kEndLimit) < kEndLimit);
 }
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Nanos kWordLimit = kSecond;
+constexpr Nanos kMessageLimit = kSecond;
 
 struct ShimmedRig {
     FaultShim shim;
@@ -24,7 +24,7 @@
     }
 };
 
-bool released(SocketPeer& client, std::uint64_t id) {
+bool is_released(SocketPeer& client, std::uint64_t id) {
     client.read_available();
     return client.count(MessageType::release, id) > 0;
 }
@@ -51,15 +51,15 @@
     worker.start_again();
     worker.started_at_ms += step / kMillisecond;
     rig.publish(worker);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kMessageLimit) < kMessageLimit);
     // A task that is placed after the step started after its worker, so it is kept.
     SocketPeer other = rig.connect_client();
     rig.place(other, 3);
     rig.publish(worker);
     rig.publish(steady);
     rig.run_for(500 * kMillisecond);
-    CHECK_FALSE(released(other, 3));
-    CHECK_FALSE(released(client, 2));
+    CHECK_FALSE(is_released(other, 3));
+    CHECK_FALSE(is_released(client, 2));
 }
 
 TEST_CASE("accepting continues after each transient error, also during shutdown", "[accept]") {
@@ -88,7 +88,7 @@
     }
     const auto all_answered = [&] {
         bool all = true;
-        for (std::size_t i = 0; i < clients.size(); ++i) all = released(clients[i], i + 1) && all;
+        for (std::size_t i = 0; i < clients.size(); ++i) all = is_released(clients[i], i + 1) && all;
         return all;
     };
     CHECK(rig.time_until(all_answered, 3 * kSecond) < 3 * kSecond);
@@ -118,9 +118,9 @@
     shimmed.shim.fail(fault.call, 0, 0);
     CHECK(shimmed.shim.hits(fault.call) >= 3);
     CHECK(rig.time_until([&] { return worker.connection_count() > 0; }, 3 * kSecond) < 3 * kSecond);
-    CHECK_FALSE(released(client, 1));
+    CHECK_FALSE(is_released(client, 1));
     worker.end_task(1, Cause::ok);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kMessageLimit) < kMessageLimit);
 }
 
 TEST_CASE("a task is placed and kept despite interrupted waits and short reads and writes", "[short]") {
@@ -143,7 +143,7 @@
         shimmed.shim.fail(fault.call, fault.error, 30);
         rig.place(client, ++id);
         shimmed.shim.fail(fault.call, 0, 0);
-        CHECK_FALSE(released(client, id));
+        CHECK_FALSE(is_released(client, id));
     }
 }
 
