--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -32,7 +32,7 @@
     FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer genuine = rig.connect_client();
-    worker.run(1);
+    worker.add_running_task(1);
     rig.report_running(genuine, worker, 1);
     std::vector<SocketPeer> others;
     for (int i = 0; i < 4; ++i) others.push_back(rig.connect_client(2 + i));
@@ -116,7 +116,7 @@
     FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer first = rig.connect_client(1), second = rig.connect_client(2);
-    worker.run(1);
+    worker.add_running_task(1);
     rig.report_running(first, worker, 1);
     rig.run_for(100 * kMillisecond);
     // The worker uses the id of the latest report.
--- a/tests/release_delivery_faults_test.cpp
+++ b/tests/release_delivery_faults_test.cpp
@@ -69,7 +69,7 @@
     const bool was_reset = GENERATE(true, false);
     const bool ends_while_disconnected = GENERATE(true, false);
     const bool neighbour_first = GENERATE(true, false);
-    INFO("reset " << was_reset << ", while away " << ends_while_disconnected << ", neighbour "
+    INFO("reset " << was_reset << ", while disconnected " << ends_while_disconnected << ", neighbour "
                   << neighbour_first);
     SocketPeer neighbour = rig.connect_client();
     if (neighbour_first) rig.place(neighbour, 50);
@@ -230,8 +230,8 @@
     FakeWorker &reachable = rig.add_worker("w1"), &silent_worker = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
-    reachable.run(1);
-    silent_worker.run(2);
+    reachable.add_running_task(1);
+    silent_worker.add_running_task(2);
     silent_worker.is_silent = true;
     rig.report_running(client, reachable, 1);
     rig.report_running(client, silent_worker, 2);
@@ -253,7 +253,7 @@
     SocketPeer client = rig.connect_client();
     const bool was_reported = GENERATE(true, false);
     if (was_reported) {
-        worker.run(1);
+        worker.add_running_task(1);
         rig.report_running(client, worker, 1);
         rig.run_for(kSettleTime);
     } else {
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -39,12 +39,12 @@
     std::uint32_t ip() const { return ip_; }
     int port() const { return port_; }
     // Adds a running task that the placer under test did not send.
-    void run(std::uint64_t id) { running.insert(id); }
+    void add_running_task(std::uint64_t id) { running.insert(id); }
     // Called when a client has reported the task to the placer: the next step() sends the task's usage.
     void on_task_reported(std::uint64_t id) { unsent_usage_.insert(id); }
     void end_task(std::uint64_t id, platform_codec::Cause cause) {
         running.erase(id);
-        unsent_ends_[id] = cause;
+        unsent_releases_[id] = cause;
     }
     // Ends the worker's process: its connections are reset, its tasks are lost, and nothing listens.
     void crash() {
@@ -53,8 +53,8 @@
         if (listener_) listener_->close();
         listener_.reset();
         running.clear();
-        unsent_ends_.clear();
-        sent_ends_.clear();
+        unsent_releases_.clear();
+        sent_releases_.clear();
         unsent_usage_.clear();
     }
     // Replaces the worker's machine without closing its connections: its tasks are lost, and the old
@@ -63,8 +63,8 @@
         for (auto& connection : connections_) silent_connections_.push_back(std::move(connection));
         connections_.clear();
         running.clear();
-        unsent_ends_.clear();
-        sent_ends_.clear();
+        unsent_releases_.clear();
+        sent_releases_.clear();
         unsent_usage_.clear();
         started_at_ms = read_clock(CLOCK_REALTIME) / kMillisecond;
     }
@@ -103,9 +103,9 @@
         });
         if (connections_.empty()) return;
         SocketPeer& newest = *connections_.back()->peer;
-        const auto repeated = has_new_connection ? std::exchange(sent_ends_, {}) : Ends{};
-        const auto ends = std::exchange(unsent_ends_, {});
-        sent_ends_.insert(ends.begin(), ends.end());
+        const auto repeated = has_new_connection ? std::exchange(sent_releases_, {}) : Releases{};
+        const auto releases = std::exchange(unsent_releases_, {});
+        sent_releases_.insert(releases.begin(), releases.end());
         mark_reset_on_failure(newest, [&] {
             if (sends_usage_of_reported)
                 for (const std::uint64_t id : std::exchange(unsent_usage_, {}))
@@ -114,7 +114,7 @@
         mark_reset_on_failure(newest, [&] {
             for (const auto& [id, cause] : repeated) newest.release(id, cause);
         });
-        for (const auto& [id, cause] : ends) {
+        for (const auto& [id, cause] : releases) {
             SocketPeer& peer = connection_of_attempt(id, newest);
             mark_reset_on_failure(peer, [&, task = id, why = cause] { peer.release(task, why); });
         }
@@ -126,13 +126,13 @@
         std::size_t handled = 0;
     };
 
-    // The connection on which the task's attempt arrived; `other` if that one is closed.
-    SocketPeer& connection_of_attempt(std::uint64_t id, SocketPeer& other) const {
+    // The connection on which the task's attempt arrived; `fallback` if that one is closed.
+    SocketPeer& connection_of_attempt(std::uint64_t id, SocketPeer& fallback) const {
         const auto attempt = attempt_connections_.find(id);
-        if (attempt == attempt_connections_.end()) return other;
+        if (attempt == attempt_connections_.end()) return fallback;
         for (const auto& connection : connections_)
             if (connection->peer.get() == attempt->second) return *connection->peer;
-        return other;
+        return fallback;
     }
     // Runs `action`; marks the peer as reset if a send fails, since the placer may be killed at any moment.
     static void mark_reset_on_failure(SocketPeer& peer, const std::function<void()>& action) {
@@ -185,8 +185,8 @@
     std::vector<std::unique_ptr<Connection>> connections_, silent_connections_;
     std::set<std::uint64_t> unsent_usage_;
     std::map<std::uint64_t, const SocketPeer*> attempt_connections_;
-    using Ends = std::map<std::uint64_t, platform_codec::Cause>;
-    Ends unsent_ends_, sent_ends_;
+    using Releases = std::map<std::uint64_t, platform_codec::Cause>;
+    Releases unsent_releases_, sent_releases_;
 };
 
 // Simulated discovery service: sends the events of the endpoint list to every watch.
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -38,8 +38,8 @@
     FakeWorker& steady = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
-    worker.run(1);
-    steady.run(2);
+    worker.add_running_task(1);
+    steady.add_running_task(2);
     rig.report_running(client, worker, 1);
     rig.report_running(client, steady, 2);
     rig.run_for(200 * kMillisecond);
