--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -1,4 +1,5 @@
-// Graceful shutdown of the platform's server on real sockets: what happens between two of its steps.
+// Graceful shutdown of the platform server on real sockets: messages that arrive between two steps of a
+// drain.
 #include <catch2/catch.hpp>
 
 #include "support/platform_sockets_rig.h"
@@ -7,9 +8,10 @@
 
 namespace {
 
-constexpr Nanos kPastAccepting = 800 * kMillisecond;  // after the call to end nothing new is taken any more
+constexpr Nanos kPastRequestAcceptance =
+    800 * kMillisecond;  // after drain(): new requests are rejected by then
 
-// The end, as its clients see it: each closes once it sees that we have.
+// Runs the loop until the drain is done; each client closes its side once the server has closed.
 void run_until_drained(SocketRig& rig, std::vector<SocketPeer*> clients, bool& done) {
     rig.run_until([&] {
         if (done) return true;
@@ -21,7 +23,7 @@
     });
 }
 
-// The server has gone, and request 7 of the client was answered all the same.
+// Destroys the server. The client must have received the release of request 7, and no reset.
 void check_rejected_not_reset(SocketRig& rig, SocketPeer& client) {
     rig.server.reset();
     client.read_available();
@@ -32,16 +34,16 @@
 }  // namespace
 
 TEST_CASE(
-    "a request that came in two halves round the call to drain is answered, and its connection not reset") {
+    "a request with one half before drain() and one after is answered, and its connection is not reset") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     const std::string bytes = SocketRig::place_task(7);
     client.send_bytes(bytes.substr(0, bytes.size() / 2));
     rig.run_until([&] { return rig.server->connection_count() == 1; });
-    rig.run_times(3);
+    rig.run_passes(3);
     bool done = false;
     rig.server->drain([&] { done = true; });
-    rig.run_times(3);
+    rig.run_passes(3);
     client.send_bytes(bytes.substr(bytes.size() / 2));
     rig.run_until([&] { return rig.planner.submitted.size() == 1; });
     rig.server->reject(rig.planner.submitted[0], 0);
@@ -51,7 +53,7 @@
     CHECK(!client.was_reset);
 }
 
-TEST_CASE("what lies in the listener's backlog or unread at the end is rejected, not reset") {
+TEST_CASE("a request that is in the listen backlog or unread at the end of a drain is rejected, not reset") {
     SocketRig rig;
     const bool accepted = GENERATE(false, true);
     SocketPeer client;
@@ -61,20 +63,21 @@
     }
     bool done = false;
     rig.server->drain([&] { done = true; });
-    rig.run_times(3);
-    // In one pass of the loop, after it has asked the kernel what there is and before it looks round.
-    auto between = rig.loop.make_timer([&] {
+    rig.run_passes(3);
+    // Runs within one pass of the loop, after the loop has polled the kernel and before the drain's sweep.
+    auto mid_pass = rig.loop.make_timer([&] {
         if (!accepted) client = rig.connect_client();
         client.send_bytes(SocketRig::place_task(7));
     });
-    between->arm(rig.loop.now());
-    rig.block_for(kPastAccepting);
+    mid_pass->arm(rig.loop.now());
+    rig.block_for(kPastRequestAcceptance);
     rig.run_once();
     run_until_drained(rig, {&client}, done);
     check_rejected_not_reset(rig, client);
 }
 
-TEST_CASE("what a client says while the process ends does not reset the connection that its answer is on") {
+TEST_CASE(
+    "a message from a client at the end of a drain does not reset the connection that carries its answer") {
     SocketRig rig;
     SocketPeer client = rig.connect_client();
     client.send_bytes(SocketRig::place_task(7));
@@ -84,13 +87,13 @@
         done = true;
         if (client.is_open()) client.send_plain(MessageType::progress, 7);
     });
-    rig.block_for(kPastAccepting);
+    rig.block_for(kPastRequestAcceptance);
     rig.server->reject(rig.planner.submitted[0], 0);
     run_until_drained(rig, {&client}, done);
     check_rejected_not_reset(rig, client);
 }
 
-TEST_CASE("what a worker says once clients can be told nothing more is left for the next placer") {
+TEST_CASE("a worker's release that arrives after client connections were closed is left to the next placer") {
     SocketRig rig;
     ListeningSocket worker;
     rig.publish_initial({SocketRig::entry("h", worker.address())}, true);
--- a/tests/process_faults_test.cpp
+++ b/tests/process_faults_test.cpp
@@ -1,4 +1,4 @@
-// The placer as a process of its own, under faults: whoever waits is told or ended in time (incident 04174b).
+// A placer's process under faults: each client that waits receives a message or a close in time.
 #include <catch2/catch.hpp>
 
 #include "support/process_rig.h"
@@ -8,31 +8,31 @@
 
 namespace {
 
-// A client is owed a word or a close 3 s after it connects.
+// From a client's connect to its first message or the close of its connection.
 constexpr Nanos kClientLimit = 3 * kSecond;
-// What is over is released 8 s after its end at the latest, whatever is down.
+// From a task's end to its release, also while its worker or discovery is down.
 constexpr Nanos kEndLimit = 8 * kSecond;
-// Of a worker's or the list's word: 1 s.
-constexpr Nanos kWordLimit = kSecond;
+// From a worker's message or a discovery event to the message to the client.
+constexpr Nanos kMessageLimit = kSecond;
 
-bool told_or_closed(SocketPeer& client) {
+bool has_message_or_close(SocketPeer& client) {
     client.read_available();
     return !client.received.empty() || client.peer_closed || client.was_reset;
 }
-bool released(SocketPeer& client, std::uint64_t id) {
+bool is_released(SocketPeer& client, std::uint64_t id) {
     client.read_available();
     return client.count(MessageType::release, id) > 0;
 }
 
 }  // namespace
 
-TEST_CASE("a client that reports a task which its worker does not run is told so or closed in 3 s",
+TEST_CASE("a client that reports a task which its worker does not run gets a message or a close in 3 s",
           "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer genuine = rig.connect_client();
-    worker.run(1);
+    worker.add_running_task(1);
     rig.report_running(genuine, worker, 1);
     std::vector<SocketPeer> others;
     for (int i = 0; i < 4; ++i) others.push_back(rig.connect_client(2 + i));
@@ -40,21 +40,24 @@
     rig.report_running(others[1], worker, 101, -5);
     others[2].send_plain(MessageType::health_check, 9);
     rig.report_running(others[2], worker, 102);
-    rig.report_running(others[3], worker, 1);  // another client's task
+    rig.report_running(others[3], worker, 1);  // the task of `genuine`
     const Nanos waited = rig.time_until(
-        [&] { return std::all_of(others.begin(), others.end(), told_or_closed) && released(others[2], 102); },
+        [&] {
+            return std::all_of(others.begin(), others.end(), has_message_or_close) &&
+                   is_released(others[2], 102);
+        },
         kClientLimit);
     CHECK(waited < kClientLimit);
     rig.run_for(kSecond);
-    CHECK_FALSE(told_or_closed(genuine));
+    CHECK_FALSE(has_message_or_close(genuine));
     worker.end_task(1, Cause::ok);
-    CHECK(rig.time_until([&] { return released(genuine, 1); }, kWordLimit) < kWordLimit);
+    CHECK(rig.time_until([&] { return is_released(genuine, 1); }, kMessageLimit) < kMessageLimit);
 }
 
-TEST_CASE("a task whose worker restarted before it was reported is ended, whenever the list tells it",
+TEST_CASE("a task whose worker restarted before the report is released, whenever discovery lists the restart",
           "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     const bool listed_before = GENERATE(true, false);
     worker.crash();
@@ -65,12 +68,12 @@
     rig.report_running(client, worker, 1);
     rig.run_for(200 * kMillisecond);
     if (!listed_before) rig.publish(worker);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a task whose worker is back at once is ended in 8 s though the list is silent", "[restarts]") {
+TEST_CASE("a task whose worker restarts at once is released in 8 s while discovery is silent", "[restarts]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
@@ -78,13 +81,14 @@
     rig.discovery.is_silent = true;
     worker.crash();
     worker.start_again();
-    CHECK(rig.time_until([&] { return released(client, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a running task outlives a break of its connection while the list says that its worker goes on",
-          "[kept]") {
+TEST_CASE(
+    "a running task survives resets of its worker's connections while discovery lists the worker unchanged",
+    "[kept]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
@@ -93,29 +97,29 @@
         rig.run_for(500 * kMillisecond);
         rig.publish(worker);
     }
-    CHECK_FALSE(released(client, 1));
+    CHECK_FALSE(is_released(client, 1));
     CHECK(worker.running.contains(1));
 }
 
-TEST_CASE("a report of a task on a worker that no list names is ended", "[reports]") {
+TEST_CASE("a reported task on a worker that discovery never listed is released", "[reports]") {
     ProcessRig rig;
     rig.add_worker("w1");
-    ModelWorker& unlisted = rig.add_worker("w2", false);
+    FakeWorker& unlisted = rig.add_worker("w2", false);
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.report_running(client, unlisted, 1);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kClientLimit) < kClientLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kClientLimit) < kClientLimit);
 }
 
-TEST_CASE("a task that is reported again under another id ends under both", "[reports]") {
+TEST_CASE("a task that is reported again under another id is released under both ids", "[reports]") {
     ProcessRig rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer first = rig.connect_client(1), second = rig.connect_client(2);
-    worker.run(1);
+    worker.add_running_task(1);
     rig.report_running(first, worker, 1);
     rig.run_for(100 * kMillisecond);
-    // The worker speaks of it under the id that it was reported with last.
+    // The worker uses the id of the latest report.
     Message again;
     again.type = MessageType::place_task;
     again.task = 2;
@@ -127,28 +131,28 @@
     again.description = "asked";
     second.send(again);
     worker.running = {2};
-    worker.on_handed_over(2);
+    worker.on_task_reported(2);
     rig.run_for(kSecond);
     worker.end_task(2, Cause::ok);
-    CHECK(rig.time_until([&] { return released(second, 2); }, kWordLimit) < kWordLimit);
-    CHECK(rig.time_until([&] { return released(first, 1); }, kEndLimit) < kEndLimit);
+    CHECK(rig.time_until([&] { return is_released(second, 2); }, kMessageLimit) < kMessageLimit);
+    CHECK(rig.time_until([&] { return is_released(first, 1); }, kEndLimit) < kEndLimit);
 }
 
-TEST_CASE("a configuration that is half written at the signal is read once it is whole", "[restarts]") {
+TEST_CASE("a configuration that is half written at SIGHUP is loaded once it is complete", "[restarts]") {
     ProcessRig rig;
     rig.add_worker("w1");
     rig.wait_until_ready();
-    ModelDiscovery moved;
-    moved.publish(R"({"host":"w1","health":"active"})");
-    rig.placer->options().discovery = moved.address();
+    FakeDiscovery new_discovery;
+    new_discovery.publish(R"({"host":"w1","health":"active"})");
+    rig.placer->options().discovery = new_discovery.address();
     rig.placer->replace_config(R"({"listen":"127.0.0.1:1","bus":")");
     rig.placer->kill(SIGHUP);
     rig.run_for(300 * kMillisecond);
     CHECK(rig.placer->count_in_log("config_reload_failed") >= 1);
     rig.placer->replace_config();
     const auto watched = [&] {
-        moved.step();
-        return moved.watch_count() > 0;
+        new_discovery.step();
+        return new_discovery.watch_count() > 0;
     };
     CHECK(rig.time_until(watched, 3 * kSecond) < 3 * kSecond);
     CHECK(rig.placer->count_in_log("config_reloaded") == 1);
--- a/tests/support/platform_sockets_rig.h
+++ b/tests/support/platform_sockets_rig.h
@@ -1,6 +1,5 @@
-// The platform's server on real sockets, among clients, workers and a discovery service that a test plays by
-// hand. The loop runs only where the test says so: what is written between two passes has come, all of it,
-// before the next.
+// The platform server on real sockets. The test plays the clients, the workers and discovery. The event loop
+// runs only when the test calls it, so all bytes written between two passes have arrived before the second.
 #pragma once
 #include <arpa/inet.h>
 #include <fcntl.h>
@@ -32,11 +31,12 @@
     address.sin_port = htons(static_cast<std::uint16_t>(port));
     return address;
 }
-inline void require(bool holds, const char* what) {
-    if (!holds) throw std::runtime_error(std::string("the rig: ") + what + ": " + std::strerror(errno));
+inline void require(bool condition, const char* what) {
+    if (!condition)
+        throw std::runtime_error(std::string("socket rig: ") + what + ": " + std::strerror(errno));
 }
 
-// One end of a connection.
+// The test's end of a TCP connection.
 class SocketPeer final : public ProtocolPeer {
 public:
     SocketPeer() = default;
@@ -74,7 +74,7 @@
             message.cause = cause;
         send(message);
     }
-    // Reads all that is there.
+    // Reads and decodes all bytes that have arrived, without blocking.
     void read_available() {
         if (fd_ < 0) return;
         char bytes[4096];
@@ -86,13 +86,12 @@
                 continue;
             }
             peer_closed = peer_closed || count == 0;
-            was_reset =
-                was_reset || (count < 0 && errno != EAGAIN);  // after an end it shows as a broken pipe
+            was_reset = was_reset || (count < 0 && errno != EAGAIN);  // EPIPE: a reset after the peer's FIN
             break;
         }
         int error = 0;
         socklen_t length = sizeof error;
-        getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &length);  // a reset after the end shows here only
+        getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &length);  // some resets after a FIN show here only
         was_reset = was_reset || error != 0;
         undecoded_.erase(0, decode_received(undecoded_));
     }
@@ -100,15 +99,15 @@
         if (fd_ >= 0) ::close(std::exchange(fd_, -1));
     }
     void half_close() { ::shutdown(fd_, SHUT_WR); }
-    // Room for so many bytes that nobody reads yet.
+    // Sets the size in bytes of the kernel's send buffer.
     void set_send_buffer(int bytes) { setsockopt(fd_, SOL_SOCKET, SO_SNDBUF, &bytes, sizeof bytes); }
     void reset_connection() {
-        const linger at_once{1, 0};
-        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
+        const linger abortive_close{1, 0};
+        setsockopt(fd_, SOL_SOCKET, SO_LINGER, &abortive_close, sizeof abortive_close);
         close();
     }
 
-    std::string received_bytes;  // all that came
+    std::string received_bytes;  // decoded or not
     bool peer_closed = false, was_reset = false;
 
 private:
@@ -120,8 +119,8 @@
 public:
     explicit ListeningSocket(int backlog = 64, int port = 0, std::uint32_t ip = INADDR_LOOPBACK)
         : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)), ip_(ip) {
-        const int on = 1;
-        setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
+        const int enabled = 1;
+        setsockopt(fd_, SOL_SOCKET, SO_REUSEADDR, &enabled, sizeof enabled);
         sockaddr_in address = loopback(port, ip);
         require(::bind(fd_, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0, "bind");
         require(::listen(fd_, backlog) == 0, "listen");
@@ -140,7 +139,7 @@
         inet_ntop(AF_INET, &ip, text, sizeof text);
         return std::string(text) + ":" + std::to_string(port_);
     }
-    // All that have come are accepted and read.
+    // Accepts all pending connections, and reads from every connection.
     void accept_and_read() {
         for (int fd; fd_ >= 0 && (fd = ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;)
             connections.push_back(std::make_unique<SocketPeer>(fd));
@@ -196,7 +195,8 @@
                                               descriptors,
                                               5})) {
         server->set_planner(planner);
-        require(server->listen("127.0.0.1:" + std::to_string(port)).has_value(), "the server listens");
+        require(server->listen("127.0.0.1:" + std::to_string(port)).has_value(),
+                "listen on the server's port");
         server->discovery_watch().follow(discovery.address(), 0);
     }
     static std::vector<QueueGroup> groups() {
@@ -209,22 +209,22 @@
     }
 
     void run_once() { loop.run_once(false); }
-    void run_times(int count) {
+    void run_passes(int count) {
         while (count-- > 0) run_once();
     }
-    // Runs the loop until it holds; a failure of the test where it does not for very long, though less than
-    // any request waits.
-    void run_until(const std::function<bool()>& holds) {
-        const Nanos give_up = loop.now() + 20 * kSecond;
-        while (!holds()) {
-            require(loop.now() < give_up, "what was waited for does not come");
+    // Runs the loop until `condition` returns true. Fails the test after 20 s, which is less than the time
+    // left of a request.
+    void run_until(const std::function<bool()>& condition) {
+        const Nanos deadline = loop.now() + 20 * kSecond;
+        while (!condition()) {
+            require(loop.now() < deadline, "the awaited condition did not hold within 20 s");
             run_once();
             usleep(100);
         }
     }
-    // Time passes, and the loop does not run.
-    void block_for(Nanos by) {
-        for (const Nanos to = loop.now() + by; loop.now() < to;) usleep(1000);
+    // Waits without running the loop.
+    void block_for(Nanos duration) {
+        for (const Nanos to = loop.now() + duration; loop.now() < to;) usleep(1000);
     }
     SocketPeer connect_client() { return SocketPeer::dial(port); }
 
@@ -232,28 +232,28 @@
                              const char* state = "active") {
         return endpoint_entry(name, address, state);
     }
-    std::string event(const std::vector<std::string>& entries, bool whole = false) {
-        return watch_event(++last_event, entries, whole);
+    std::string event(const std::vector<std::string>& entries, bool is_snapshot = false) {
+        return watch_event(++last_event, entries, is_snapshot);
     }
     static std::string response_head() {
         return "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n";
     }
-    // Told by the events of the start, which need no connection.
-    void publish_initial(const std::vector<std::string>& entries, bool whole = false) {
-        const std::string published = event(entries, whole);
+    // Applies the entries as an initial event from the configuration, which needs no connection to discovery.
+    void publish_initial(const std::vector<std::string>& entries, bool is_snapshot = false) {
+        const std::string published = event(entries, is_snapshot);
         const std::size_t from = published.find("data: ") + 6;
         server->discovery_watch().apply_initial_event(
             std::string_view(published).substr(from, published.size() - from - 2));
     }
     static std::string place_task(std::uint64_t id, const std::string& group = "free",
-                                  const std::string& more = "", int time_left_ms = 60'000) {
-        return place_task_bytes(id, group, time_left_ms, more);
+                                  const std::string& extra_requirements = "", int time_left_ms = 60'000) {
+        return place_task_bytes(id, group, time_left_ms, extra_requirements);
     }
-    // A task of the client with an attempt at worker 0, which has received it whole.
-    planner::TaskNumber start_attempt(SocketPeer& other, ListeningSocket& worker, std::uint64_t id,
+    // Sends a request and places its task on worker 0; returns once the worker has received the attempt.
+    planner::TaskNumber start_attempt(SocketPeer& client, ListeningSocket& worker, std::uint64_t id,
                                       const std::string& group = "free") {
         const std::size_t before = planner.submitted.size();
-        other.send_bytes(place_task(id, group));
+        client.send_bytes(place_task(id, group));
         run_until([&] { return planner.submitted.size() == before + 1; });
         server->place(planner.submitted.back(), 0, 10 * kSecond);
         run_until([&] {
@@ -262,12 +262,12 @@
         });
         return planner.submitted.back();
     }
-    void run_task(SocketPeer& other, ListeningSocket& worker, std::uint64_t id) {
-        start_attempt(other, worker, id);
+    void run_task(SocketPeer& client, ListeningSocket& worker, std::uint64_t id) {
+        start_attempt(client, worker, id);
         worker.connections.back()->answer(id);
         run_until([&] {
-            other.read_available();
-            return other.count(MessageType::answer, id) == 1;
+            client.read_available();
+            return client.count(MessageType::answer, id) == 1;
         });
     }
 
--- a/tests/support/process_rig.h
+++ b/tests/support/process_rig.h
@@ -1,6 +1,6 @@
-// A placer's process on loopback among workers, clients and a discovery service that a test plays, with the
-// faults that real ones have. Real time: a test waits for what has to come, up to a limit far over what it
-// takes.
+// A placer's process on loopback. The test plays the workers, the clients and discovery, and injects the
+// faults that real ones have. It runs in real time: a test waits for an expected message up to a limit far
+// above the time that the message usually takes.
 #pragma once
 #include <algorithm>
 #include <map>
@@ -21,50 +21,51 @@
     return static_cast<Nanos>(time.tv_sec) * kSecond + time.tv_nsec;
 }
 
-// A worker as the platform's are: accepts what it is sent, reports what its tasks use when they start or are
-// handed to a placer, and says their ends until a connection is there to say them on.
-class ModelWorker {
+// Simulated worker that behaves as the platform's workers do: accepts each attempt, sends the usage of a task
+// when the task starts or is reported to a placer, and keeps the release of an ended task until a connection
+// is open.
+class FakeWorker {
 public:
-    // On an address of its own, so that its port stays free while it is down.
-    ModelWorker(std::string worker_name, int host)
+    // Listens on an IP address of its own, so that no other socket takes its port while it is down.
+    FakeWorker(std::string worker_name, int host)
         : name(std::move(worker_name)),
           ip_(INADDR_LOOPBACK + kWorkerNetwork + static_cast<std::uint32_t>(host)),
           listener_(std::make_unique<ListeningSocket>(kBacklog, 0, ip_)), port_(listener_->port()),
           address_(listener_->address()) {
-        listed_address = address_;
+        published_address = address_;
     }
 
     const std::string& address() const { return address_; }
     std::uint32_t ip() const { return ip_; }
     int port() const { return port_; }
-    // One task that runs there though the placer under test never sent it.
-    void run(std::uint64_t id) { running.insert(id); }
-    // A placer was handed the task: its figures are reported on a connection of that placer.
-    void on_handed_over(std::uint64_t id) { unreported_.insert(id); }
+    // Adds a running task that the placer under test did not send.
+    void add_running_task(std::uint64_t id) { running.insert(id); }
+    // Called when a client has reported the task to the placer: the next step() sends the task's usage.
+    void on_task_reported(std::uint64_t id) { unsent_usage_.insert(id); }
     void end_task(std::uint64_t id, platform_codec::Cause cause) {
         running.erase(id);
-        unsent_ends_[id] = cause;
+        unsent_releases_[id] = cause;
     }
-    // The process dies: its connections are reset, its tasks are cut, and nothing listens.
+    // Ends the worker's process: its connections are reset, its tasks are lost, and nothing listens.
     void crash() {
         for (const auto& connection : connections_) connection->peer->reset_connection();
         connections_.clear();
         if (listener_) listener_->close();
         listener_.reset();
         running.clear();
-        unsent_ends_.clear();
-        sent_ends_.clear();
-        unreported_.clear();
+        unsent_releases_.clear();
+        sent_releases_.clear();
+        unsent_usage_.clear();
     }
-    // Its machine vanished and is back with a new process: what ran is gone, and the old connections stay
-    // open and silent.
+    // Replaces the worker's machine without closing its connections: its tasks are lost, and the old
+    // connections stay open and silent.
     void replace_silently() {
         for (auto& connection : connections_) silent_connections_.push_back(std::move(connection));
         connections_.clear();
         running.clear();
-        unsent_ends_.clear();
-        sent_ends_.clear();
-        unreported_.clear();
+        unsent_releases_.clear();
+        sent_releases_.clear();
+        unsent_usage_.clear();
         started_at_ms = read_clock(CLOCK_REALTIME) / kMillisecond;
     }
     void start_again() {
@@ -75,13 +76,13 @@
         for (const auto& connection : connections_) connection->peer->reset_connection();
         connections_.clear();
     }
-    // Silent: as if the machine were cut off. Bytes are taken by the kernel and nothing is said.
+    // Simulates a hang or a network partition: the kernel accepts bytes, but the worker sends nothing.
     bool is_silent = false;
     bool answers_attempts = true;
-    bool reports_handed_over = true;
+    bool sends_usage_of_reported = true;
     std::int64_t started_at_ms = 0;
     const std::string name;
-    std::string listed_address;  // its own, or that of a proxy before it
+    std::string published_address;  // in discovery: its own or its proxy's
     std::set<std::uint64_t> running, cancelled;
     std::size_t attempts = 0;
 
@@ -90,32 +91,32 @@
     void step() {
         if (!listener_ || is_silent) return;
         listener_->accept_and_read();
-        // What was said before may have been read by nobody: it is said again on the next connection.
-        const bool is_opened = !listener_->connections.empty();
+        // The placer may not have read the releases sent before, so they are sent again on a new connection.
+        const bool has_new_connection = !listener_->connections.empty();
         for (std::unique_ptr<SocketPeer>& accepted : listener_->connections)
             connections_.push_back(std::make_unique<Connection>(Connection{std::move(accepted), 0}));
         listener_->connections.clear();
         for (const auto& connection : connections_)
-            while_it_lasts(*connection->peer, [&] { serve(*connection); });
+            mark_reset_on_failure(*connection->peer, [&] { serve(*connection); });
         std::erase_if(connections_, [](const auto& connection) {
             return connection->peer->peer_closed || connection->peer->was_reset;
         });
         if (connections_.empty()) return;
-        SocketPeer& any = *connections_.back()->peer;
-        const auto repeated = is_opened ? std::exchange(sent_ends_, {}) : Ends{};
-        const auto ends = std::exchange(unsent_ends_, {});
-        sent_ends_.insert(ends.begin(), ends.end());
-        while_it_lasts(any, [&] {
-            if (reports_handed_over)
-                for (const std::uint64_t id : std::exchange(unreported_, {}))
-                    if (running.contains(id)) any.report_use(id);
+        SocketPeer& newest = *connections_.back()->peer;
+        const auto repeated = has_new_connection ? std::exchange(sent_releases_, {}) : Releases{};
+        const auto releases = std::exchange(unsent_releases_, {});
+        sent_releases_.insert(releases.begin(), releases.end());
+        mark_reset_on_failure(newest, [&] {
+            if (sends_usage_of_reported)
+                for (const std::uint64_t id : std::exchange(unsent_usage_, {}))
+                    if (running.contains(id)) newest.report_use(id);
         });
-        while_it_lasts(any, [&] {
-            for (const auto& [id, cause] : repeated) any.release(id, cause);
+        mark_reset_on_failure(newest, [&] {
+            for (const auto& [id, cause] : repeated) newest.release(id, cause);
         });
-        for (const auto& [id, cause] : ends) {
-            SocketPeer& on = set_up_connection(id, any);
-            while_it_lasts(on, [&, task = id, why = cause] { on.release(task, why); });
+        for (const auto& [id, cause] : releases) {
+            SocketPeer& peer = connection_of_attempt(id, newest);
+            mark_reset_on_failure(peer, [&, task = id, why = cause] { peer.release(task, why); });
         }
     }
 
@@ -125,16 +126,16 @@
         std::size_t handled = 0;
     };
 
-    // Where that is gone: `other`. What was ended there before is said again on the next one that is opened.
-    SocketPeer& set_up_connection(std::uint64_t id, SocketPeer& other) const {
-        const auto set_up = set_up_on_.find(id);
-        if (set_up == set_up_on_.end()) return other;
+    // The connection on which the task's attempt arrived; `fallback` if that one is closed.
+    SocketPeer& connection_of_attempt(std::uint64_t id, SocketPeer& fallback) const {
+        const auto attempt = attempt_connections_.find(id);
+        if (attempt == attempt_connections_.end()) return fallback;
         for (const auto& connection : connections_)
-            if (connection->peer.get() == set_up->second) return *connection->peer;
-        return other;
+            if (connection->peer.get() == attempt->second) return *connection->peer;
+        return fallback;
     }
-    // The placer may be killed at any moment.
-    static void while_it_lasts(SocketPeer& peer, const std::function<void()>& action) {
+    // Runs `action`; marks the peer as reset if a send fails, since the placer may be killed at any moment.
+    static void mark_reset_on_failure(SocketPeer& peer, const std::function<void()>& action) {
         try {
             action();
         } catch (const std::runtime_error&) {
@@ -150,16 +151,18 @@
                 ++attempts;
                 if (!answers_attempts) continue;
                 running.insert(message.task);
-                set_up_on_[message.task] = connection.peer.get();
+                attempt_connections_[message.task] = connection.peer.get();
                 connection.peer->answer(message.task, name);
                 connection.peer->report_use(message.task);
             } else if (message.type == MessageType::release) {
                 cancelled.insert(message.task);
-                // An attempt is given up on its own connection; the same id may have been sent again.
+                // `given_up` cancels the attempt of its own connection only: the id may since have been sent
+                // again on another connection.
                 const bool is_given_up = message.cause == platform_codec::Cause::given_up;
-                const auto set_up = set_up_on_.find(message.task);
-                const bool is_other = set_up != set_up_on_.end() && set_up->second != connection.peer.get();
-                if (is_given_up && is_other) continue;
+                const auto attempt = attempt_connections_.find(message.task);
+                const bool is_other_connection =
+                    attempt != attempt_connections_.end() && attempt->second != connection.peer.get();
+                if (is_given_up && is_other_connection) continue;
                 if (running.erase(message.task))
                     connection.peer->release(message.task, platform_codec::Cause::cancelled);
             } else if (message.type == MessageType::health_check) {
@@ -180,18 +183,18 @@
     int port_;
     std::string address_;
     std::vector<std::unique_ptr<Connection>> connections_, silent_connections_;
-    std::set<std::uint64_t> unreported_;
-    std::map<std::uint64_t, const SocketPeer*> set_up_on_;
-    using Ends = std::map<std::uint64_t, platform_codec::Cause>;
-    Ends unsent_ends_, sent_ends_;
+    std::set<std::uint64_t> unsent_usage_;
+    std::map<std::uint64_t, const SocketPeer*> attempt_connections_;
+    using Releases = std::map<std::uint64_t, platform_codec::Cause>;
+    Releases unsent_releases_, sent_releases_;
 };
 
-// The endpoint list, told to whoever watches.
-class ModelDiscovery {
+// Simulated discovery service: sends the events of the endpoint list to every watch.
+class FakeDiscovery {
 public:
     std::string address() const { return listener_.address(); }
-    bool is_silent = false;  // watches stay open and hear nothing
-    // All events so far, as a configuration holds them.
+    bool is_silent = false;  // watches stay open but receive nothing
+    // All events so far, in the form of PlacerProcessOptions::initial_events.
     std::string events_as_json() const {
         std::string list;
         for (const std::string& event : events_) {
@@ -217,12 +220,12 @@
                 watch.close();
                 continue;
             }
-            if (sent_[i].next == 0) greet(watch, sent_[i]);
+            if (sent_[i].next == 0) start_stream(watch, sent_[i]);
             for (; sent_[i].next <= events_.size(); ++sent_[i].next)
                 try_send(watch, events_[sent_[i].next - 1]);
-            if (const Nanos now = read_clock(CLOCK_MONOTONIC); now >= sent_[i].comment_at) {
+            if (const Nanos now = read_clock(CLOCK_MONOTONIC); now >= sent_[i].next_keepalive_at) {
                 try_send(watch, ": here\n\n");
-                sent_[i].comment_at = now + kSecond;
+                sent_[i].next_keepalive_at = now + kSecond;
             }
         }
     }
@@ -230,7 +233,7 @@
 private:
     struct Watch {
         std::size_t next = 0;
-        Nanos comment_at = 0;
+        Nanos next_keepalive_at = 0;
     };
     static void try_send(SocketPeer& watch, const std::string& bytes) {
         try {
@@ -239,7 +242,7 @@
             watch.close();
         }
     }
-    static void greet(SocketPeer& watch, Watch& state) {
+    static void start_stream(SocketPeer& watch, Watch& state) {
         const std::string name = "Last-Event-ID: ";
         const std::size_t at = watch.received_bytes.find(name);
         state.next =
@@ -261,43 +264,44 @@
         options.discovery = discovery.address();
         placer = std::make_unique<PlacerProcess>(std::move(options));
     }
-    // Listed from now on.
-    ModelWorker& add_worker(const std::string& name, bool listed = true) {
-        workers.push_back(std::make_unique<ModelWorker>(name, static_cast<int>(workers.size())));
+    // Starts a worker and, if `listed`, publishes it in the endpoint list.
+    FakeWorker& add_worker(const std::string& name, bool listed = true) {
+        workers.push_back(std::make_unique<FakeWorker>(name, static_cast<int>(workers.size())));
         if (listed) publish(*workers.back());
         return *workers.back();
     }
-    void publish(const ModelWorker& worker, const char* state = "active") {
-        discovery.publish(R"({"host":")" + worker.name + R"(","dial":")" + worker.listed_address +
+    void publish(const FakeWorker& worker, const char* state = "active") {
+        discovery.publish(R"({"host":")" + worker.name + R"(","dial":")" + worker.published_address +
                           R"(","site":"a","class":"std","block":1,"health":")" + state +
                           R"(","share":1,"born_ms":)" + std::to_string(worker.started_at_ms) +
                           R"(,"free":[16,32]})");
     }
-    // Until the front's first health check has passed.
+    // Waits until the placer passes a health check.
     void wait_until_ready() {
         run_until("the placer is healthy", [this] {
-            SocketPeer front = try_connect();
-            if (!front.is_open()) return false;
+            SocketPeer checker = try_connect();
+            if (!checker.is_open()) return false;
             try {
-                front.send_plain(MessageType::health_check, 1);
+                checker.send_plain(MessageType::health_check, 1);
             } catch (const std::runtime_error&) {
-                return false;  // it was reset at once
+                return false;  // the placer reset the connection at once
             }
-            const Nanos give_up = read_clock(CLOCK_MONOTONIC) + kSecond;
-            while (front.received.empty() && read_clock(CLOCK_MONOTONIC) < give_up) {
+            const Nanos deadline = read_clock(CLOCK_MONOTONIC) + kSecond;
+            while (checker.received.empty() && read_clock(CLOCK_MONOTONIC) < deadline) {
                 step();
-                front.read_available();
+                checker.read_available();
             }
-            return !front.received.empty() && front.received[0].cause == platform_codec::Cause::check_passed;
+            return !checker.received.empty() &&
+                   checker.received[0].cause == platform_codec::Cause::check_passed;
         });
     }
-    // Clients are told apart by their address, the last part of which is `host`.
+    // Connects from 127.0.0.`host`: the placer tells clients apart by their address.
     SocketPeer connect_client(int host = 1) {
         SocketPeer client = try_connect(host);
-        require(client.is_open(), "the placer accepts a client");
+        require(client.is_open(), "connect a client to the placer");
         return client;
     }
-    // Not open where nobody listens.
+    // Returns a closed peer if the placer refuses the connection.
     SocketPeer try_connect(int host = 1) {
         SocketPeer peer(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         const sockaddr_in from = loopback(0, INADDR_LOOPBACK - 1 + static_cast<std::uint32_t>(host));
@@ -307,13 +311,13 @@
         if (::connect(peer.descriptor(), reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0) return {};
         return peer;
     }
-    // A client says that a worker runs its task; the worker hears of it as the platform's do.
-    void report_running(SocketPeer& client, ModelWorker& worker, std::uint64_t id,
+    // The client reports to the placer that the worker runs its task, and the worker learns of the report.
+    void report_running(SocketPeer& client, FakeWorker& worker, std::uint64_t id,
                         int time_left_ms = 4'294'967) {
         client.send_bytes(place_task_bytes(id, "free", time_left_ms, ";at:" + worker.name));
-        worker.on_handed_over(id);
+        worker.on_task_reported(id);
     }
-    // The client's task, placed by the placer itself.
+    // Sends a request and waits until the placer has answered that its task runs.
     void place(SocketPeer& client, std::uint64_t id) {
         client.send_bytes(place_task_bytes(id, "free", 5000, ""));
         run_until("a task is placed", [&] {
@@ -321,26 +325,26 @@
             return client.count(MessageType::answer, id) == 1;
         });
     }
-    // Between clients and the placer: all that pass it come from one address, that of clients with host 1.
+    // Adds a proxy between clients and the placer, which sees them all at one address, that of host 1.
     TcpProxy& add_client_proxy() {
         proxies.push_back(std::make_unique<TcpProxy>(kProxyIp, kPlacerIp, port_));
         return *proxies.back();
     }
-    // Between the placer and that worker, which is listed at the proxy's address from now on.
-    TcpProxy& add_worker_proxy(ModelWorker& worker) {
+    // Adds a proxy between the placer and the worker, and publishes the worker at the proxy's address.
+    TcpProxy& add_worker_proxy(FakeWorker& worker) {
         proxies.push_back(std::make_unique<TcpProxy>(kProxyIp, worker.ip(), worker.port()));
-        worker.listed_address = proxies.back()->address();
+        worker.published_address = proxies.back()->address();
         publish(worker);
         return *proxies.back();
     }
-    // Through the proxy.
+    // Connects to the placer through the proxy.
     SocketPeer connect_client(TcpProxy& proxy) {
         TcpProxy::Connection* connection = nullptr;
         SocketPeer peer = try_connect(proxy, connection);
-        require(peer.is_open(), "the placer accepts a client behind the proxy");
+        require(peer.is_open(), "connect a client to the placer through the proxy");
         return peer;
     }
-    // Not open where nobody listens behind the proxy.
+    // Returns a closed peer, and a null `connection`, if the proxy cannot connect to its server.
     static SocketPeer try_connect(TcpProxy& proxy, TcpProxy::Connection*& connection) {
         SocketPeer peer(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
         const sockaddr_in to = loopback(proxy.port(), kProxyIp);
@@ -356,27 +360,28 @@
         for (const auto& proxy : proxies) proxy->step();
         usleep(500);
     }
-    void run_for(Nanos by) {
-        for (const Nanos until = read_clock(CLOCK_MONOTONIC) + by; read_clock(CLOCK_MONOTONIC) < until;)
+    void run_for(Nanos duration) {
+        for (const Nanos until = read_clock(CLOCK_MONOTONIC) + duration; read_clock(CLOCK_MONOTONIC) < until;)
             step();
     }
-    void run_until(const std::string& what, const std::function<bool()>& holds, Nanos limit = 20 * kSecond) {
-        const Nanos give_up = read_clock(CLOCK_MONOTONIC) + limit;
-        while (!holds()) {
-            if (read_clock(CLOCK_MONOTONIC) > give_up)
-                throw std::runtime_error("did not come: " + what + "\n" + placer->log());
+    void run_until(const std::string& what, const std::function<bool()>& condition,
+                   Nanos limit = 20 * kSecond) {
+        const Nanos deadline = read_clock(CLOCK_MONOTONIC) + limit;
+        while (!condition()) {
+            if (read_clock(CLOCK_MONOTONIC) > deadline)
+                throw std::runtime_error("timed out waiting until " + what + "\n" + placer->log());
             step();
         }
     }
-    // How long it took; the limit where it did not come.
-    Nanos time_until(const std::function<bool()>& holds, Nanos limit) {
-        const Nanos began = read_clock(CLOCK_MONOTONIC);
-        while (!holds() && read_clock(CLOCK_MONOTONIC) - began < limit) step();
-        return std::min(limit, read_clock(CLOCK_MONOTONIC) - began);
+    // Returns the time until `condition` returned true, or `limit` if it did not do so in time.
+    Nanos time_until(const std::function<bool()>& condition, Nanos limit) {
+        const Nanos started_at = read_clock(CLOCK_MONOTONIC);
+        while (!condition() && read_clock(CLOCK_MONOTONIC) - started_at < limit) step();
+        return std::min(limit, read_clock(CLOCK_MONOTONIC) - started_at);
     }
 
-    ModelDiscovery discovery;
-    std::vector<std::unique_ptr<ModelWorker>> workers;
+    FakeDiscovery discovery;
+    std::vector<std::unique_ptr<FakeWorker>> workers;
     std::vector<std::unique_ptr<TcpProxy>> proxies;
     std::unique_ptr<PlacerProcess> placer;
 
--- a/tests/support/soak_client.h
+++ b/tests/support/soak_client.h
@@ -1,5 +1,5 @@
-// One client of a soak run: its connections, what it asked for on each, and the tasks that it knows to run.
-// It comes back on another connection where one breaks or falls silent, as real clients do.
+// One client of a soak run: its connections, the open requests on each, and the tasks that it knows to run.
+// It connects again when a connection breaks or stalls, as real clients do.
 #pragma once
 #include <functional>
 #include <map>
@@ -14,29 +14,29 @@
 class SoakClient {
 public:
     struct Options {
-        int host = 1;               // its address, without a proxy
-        TcpProxy* proxy = nullptr;  // else all clients share the proxy's
-        bool acknowledges = true;   // ends of its tasks
-        Nanos deadline = 0;         // of its requests
+        int host = 1;               // last part of its address, without a proxy
+        TcpProxy* proxy = nullptr;  // if set, it connects there and has the proxy's address
+        bool acknowledges = true;   // sends release_ack for each release of its tasks
+        Nanos deadline = 0;         // of its requests, from the send
     };
     struct RunningTask {
-        ModelWorker* worker = nullptr;
-        Nanos over_at = 0, known_since = 0;
+        FakeWorker* worker = nullptr;
+        Nanos ended_at = 0, known_since = 0;
     };
     struct Connection {
         SocketPeer peer;
         TcpProxy::Connection* proxied = nullptr;
-        bool is_faulty = false;  // the network does something to it: what was asked on it is excused
+        bool is_faulty = false;  // a fault was injected: its requests may stay unanswered
         Nanos opened_at = 0;
-        std::map<std::uint64_t, Nanos> requests;  // by id: when it was sent
+        std::map<std::uint64_t, Nanos> requests;  // time of the send, by id
         std::size_t handled = 0;
     };
-    using Violate = std::function<void(const std::string&)>;
+    using ViolationHandler = std::function<void(const std::string&)>;
 
-    SoakClient(ProcessRig& rig, Options options, Violate violate)
-        : rig_(rig), options_(options), violate_(std::move(violate)) {}
+    SoakClient(ProcessRig& rig, Options options, ViolationHandler on_violation)
+        : rig_(rig), options_(options), on_violation_(std::move(on_violation)) {}
 
-    // False where nobody took it.
+    // Returns false if there is no connection or the send fails.
     bool send_request(std::uint64_t id, const std::string& group, int deadline_ms) {
         Connection* connection = usable_connection();
         if (!connection) return false;
@@ -44,12 +44,13 @@
         connection->requests[id] = now();
         return true;
     }
-    // The placer's process was killed just now: what was open is excused.
+    // Handles received messages and checks the open requests. `is_killed`: the placer's process was killed
+    // just now, so a request may be lost with its connection.
     void serve(bool is_killed) {
         for (const auto& connection : connections_) serve(*connection, is_killed);
         std::erase_if(connections_, [](const auto& connection) { return !connection->peer.is_open(); });
     }
-    // What it knows to run is named on a connection of its own.
+    // Reports all tasks that it knows to run on a new connection.
     void report_running() {
         if (running.empty()) return;
         Connection* connection = open();
@@ -57,33 +58,33 @@
         for (auto& [id, task] : running) {
             const std::string name = task.worker ? task.worker->name : "w0";
             if (!send(*connection, place_task_bytes(id, "free", 4'294'967, ";at:" + name))) return;
-            if (task.worker) task.worker->on_handed_over(id);
+            if (task.worker) task.worker->on_task_reported(id);
             task.known_since = now();
         }
     }
-    // Closes its end of all connections, as when its process starts again.
+    // Closes all connections, as a restart of the client's process does.
     void close_all() {
         for (const auto& connection : connections_) connection->peer.close();
         connections_.clear();
     }
-    // A connection without a fault so far, for one; null where there is none.
+    // Returns the oldest open connection without a fault; null if there is none.
     Connection* healthy_connection() {
         for (const auto& connection : connections_)
             if (!connection->is_faulty && connection->peer.is_open()) return connection.get();
         return nullptr;
     }
-    // It takes the connection for dead and asks on another one from now on. The old one stays open.
+    // The client stops using the connection, which stays open, and gives up the requests on it.
     void mark_faulty(Connection& connection) {
         connection.is_faulty = true;
         connection.requests.clear();
     }
-    // Closes those that had a fault.
+    // Closes the connections that are marked as faulty.
     void close_faulty() {
         for (const auto& connection : connections_)
             if (connection->is_faulty) connection->peer.close();
         std::erase_if(connections_, [](const auto& connection) { return connection->is_faulty; });
     }
-    // Since when it has a connection that works; 0: it has none.
+    // Time at which its oldest working connection was opened; 0 if it has none.
     Nanos reachable_since() const {
         Nanos since = 0;
         for (const auto& connection : connections_)
@@ -92,8 +93,8 @@
                 since = connection->opened_at;
         return since;
     }
-    // Opens another connection and says something on it.
-    void come_back(std::uint64_t id, int deadline_ms) {
+    // Opens another connection and sends a request on it.
+    void reconnect(std::uint64_t id, int deadline_ms) {
         Connection* connection = open();
         if (connection && send(*connection, place_task_bytes(id, "free", deadline_ms, "")))
             connection->requests[id] = now();
@@ -101,12 +102,12 @@
     bool acknowledges() const { return options_.acknowledges; }
 
     std::map<std::uint64_t, RunningTask> running;
-    // A task was said to be over that its worker runs, by the placer and not by the worker.
+    // Called when the placer releases a task that its worker still runs, without a release from the worker.
     std::function<void(std::uint64_t id)> on_ended_while_running = [](std::uint64_t) {};
 
 private:
-    static constexpr Nanos kAnswerSlack = 500 * kMillisecond;
-    static constexpr Nanos kCrossing = 50 * kMillisecond;
+    static constexpr Nanos kAnswerTolerance = 500 * kMillisecond;
+    static constexpr Nanos kInFlightTolerance = 50 * kMillisecond;
 
     static Nanos now() { return read_clock(CLOCK_MONOTONIC); }
     static bool send(Connection& connection, const std::string& bytes) {
@@ -114,7 +115,7 @@
             connection.peer.send_bytes(bytes);
             return true;
         } catch (const std::runtime_error&) {
-            return false;  // it broke before a byte left
+            return false;  // the connection broke before the send
         }
     }
     Connection* open() {
@@ -135,15 +136,16 @@
         while (connection.handled < connection.peer.received.size())
             handle(connection, connection.peer.received[connection.handled++]);
         for (const auto& [id, sent_at] : connection.requests)
-            if (now() - sent_at > options_.deadline + kAnswerSlack) {
-                violate_("request " + std::to_string(id) + " has no answer");
+            if (now() - sent_at > options_.deadline + kAnswerTolerance) {
+                on_violation_("request " + std::to_string(id) + " has no answer after its deadline");
                 connection.requests.erase(id);
                 break;
             }
         if (!connection.peer.peer_closed && !connection.peer.was_reset) return;
         for (const auto& [id, sent_at] : connection.requests) {
-            const bool excused = is_killed || connection.is_faulty || now() - sent_at <= kCrossing;
-            if (!excused) violate_("request " + std::to_string(id) + " lost with its connection");
+            const bool is_excused =
+                is_killed || connection.is_faulty || now() - sent_at <= kInFlightTolerance;
+            if (!is_excused) on_violation_("request " + std::to_string(id) + " was lost with its connection");
         }
         connection.requests.clear();
         connection.peer.close();
@@ -151,7 +153,7 @@
     void handle(Connection& connection, const ProtocolPeer::ReceivedMessage& message) {
         const std::uint64_t id = message.task;
         if (message.type == MessageType::answer) {
-            if (!connection.requests.erase(id)) return;  // it was given up with its connection
+            if (!connection.requests.erase(id)) return;  // given up by mark_faulty()
             RunningTask& task = running[id];
             task.known_since = now();
             for (const auto& worker : rig_.workers)
@@ -160,8 +162,9 @@
             connection.requests.erase(id);
             const auto task = running.find(id);
             if (task == running.end()) return;
-            const ModelWorker* worker = task->second.worker;
-            // Only a worker says `ok`; a copy that was cancelled elsewhere may run on for a moment.
+            const FakeWorker* worker = task->second.worker;
+            // `ok` comes only from a worker; another attempt of the task, cancelled on its worker because of
+            // that, may still run for a moment.
             const bool ended_by_worker = message.cause == platform_codec::Cause::ok;
             if (worker && worker->running.contains(id) && !ended_by_worker &&
                 message.type == MessageType::release)
@@ -179,7 +182,7 @@
 
     ProcessRig& rig_;
     const Options options_;
-    const Violate violate_;
+    const ViolationHandler on_violation_;
     std::vector<std::unique_ptr<Connection>> connections_;
 };
 
--- a/tests/system_call_faults_test.cpp
+++ b/tests/system_call_faults_test.cpp
@@ -1,4 +1,4 @@
-// The placer as a process of its own, whose system calls fail in turn and whose wall clock is stepped.
+// A placer's process whose system calls fail and whose wall clock is stepped.
 #include <catch2/catch.hpp>
 #include <cerrno>
 
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr Nanos kWordLimit = kSecond;
+constexpr Nanos kMessageLimit = kSecond;
 
 struct ShimmedRig {
     FaultShim shim;
@@ -18,51 +18,51 @@
 
     static PlacerProcessOptions options(const FaultShim& shim) {
         PlacerProcessOptions options;
-        options.environment = {shim.variable(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
+        options.environment = {shim.environment_entry(), std::string("LD_PRELOAD=") + WHINPOST_FAULT_SHIM,
                                "ASAN_OPTIONS=verify_asan_link_order=0"};
         return options;
     }
 };
 
-bool released(SocketPeer& client, std::uint64_t id) {
+bool is_released(SocketPeer& client, std::uint64_t id) {
     client.read_available();
     return client.count(MessageType::release, id) > 0;
 }
 
 }  // namespace
 
-TEST_CASE("a step of the wall clock ends no running task, and hides no restart of a worker", "[clock]") {
+TEST_CASE("a step of the wall clock releases no running task and hides no worker restart", "[clock]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
-    ModelWorker& worker = rig.add_worker("w1");
-    ModelWorker& steady = rig.add_worker("w2");
+    FakeWorker& worker = rig.add_worker("w1");
+    FakeWorker& steady = rig.add_worker("w2");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
-    worker.run(1);
-    steady.run(2);
+    worker.add_running_task(1);
+    steady.add_running_task(2);
     rig.report_running(client, worker, 1);
     rig.report_running(client, steady, 2);
     rig.run_for(200 * kMillisecond);
     const Nanos step = GENERATE(-3600 * kSecond, -5 * kSecond, 5 * kSecond, 3600 * kSecond);
     shimmed.shim.step_wall_clock(step);
     rig.run_for(200 * kMillisecond);
-    // The machine's clock is the worker's too.
+    // The worker reads the same stepped clock.
     worker.crash();
     worker.start_again();
     worker.started_at_ms += step / kMillisecond;
     rig.publish(worker);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
-    // A task that starts after the step is younger than its worker.
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kMessageLimit) < kMessageLimit);
+    // A task that is placed after the step started after its worker, so it is kept.
     SocketPeer other = rig.connect_client();
     rig.place(other, 3);
     rig.publish(worker);
     rig.publish(steady);
     rig.run_for(500 * kMillisecond);
-    CHECK_FALSE(released(other, 3));
-    CHECK_FALSE(released(client, 2));
+    CHECK_FALSE(is_released(other, 3));
+    CHECK_FALSE(is_released(client, 2));
 }
 
-TEST_CASE("accepting goes on after each error that passes, also while the process ends", "[accept]") {
+TEST_CASE("accepting continues after each transient error, also during shutdown", "[accept]") {
     const int error =
         GENERATE(ECONNABORTED, EINTR, EPROTO, ENETDOWN, EHOSTUNREACH, EMFILE, ENFILE, ENOBUFS, ENOMEM, EPERM);
     const bool ending = GENERATE(false, true);
@@ -73,7 +73,7 @@
     shimmed.shim.fail(ShimmedCall::accept4, error, 3);
     std::vector<SocketPeer> clients;
     if (ending) {
-        // What comes while the process is stopped lies in the backlog when it goes on.
+        // Connections made while the process is stopped are in the listen backlog when it continues.
         rig.placer->kill(SIGTERM);
         rig.run_for(300 * kMillisecond);
         rig.placer->kill(SIGSTOP);
@@ -88,14 +88,14 @@
     }
     const auto all_answered = [&] {
         bool all = true;
-        for (std::size_t i = 0; i < clients.size(); ++i) all = released(clients[i], i + 1) && all;
+        for (std::size_t i = 0; i < clients.size(); ++i) all = is_released(clients[i], i + 1) && all;
         return all;
     };
     CHECK(rig.time_until(all_answered, 3 * kSecond) < 3 * kSecond);
     for (const SocketPeer& client : clients) CHECK_FALSE(client.was_reset);
 }
 
-TEST_CASE("a dial that fails for a reason of this machine ends no running task", "[dial]") {
+TEST_CASE("a connect that fails with a local or network error releases no running task", "[dial]") {
     struct Fault {
         ShimmedCall call;
         int error;
@@ -108,7 +108,7 @@
     CAPTURE(static_cast<int>(fault.call), fault.error);
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
-    ModelWorker& worker = rig.add_worker("w1");
+    FakeWorker& worker = rig.add_worker("w1");
     rig.wait_until_ready();
     SocketPeer client = rig.connect_client();
     rig.place(client, 1);
@@ -118,12 +118,12 @@
     shimmed.shim.fail(fault.call, 0, 0);
     CHECK(shimmed.shim.hits(fault.call) >= 3);
     CHECK(rig.time_until([&] { return worker.connection_count() > 0; }, 3 * kSecond) < 3 * kSecond);
-    CHECK_FALSE(released(client, 1));
+    CHECK_FALSE(is_released(client, 1));
     worker.end_task(1, Cause::ok);
-    CHECK(rig.time_until([&] { return released(client, 1); }, kWordLimit) < kWordLimit);
+    CHECK(rig.time_until([&] { return is_released(client, 1); }, kMessageLimit) < kMessageLimit);
 }
 
-TEST_CASE("interrupted waits and short reads and writes change nothing", "[short]") {
+TEST_CASE("a task is placed and kept despite interrupted waits and short reads and writes", "[short]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
     rig.add_worker("w1");
@@ -143,16 +143,16 @@
         shimmed.shim.fail(fault.call, fault.error, 30);
         rig.place(client, ++id);
         shimmed.shim.fail(fault.call, 0, 0);
-        CHECK_FALSE(released(client, id));
+        CHECK_FALSE(is_released(client, id));
     }
 }
 
-TEST_CASE("a start that lacks resources for a moment comes up", "[short]") {
+TEST_CASE("a placer starts although socket() fails with ENOBUFS at first", "[short]") {
     ShimmedRig shimmed;
     ProcessRig& rig = shimmed.rig;
     rig.wait_until_ready();
     rig.placer->kill(SIGKILL);
-    rig.run_until("its end", [&] { return rig.placer->has_ended(); });
+    rig.run_until("the placer has exited", [&] { return rig.placer->has_ended(); });
     shimmed.shim.fail(ShimmedCall::socket, ENOBUFS, 3);
     rig.placer->restart();
     rig.wait_until_ready();
