--- a/simulation/baseline_planner.cpp
+++ b/simulation/baseline_planner.cpp
@@ -5,7 +5,8 @@
 namespace whinpost::simulation {
 
 namespace {
-constexpr Nanos kAgain = 40 * kMillisecond;  // between two tries, as the planner's own rounds
+constexpr Nanos kAgain =
+    40 * kMillisecond;  // between two attempts to pick a worker; same as the planner's rounds
 }
 
 BaselinePlanner::BaselinePlanner(planner::PlannerHandler& b, BaselinePolicy p, std::uint64_t seed,
--- a/simulation/baseline_planner.h
+++ b/simulation/baseline_planner.h
@@ -1,5 +1,5 @@
-// Placing by simple policies, to measure the planner against in the same rig. Never part of the program: the
-// ledger stands beside them as beside the planner, and they are told no more than it.
+// Simple placement policies to compare the planner with in rehearsals. They use the same ledger and get the
+// same inputs as the planner. The placer program does not contain them.
 #pragma once
 #include <map>
 #include <memory>
@@ -48,7 +48,7 @@
     struct Known {
         EndpointState listed;
         int turns = -1;
-        double own_cores = 0, own_memory = 0;  // asked by this placer's containers there
+        double own_cores = 0, own_memory = 0;  // requested by this placer's tasks on it
     };
     Known* pick(Nanos now, const ResourceRequest&, planner::WorkerNumber& chosen);
     void leave(planner::TaskNumber);
@@ -58,7 +58,7 @@
     std::ranlux24_base chance_;
     std::vector<QueueGroup> groups_;
     RetrySettings launches_;
-    Nanos cold_for_;  // after its start a node that gives turns is sent nothing without one
+    Nanos cold_for_;  // time after a worker's start in which it needs an admission token
     std::map<planner::TaskNumber, Waits> waiting_;
     std::map<planner::TaskNumber, std::pair<planner::WorkerNumber, ResourceRequest>> at_;
     std::vector<Known> nodes_;
--- a/simulation/bundled_scenarios.h
+++ b/simulation/bundled_scenarios.h
@@ -1,4 +1,4 @@
-// The scenarios that come with the program (simulation/scenarios/).
+// The scenarios that are built into the program (from simulation/scenarios/).
 #pragma once
 #include <string>
 #include <vector>
@@ -8,8 +8,8 @@
 struct BundledScenario {
     std::string name, text;
 };
-const std::vector<BundledScenario>& scenarios();  // by name
-const std::vector<BundledScenario>&
-base_scenarios();  // what scenarios may have in common (simulation/scenarios/base/)
+const std::vector<BundledScenario>& scenarios();  // sorted by name
+// The scenarios that others may extend with `like` (from simulation/scenarios/base/).
+const std::vector<BundledScenario>& base_scenarios();
 
 }  // namespace whinpost::simulation
--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -36,7 +36,7 @@
     return static_cast<BaselinePolicy>(at - std::begin(kPolicies));
 }
 
-// One rehearsal from its scenario to its report.
+// Runs one rehearsal and reports on it.
 class Rehearsal {
 public:
     Rehearsal(const RehearsalOptions& options, emulator::Scenario scenario, std::ostream& out,
@@ -77,7 +77,7 @@
 
     int run_on_sockets() {
         if (access(options_.program.c_str(), X_OK) != 0) {
-            err_ << options_.program << ": can't be run (the placer's program; see --program)\n";
+            err_ << "placer program " << options_.program << ": not executable (see --program)\n";
             return kNotRun;
         }
         const std::optional<std::string> dir = log_directory();
@@ -101,29 +101,30 @@
         return status;
     }
 
-    // Where the placers' logs go: a new one if none is named.
+    // Directory for the placers' logs: that of the options, or else a new temporary one.
     std::optional<std::string> log_directory() {
         if (!options_.out.empty()) return options_.out;
         char made[] = "/tmp/whinpost-rehearsal-XXXXXX";
         if (!mkdtemp(made)) {
-            err_ << made << ": can't be made\n";
+            err_ << made << ": can't create a directory for the placers' logs\n";
             return std::nullopt;
         }
         out_ << "  logs are in " << made << std::endl;
         return made;
     }
 
-    // `clean_exits`: how many placers ended as they should.
+    // Prints and writes the report and returns the exit status. `clean_exits`: number of placers that exited
+    // with status 0.
     int finish(const emulator::ScenarioRun& run, const emulator::RunResult& result, std::size_t clean_exits,
                std::optional<std::uint64_t> digest) {
         const RunReport report(run, result, digest);
         out_ << '\n' << to_table(report);
         if (digest) out_ << "digest " << report.digest() << '\n';
         print_violations(run, result);
-        if (result.pending) out_ << "still waiting at the end: " << result.pending << '\n';
+        if (result.pending) out_ << "tasks still waiting at the end: " << result.pending << '\n';
         const bool all_clean = clean_exits == scenario_.placers;
         if (!all_clean)
-            out_ << "placers that ended cleanly when asked: " << clean_exits << " of " << scenario_.placers
+            out_ << "placers that exited cleanly on SIGTERM: " << clean_exits << " of " << scenario_.placers
                  << '\n';
         if (!options_.out.empty()) write_files(report);
         if (!options_.explain.empty()) explain(run);
@@ -140,7 +141,8 @@
 
     void write_files(const RunReport& report) {
         write_report(report, options_.out);
-        if (!draw_plots(options_.out)) out_ << "no plot: gnuplot has not drawn report.gp (see gnuplot.log)\n";
+        if (!draw_plots(options_.out))
+            out_ << "no plot: gnuplot can't be run or failed on report.gp (see gnuplot.log)\n";
         out_ << "report.json, report.png and their data are in " << options_.out << '\n';
     }
 
@@ -158,7 +160,7 @@
     std::ostream& err_;
 };
 
-// The scenario, or nothing and a line in `problems` for each thing that is wrong.
+// Returns the scenario, or nothing after adding a line to `problems` for each error in it.
 std::optional<emulator::Scenario> read_scenario(const RehearsalOptions& options,
                                                 std::vector<std::string>& problems) {
     const auto text = load_scenario(options.scenario);
@@ -202,7 +204,7 @@
     if (options.planner != kOwnPlanner && !policy_of(options.planner))
         problems.push_back("--planner: must be whinpost, random, least_asked or two_choices");
     if (options.sockets && options.planner != kOwnPlanner)
-        problems.push_back("--planner: baselines play in virtual time only");
+        problems.push_back("--planner: the baselines are available in virtual time only");
     for (const std::string& problem : problems) err << problem << '\n';
     if (!problems.empty()) return kNotRun;
     if (options.seed) scenario->seed = options.seed;
--- a/simulation/rehearsal.h
+++ b/simulation/rehearsal.h
@@ -1,4 +1,4 @@
-// A rehearsal: a scenario run in one environment, with its report.
+// Runs a scenario in virtual time or on loopback sockets and reports on it.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -12,14 +12,14 @@
 namespace whinpost::simulation {
 
 struct RehearsalOptions {
-    std::string scenario;    // the name of one that comes with the program, or a file
-    std::uint64_t seed = 0;  // 0: the scenario's own, as the following
+    std::string scenario;    // the name of a bundled scenario, or a file
+    std::uint64_t seed = 0;  // 0: the scenario's own; so also for placers and workers
     std::size_t placers = 0, workers = 0;
-    bool sockets = false;              // else in virtual time
+    bool sockets = false;              // false: virtual time
     std::string planner = "whinpost";  // or a baseline's name, in virtual time only
-    std::string out;                   // a directory for report and logs; empty: nothing is written
-    std::string explain;               // a task or a worker, whose record is printed at the end
-    std::string program;               // the placer's, on sockets
+    std::string out;                   // directory for the report and logs; empty: no report files
+    std::string explain;               // a task or worker whose events are printed at the end
+    std::string program;               // path of the placer's program, used on sockets
     bool quiet = false;
 };
 
@@ -29,15 +29,16 @@
 };
 std::string to_string(const ScenarioLoadError&);
 
-// The scenario's text. Where it says `like = "name"`, the tables of that base that it does not have itself
-// stand after its own, so that its lines keep their numbers.
+// Returns the scenario's text. If it contains `like = "name"`, the tables of that base scenario that it does
+// not define itself are appended, so that the line numbers in error messages stay those of the scenario.
 [[nodiscard]] tl::expected<std::string, ScenarioLoadError> load_scenario(const std::string& name_or_file);
 
-// Runs it, writes progress and report to `out`, and what is wrong to `err`. 0: the rules were kept and all
-// that is expected was met; 1: not; 2: it could not be run.
+// Runs the scenario and writes progress and the report to `out`, errors to `err`. Returns the exit status: 0
+// if no rule was violated, every expectation was met, every placer exited cleanly and no task was left
+// pending; 1 if not; 2 if the scenario could not be run.
 int run_rehearsal(const RehearsalOptions&, std::ostream& out, std::ostream& err);
 
-// In virtual time: runs a scenario and calls `inspect` before all is destroyed.
+// Runs a scenario in virtual time and calls `inspect` while the run and its environment still exist.
 void run_scenario(const emulator::Scenario&, const std::string& planner,
                   const emulator::ScenarioRun::ProgressHandler& progress,
                   const std::function<void(emulator::ScenarioRun&, const emulator::RunResult&,
--- a/simulation/report_plots.cpp
+++ b/simulation/report_plots.cpp
@@ -18,10 +18,10 @@
 void write_file(const std::string& path, const std::string& text) {
     std::ofstream out(path, std::ios::binary);
     out << text;
-    if (!out.flush()) throw std::runtime_error(path + " can't be written");
+    if (!out.flush()) throw std::runtime_error("can't write " + path);
 }
 
-// A row for each second: its time, the share of service of each group and of all.
+// One row per second: the time in seconds, and the share of service of each queue group and of all groups.
 std::string service_data(const RunReport& report) {
     std::ostringstream out;
     for (const emulator::ServiceSample& sample : report.run().samples()) {
@@ -36,7 +36,7 @@
     return out.str();
 }
 
-// A matrix: attempts by worker and second.
+// A matrix of the number of attempts: one row per worker, one column per second.
 std::string attempt_data(const RunReport& report) {
     const auto columns = static_cast<std::size_t>(report.run().scenario().length / kSecond) + 1;
     std::vector<std::vector<int>> rows(report.workers().size(), std::vector<int>(columns, 0));
@@ -57,7 +57,7 @@
     std::ostringstream out;
     out << "set terminal pngcairo size 1100,760 font 'sans,10'\nset output 'report.png'\n"
         << "set multiplot layout 2,1 title '" << scenario.name << ", seed " << scenario.seed << ", "
-        << scenario.placers << " placers, " << scenario.workers << " nodes (stand-ins)'\n"
+        << scenario.placers << " placers, " << scenario.workers << " nodes (emulated)'\n"
         << "set key below\nset yrange [0:1.05]\nset xrange [0:" << seconds(scenario.length)
         << "]\nset ylabel 'share of service'\nset datafile missing '?'\n";
     std::set<std::string> drawn;
@@ -72,7 +72,7 @@
         out << (i ? ", " : "") << "'service.dat' using 1:" << i + 2 << " with lines lw "
             << (i == groups ? 3 : 1) << " title '" << (i < groups ? scenario.groups[i].name : "all") << "'";
     out << "\nunset arrow\nset yrange [-0.5:" << static_cast<double>(report.workers().size()) - 0.5
-        << "]\nset ylabel 'node'\nset xlabel 'seconds'\nset cblabel 'launches a second'\n"
+        << "]\nset ylabel 'node'\nset xlabel 'seconds'\nset cblabel 'launches per second'\n"
         << "plot 'sent.dat' matrix with image notitle\nunset multiplot\n";
     return out.str();
 }
--- a/simulation/report_plots.h
+++ b/simulation/report_plots.h
@@ -1,4 +1,4 @@
-// A run's report as files: report.json, and the data and script of its plots.
+// A run's report as files: report.json, and the data files and gnuplot script of its plots.
 #pragma once
 #include <string>
 
@@ -6,10 +6,11 @@
 
 namespace whinpost::simulation {
 
-// Throws std::runtime_error if a file can't be written.
+// Writes the report's files into `dir`. Throws std::runtime_error if a file can't be written.
 void write_report(const RunReport&, const std::string& dir);
 
-// Runs gnuplot on the files of write_report(). False: nothing was drawn, and gnuplot.log may say why.
+// Runs gnuplot on the files from write_report(). Returns false if gnuplot could not be run or failed; its
+// messages are in gnuplot.log.
 [[nodiscard]] bool draw_plots(const std::string& dir);
 
 }  // namespace whinpost::simulation
--- a/simulation/report_table.cpp
+++ b/simulation/report_table.cpp
@@ -29,7 +29,7 @@
 
 void add_service(std::ostream& out, const RunReport& report) {
     const emulator::Scenario& scenario = report.run().scenario();
-    out << "\nservice over time (share of what was wanted)\n" << pad("from", 8);
+    out << "\nservice over time (share of the service wanted)\n" << pad("from", 8);
     for (const auto& group : scenario.groups) out << pad(group.name, 16);
     out << "all\n";
     const Nanos rounded_up = (scenario.length / kServiceRows + kSecond - 1) / kSecond * kSecond;
@@ -47,20 +47,20 @@
     std::stable_sort(busiest.begin(), busiest.end(), [](const WorkerRow& one, const WorkerRow& other) {
         return one.attempts > other.attempts;
     });
-    out << "\nnodes that were sent the most (of " << busiest.size() << ")\n"
+    out << "\nnodes with the most launches (of " << busiest.size() << ")\n"
         << pad("node", 14) << pad("launches", 10) << pad("accepted", 10) << pad("refused", 10)
         << pad("errors", 8) << "started\n";
     for (std::size_t i = 0; i < busiest.size() && i < kBusiestRows; ++i) {
         const WorkerRow& row = busiest[i];
         out << pad(row.name, 14) << pad(row.attempts, 10) << pad(row.accepted, 10) << pad(row.rejected, 10)
-            << pad(row.errors, 8) << row.started << (row.overloaded ? "  fell over" : "") << '\n';
+            << pad(row.errors, 8) << row.started << (row.overloaded ? "  overloaded" : "") << '\n';
     }
 }
 
 void add_drains(std::ostream& out, const RunReport& report) {
     struct WorkerDrain {
         Nanos first_known_at;
-        Nanos longest_lag = -1;  // -1: no attempt came afterwards
+        Nanos longest_lag = -1;  // -1: no attempt arrived after the drain was known
     };
     std::map<std::string, WorkerDrain> by_worker;
     for (const DrainRow& row : report.drains()) {
@@ -70,7 +70,7 @@
             drain.longest_lag = std::max(drain.longest_lag, row.last_attempt_at - row.known_at);
     }
     if (by_worker.empty()) return;
-    out << "\ndrains\n" << pad("node", 14) << pad("first heard", 14) << "last launch after that\n";
+    out << "\ndrains\n" << pad("node", 14) << pad("first known", 14) << "last launch after that\n";
     std::size_t rows = 0;
     for (const auto& [worker, drain] : by_worker) {
         if (++rows > kDrainRows) break;
@@ -78,8 +78,7 @@
             << (drain.longest_lag < 0 ? "none" : format_number(seconds(drain.longest_lag)) + " s later")
             << '\n';
     }
-    if (by_worker.size() > kDrainRows)
-        out << "... and " << by_worker.size() - kDrainRows << " more in the report\n";
+    if (by_worker.size() > kDrainRows) out << "... and " << by_worker.size() - kDrainRows << " more nodes\n";
 }
 
 void add_expectations(std::ostream& out, const RunReport& report) {
@@ -94,8 +93,7 @@
                 << format_number(seconds(expect.to), 1) << " s";
         if (expect.metric == Metric::recovery_time) out << " to " << format_number(expect.share);
         out << (expect.at_least ? " at least " : " at most ") << format_number(expect.bound) << ": "
-            << (checked.known ? format_number(checked.value) : "this run has nothing to measure it by")
-            << '\n';
+            << (checked.known ? format_number(checked.value) : "no data in this run") << '\n';
     }
 }
 
--- a/simulation/report_table.h
+++ b/simulation/report_table.h
@@ -1,4 +1,4 @@
-// A run's report as tables for people.
+// A run's report as text tables.
 #pragma once
 #include <string>
 
@@ -8,7 +8,7 @@
 
 std::string to_table(const RunReport&);
 
-// A number with so many digits after the point, or "never".
+// Formats a number with `digits` decimal places, and kNever as "never".
 std::string format_number(double value, int digits = 3);
 
 }  // namespace whinpost::simulation
--- a/simulation/run_report.cpp
+++ b/simulation/run_report.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-// Service that recovers for less time has not recovered.
+// Service must stay at the required share for this long to count as recovered.
 constexpr Nanos kRecoveredFor = 3 * kSecond;
 
 double seconds(Nanos time) { return static_cast<double>(time) / 1e9; }
@@ -49,7 +49,7 @@
                        [](const CheckedExpectation& checked) { return checked.met; });
 }
 
-// ---------------------------------------------------------------- reading the record
+// ---------------------------------------------------------------- reading the events
 
 std::size_t RunReport::row_of(const std::string& worker) {
     const auto [it, added] = worker_rows_.emplace(worker, workers_.size());
@@ -68,7 +68,7 @@
 void RunReport::observe_client(const RecordedEvent& event, Nanos at) {
     if (event.kind == EventKind::submitted) {
         TaskHistory& task = tasks_[event.task];
-        if (task.until) return;  // the first time counts
+        if (task.until) return;  // only the first submission counts
         task.group = event.group;
         task.submitted = at;
         task.until = event.until - run_.started_at();
@@ -117,7 +117,7 @@
     if (event.kind == EventKind::task_started) {
         ++workers_[row_of(event.worker)].started;
         std::vector<std::string>& workers = running_[event.task];
-        remove(workers);  // named once
+        remove(workers);  // list each worker once, even if it starts the task again
         workers.push_back(event.worker);
     } else if (event.kind == EventKind::task_stopped) {
         remove(running_[event.task]);
--- a/simulation/run_report.h
+++ b/simulation/run_report.h
@@ -1,5 +1,6 @@
-// What a run came to: measured from what the emulated workers, clients and discovery service saw, and held
-// against what the scenario expects. How it is shown: report_table.h, report_json.h, report_plots.h.
+// The results of a run: measured from the events that the emulated workers, clients and discovery service
+// recorded, and compared with the scenario's expectations. For output see report_table.h, report_json.h and
+// report_plots.h.
 #pragma once
 #include <cstddef>
 #include <cstdint>
@@ -14,13 +15,13 @@
 
 namespace whinpost::simulation {
 
-// Times in all of these count from the begin of the run.
+// All times in these structs are relative to the start of the run.
 
-// One task, from its client's side.
+// One task as its client saw it.
 struct TaskHistory {
     int group = 0;
-    Nanos submitted = 0, until = 0;  // until 0: no client submitted it
-    Nanos placed = 0;                // 0: never, or after its client gave up
+    Nanos submitted = 0, until = 0;  // until: the client's deadline; 0: never submitted by a client
+    Nanos placed = 0;                // 0: never placed, or only after the client's deadline
     int attempts = 0;
 };
 
@@ -30,11 +31,11 @@
     bool overloaded = false;
 };
 
-// One placer's knowledge of one worker's drain.
+// One worker's drain as one placer learned of it.
 struct DrainRow {
     std::string worker, placer;
     Nanos known_at = 0;
-    Nanos last_attempt_at = 0;  // the placer's last attempt that arrived there afterwards; 0: none
+    Nanos last_attempt_at = 0;  // last attempt from the placer that the worker received afterwards; 0: none
 };
 
 struct AttemptRow {
@@ -45,17 +46,17 @@
 
 struct CheckedExpectation {
     emulator::Expectation expect;
-    bool known = true;  // false: this run has nothing to measure it by
+    bool known = true;  // false: the run has no data to measure it
     bool met = false;
     double value = 0;
 };
 
-// A value of Metric::recovery_time: service did not recover.
+// The value of Metric::recovery_time if service did not recover.
 inline constexpr double kNever = std::numeric_limits<double>::infinity();
 
 class RunReport {
 public:
-    // The run must outlive the report. `digest`: of all bytes that were delivered, if it was in virtual time.
+    // The run must outlive the report. `digest`: of all bytes delivered, if the run was in virtual time.
     RunReport(const emulator::ScenarioRun&, const emulator::RunResult&,
               std::optional<std::uint64_t> digest = {});
 
@@ -66,10 +67,10 @@
     const std::vector<AttemptRow>& attempts() const { return attempts_; }
     const std::vector<CheckedExpectation>& expectations() const { return expectations_; }
     bool expectations_met() const;
-    // Sixteen hex digits; empty if there is none.
+    // Sixteen hexadecimal digits; empty if the run had no digest.
     std::string digest() const;
-    // Share of the service that was wanted in [from, to), of a group or of all (-1). Below 0: none was
-    // wanted.
+    // Service delivered in [from, to) as a share of the service wanted, for one queue group or for all (-1).
+    // Negative if none was wanted.
     double service(int group, Nanos from, Nanos to) const;
 
 private:
@@ -104,14 +105,15 @@
     std::vector<AttemptRow> attempts_;
     std::vector<Nanos> wrongly_lost_;
     std::vector<CheckedExpectation> expectations_;
-    // Only while the events are read.
+    // Used only while the constructor reads the events.
     std::map<std::string, std::size_t> worker_rows_;
-    std::map<std::pair<std::string, std::uint64_t>, std::size_t> attempt_rows_;  // by placer, number
+    std::map<std::pair<std::string, std::uint64_t>, std::size_t> attempt_rows_;  // by placer, attempt
     std::map<std::pair<std::string, std::string>, std::size_t> open_drains_;     // by placer, worker
-    std::map<std::string, std::vector<std::string>> running_;                    // by task: its workers
+    std::map<std::string, std::vector<std::string>> running_;  // workers that run it, by task
 };
 
-// All that concerns one worker, a line each.
+// Returns one line for each event of the worker, except its listings as serving. Times are relative to
+// `start`.
 std::vector<std::string> worker_history_of(const emulator::EventLog&, const std::string& worker, Nanos start);
 
 }  // namespace whinpost::simulation
--- a/simulation/scenario_file.cpp
+++ b/simulation/scenario_file.cpp
@@ -1,4 +1,4 @@
-// Loading of scenarios: see rehearsal.h.
+// Loads scenarios and their base scenarios; see load_scenario() in rehearsal.h.
 #include <algorithm>
 #include <fstream>
 #include <iterator>
@@ -15,7 +15,7 @@
 
 constexpr std::string_view kLike = "like = \"";
 
-// The text cut before each line that begins a table; the first part is what stands before any.
+// Splits the text before each line that starts a table. The first part is the text before the first table.
 std::vector<std::string> split_tables(const std::string& text) {
     std::vector<std::string> parts(1);
     for (std::size_t at = 0; at < text.size();) {
@@ -29,7 +29,7 @@
 
 std::string first_line(const std::string& table) { return table.substr(0, table.find('\n')); }
 
-// The name after `like`, or nothing.
+// Returns the name in the line that starts with `like`, or nothing if there is no such line.
 std::optional<std::string> base_name(const std::string& preamble) {
     std::size_t at = 0;
     if (preamble.rfind(kLike, 0) != 0) {
@@ -63,9 +63,9 @@
 std::string to_string(const ScenarioLoadError& error) {
     switch (error.kind) {
         case ScenarioLoadError::Kind::unknown_scenario:
-            return error.name + ": no scenario of that name, and no file that can be read (see --list)";
+            return error.name + ": neither a bundled scenario (see --list) nor a readable file";
         case ScenarioLoadError::Kind::unknown_base:
-            return "like: there is no base \"" + error.name + "\"";
+            return "like: unknown base scenario \"" + error.name + "\"";
     }
     return "";
 }
--- a/simulation/scenario_generator.cpp
+++ b/simulation/scenario_generator.cpp
@@ -20,9 +20,10 @@
           chance_(static_cast<std::ranlux24_base::result_type>(seed * 2654435761u + 17)) {}
 
     std::string text() {
-        std::string whole = fleet();  // first: the load is drawn for it
+        std::string whole = fleet();  // first: the load depends on the fleet's size
         whole += groups();
-        // Faults are drawn one by one; one that makes no sense beside the earlier ones is drawn again.
+        // A fault that the parser rejects, alone or together with the earlier ones, is discarded and
+        // replaced.
         const int wanted = 2 + roll(big_ ? 4 : 3);
         for (int have = 0, tried = 0; have < wanted && tried < 60; ++tried) {
             const std::string with = whole + fault();
@@ -31,7 +32,7 @@
             ++have;
         }
         if (const auto drawn = emulator::parse_scenario(whole, "drawn"); !drawn)
-            throw std::logic_error("a drawn scenario can't be read: " + to_string(drawn.error().at(0)));
+            throw std::logic_error("generated scenario is invalid: " + to_string(drawn.error().at(0)));
         return whole;
     }
 
@@ -52,7 +53,7 @@
         multiple_ = part(1, 3);
         yes_on_running_ = luck(0.3);
         std::ostringstream t;
-        t << "# Drawn from ranges with seed " << seed_ << ".\n[day]\nname = \"drawn-" << seed_
+        t << "# Generated from seed " << seed_ << ".\n[day]\nname = \"drawn-" << seed_
           << "\"\nlength_s = " << length_ << "\nseed = " << 1 + seed_ % 1'000'000'007
           << "\nplacers = " << placers_ << "\nowners = " << between(1, 5) << "\nlist_pushes = " << yes(0.6)
           << "\nlist_late_ms = " << between(50, 3000) << "\nlean = " << (luck(0.25) ? part(0.3, 0.95) : 0)
@@ -89,7 +90,7 @@
         const char* spreads[] = {"machine", "cell"};
         std::ostringstream t;
         const int count = between(1, 3);
-        // Room for so many containers of a core and a half and their mean life.
+        // Load as a share of the fleet's capacity. A task needs 1.5 cores on average.
         const double fill = part(0.3, 1.2);
         for (int g = 0; g < count; ++g) {
             const int effect = g == 0 ? 0 : between(1, 2);
@@ -114,7 +115,7 @@
         return t.str();
     }
 
-    // Starts a [[fault]] of that kind.
+    // Writes the kind of the fault and, if `lasts`, its duration.
     void begin_fault(std::ostream& out, const char* word, bool lasts) {
         out << "do = \"" << word << "\"\n";
         if (lasts) out << "for_s = " << std::min(fault_duration_, length_ - fault_at_) << '\n';
@@ -165,12 +166,12 @@
         return names[static_cast<std::size_t>(roll(static_cast<int>(names.size())))];
     }
 
-    // A fault of a word, perhaps a size, and at most a part of the workers.
+    // A fault that needs no settings but an optional size and an optional range of workers.
     struct SimpleFault {
         const char* word;
         bool lasts;
-        double least_size, most_size;  // both 0: it has no size
-        int worker_part;               // one in so many at most; 0: it is not for workers
+        double least_size, most_size;  // both 0: no size is written
+        int worker_part;               // at most 1/worker_part of the workers; 0: no range is written
     };
 
     void add_simple(std::ostream& out, const SimpleFault& fault) {
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::size_t kPlacersPerSubnet = 250;
-// Stands for the discovery service in the placers' files, which take IP addresses only.
+// The discovery service's address in the placers' configuration files, which accept IP addresses only.
 constexpr const char* kDiscoveryIpAddress = "10.255.0.1:1";
 constexpr int kLongestRun = 24 * 3600;  // seconds
 
@@ -36,7 +36,8 @@
     return *process;
 }
 
-// The simulated network takes any text for a host, but a placer's file takes IP addresses only.
+// The simulated network accepts any text as a host, but a placer's configuration file accepts IP addresses
+// only.
 std::string SimulatedEnvironment::placer_address(std::size_t placer) {
     return "10.0." + std::to_string(placer / kPlacersPerSubnet) + "." +
            std::to_string(placer % kPlacersPerSubnet + 1) + ":7400";
@@ -94,7 +95,7 @@
     });
     if (!started) throw std::runtime_error(to_string(started.error()));
     for (int second = 0; !done && second < kLongestRun; ++second) network.run_until(network.now() + kSecond);
-    if (!done) throw std::runtime_error("the day does not end");
+    if (!done) throw std::runtime_error("the scenario has not ended after 24 hours of virtual time");
     return result;
 }
 
--- a/simulation/simulated_environment.h
+++ b/simulation/simulated_environment.h
@@ -1,4 +1,5 @@
-// A scenario in virtual time: every worker and placer is a process of its own on the simulated network.
+// Runs a scenario in virtual time: each worker and each placer is a separate process on the simulated
+// network.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -33,9 +34,9 @@
     void on_worker_killed(const std::string& worker) override;
     bool cut(const std::string& worker, bool input, bool output) override;
 
-    // For tests: called with each placer before it starts, which may give it another planner.
+    // For tests: called with each placer before it starts, for example to replace its planner.
     std::function<void(std::size_t, apps::EmbeddedPlacer&)> on_placer_made;
-    // For tests: makes another ledger than the program's.
+    // For tests: replaces the factory of the placers' ledgers.
     apps::LedgerFactory make_ledger;
 
 private:
@@ -48,10 +49,11 @@
     std::uint64_t incarnations_ = 0;
 };
 
-// Of the network that the scenario asks for.
+// The network delays that the scenario's [network] table sets.
 NetworkDelays network_delays(const emulator::Scenario&);
 
-// Runs a scenario to its end. Throws std::runtime_error if it can't start or does not end.
+// Runs a scenario to its end. Throws std::runtime_error if it can't start or has not ended after 24 hours of
+// virtual time.
 emulator::RunResult run_to_end(SimulatedNetwork&, emulator::ScenarioRun&);
 
 }  // namespace whinpost::simulation
--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -16,8 +16,8 @@
       delays_(delays) {}
 
 SimulatedNetwork::~SimulatedNetwork() {
-    // What stalled processes and the queue still hold refers to processes, and may own streams whose peer's
-    // process would else be destroyed first.
+    // Pending callbacks refer to processes and may own streams, which use their peer's process when they are
+    // destroyed. They must go before the first process does.
     for (const auto& process : processes_) process->stalled_events_.clear();
     while (!queue_.empty()) queue_.pop();
 }
@@ -57,7 +57,7 @@
     for (const char byte : bytes) digest_ = (digest_ ^ static_cast<unsigned char>(byte)) * kFnvPrime;
 }
 
-// ---------------------------------------------------------------- ways between hosts
+// ---------------------------------------------------------------- connectivity between hosts
 
 SimulatedListener* SimulatedNetwork::find_listener(const std::string& address) const {
     const auto it = listeners_.find(address);
@@ -126,7 +126,7 @@
 void SimulatedNetwork::cut_host(const std::string& host, bool in, bool out) {
     if (in || out) host_cuts_[host] = {in, out};
     else host_cuts_.erase(host);
-    continue_after_cut();  // what may pass now passes
+    continue_after_cut();  // delivers the bytes that the new setting lets through
 }
 
 void SimulatedNetwork::slow(const std::string& host, Nanos more) { added_delays_[host] = more; }
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -1,7 +1,7 @@
-// A network, clocks and processes in virtual time: the same server, planner, ledger and emulator as on real
-// sockets, run many times faster than real time and the same way each time from one seed. What happens here:
-// delay, cuts in one direction or both, half-open connections, peers that do not read, processes that stand
-// still, kills at any step.
+// A network, clocks and processes in virtual time. The server, planner, ledger and emulator are the same as
+// on real sockets, but run many times faster than real time, and identically for the same seed. Supported
+// faults: delays, cuts in one or both directions, half-open connections, peers that do not read, stalled
+// processes, and kills between any two events.
 #pragma once
 #include <cstdint>
 #include <functional>
@@ -22,9 +22,9 @@
 namespace whinpost::simulation {
 
 struct NetworkDelays {
-    Nanos least = 200 * kMicrosecond;   // one way
-    Nanos spread = 300 * kMicrosecond;  // up to so much more, drawn for each chunk of bytes
-    double late_share = 0;              // of all chunks, those that are later by up to `late`
+    Nanos least = 200 * kMicrosecond;   // minimum one-way delay
+    Nanos spread = 300 * kMicrosecond;  // maximum random delay added to each chunk of bytes
+    double late_share = 0;              // share of the chunks that are delayed by up to `late` more
     Nanos late = 0;
 };
 
@@ -35,27 +35,35 @@
     SimulatedNetwork(const SimulatedNetwork&) = delete;
     SimulatedNetwork& operator=(const SimulatedNetwork&) = delete;
 
-    // A host is the part of an address before the colon. Several processes may run on one host. Lives as long
-    // as the network.
+    // Creates a process, which lives as long as the network. The host is the part of an address before the
+    // colon; several processes may run on one host.
     SimulatedProcess& process(std::string host, int zone = 0);
 
     // ---- faults
-    // As by SIGKILL: its peers see a reset. Whatever uses the process is to be destroyed afterwards.
+    // Like SIGKILL: the peers' connections are reset. The caller destroys the objects that use the process.
     void kill(SimulatedProcess&);
-    void vanish(SimulatedProcess&);  // as by a pulled plug: its peers keep half-open connections
-    void stall(SimulatedProcess&);   // nothing of it runs; its kernel still takes bytes
-    void resume(SimulatedProcess&);  // all that came meanwhile happens now, in its order
-    void cut(const std::string& from, const std::string& to, bool on);  // one way, silent: bytes wait
-    void cut_zone(int zone, bool on);                                   // from all others, both ways
-    // From all others: nothing arrives at it, nothing that it sends arrives anywhere; bytes wait.
+    // Like a power failure: the peers keep half-open connections.
+    void vanish(SimulatedProcess&);
+    // Like SIGSTOP: no event of the process runs, but its kernel still receives bytes.
+    void stall(SimulatedProcess&);
+    // Ends the stall: the events that became due meanwhile run now, in their order.
+    void resume(SimulatedProcess&);
+    // Holds back all bytes from one host to another, without an error at either end. `on` false ends the cut
+    // and delivers them.
+    void cut(const std::string& from, const std::string& to, bool on);
+    // Cuts the zone off from all other zones, in both directions.
+    void cut_zone(int zone, bool on);
+    // Holds back all bytes to the host (`in`) and from it (`out`). Both false ends the cut.
     void cut_host(const std::string& host, bool in, bool out);
-    void slow(const std::string& host, Nanos more);  // delay, each way
+    // Adds a delay to all bytes to and from the host.
+    void slow(const std::string& host, Nanos more);
 
     Nanos now() const { return now_; }
-    void schedule(Nanos when, std::function<void()>);  // of no process: no stall holds it up
+    // Schedules a callback that belongs to no process, so that no stall or kill affects it.
+    void schedule(Nanos when, std::function<void()>);
     void run_until(Nanos);
     std::uint64_t steps() const { return steps_; }
-    // Of all bytes that were received, in their order: the same for runs that are the same.
+    // Digest of all bytes received, in order. Identical runs have the same digest.
     std::uint64_t digest() const { return digest_; }
 
 private:
@@ -66,7 +74,7 @@
     struct Event {
         Nanos at;
         std::uint64_t number;       // orders events of the same time
-        SimulatedProcess* process;  // null: of no process
+        SimulatedProcess* process;  // null: belongs to no process
         std::function<void()> callback;
         bool operator>(const Event& other) const {
             return std::tie(at, number) > std::tie(other.at, other.number);
@@ -83,7 +91,7 @@
     Nanos delay(const SimulatedProcess& from, const SimulatedProcess& to);
     Nanos draw_up_to(Nanos most);
     void continue_after_cut();
-    // Null: nobody listens there, or its process is dead.
+    // Returns null if no process listens on the address or the process is dead.
     SimulatedListener* find_listener(const std::string& address) const;
     void add_to_digest(std::string_view bytes);
 
--- a/simulation/simulated_process.cpp
+++ b/simulation/simulated_process.cpp
@@ -35,16 +35,17 @@
     }
     const SimulatedListener* listener = network_.find_listener(address);
     if (!listener) {
-        // Refused after the way there and back, unless no message comes through at all.
+        // Refused after a round trip. If the way to the host is cut, the dial hangs until the caller's
+        // timeout.
         if (!network_.cuts_.contains({host_, host_of(address)}))
             fail_dial(near, network_.now_ + network_.delays_.least * 2, net::CloseReason::refused);
         return stream;
     }
     const SimulatedProcess& server = listener->process_;
-    // Hangs where either way is cut: the caller's own timeout ends it.
+    // If either direction is cut, the dial hangs until the caller's timeout.
     if (network_.blocked(*this, server) || network_.blocked(server, *this)) return stream;
     const Nanos arrival = network_.now_ + network_.delay(*this, server);
-    // The kernel answers for the listener: a process that is stalled has its connections made all the same.
+    // The kernel completes the connection, so that a dial to a stalled process succeeds.
     network_.post(arrival, nullptr,
                   [this, near, address, arrival] { on_dial_arrived(near, address, arrival); });
     return stream;
@@ -65,14 +66,14 @@
         std::make_unique<SimulatedStream>(server, host_ + ":" + std::to_string(network_.next_port_++));
     accepted->other_ = near;
     (*near)->other_ = accepted->self_;
-    // Nothing arrives on a connection before it is made.
+    // No bytes may arrive before the connection is established.
     (*near)->arrives_at_ = at + network_.delay(server, *this);
     network_.post((*near)->arrives_at_, this, [this, near] { on_dial_answered(near); });
     auto holder = std::make_shared<std::unique_ptr<SimulatedStream>>(std::move(accepted));
     network_.post(at, &server, [this, holder, address] {
         const auto it = network_.listeners_.find(address);
         if (it == network_.listeners_.end()) return;
-        // Without a descriptor it is dropped, and the peer sees it closed.
+        // Without a free descriptor the connection is dropped, and the peer sees it closed.
         if (it->second->process_.descriptors_left_ < 0) return;
         it->second->handler_(std::move(*holder));
     });
--- a/simulation/simulated_process.h
+++ b/simulation/simulated_process.h
@@ -1,4 +1,4 @@
-// A process in virtual time: an event loop of its own on a host of the simulated network.
+// A process in virtual time: an event loop on a host of the simulated network.
 #pragma once
 #include <algorithm>
 #include <functional>
@@ -16,7 +16,7 @@
 
 class SimulatedProcess final : public net::EventLoop {
 public:
-    // Made by SimulatedNetwork::process().
+    // Called by SimulatedNetwork::process().
     SimulatedProcess(SimulatedNetwork&, std::string host, int zone);
 
     Nanos now() const override;
@@ -32,7 +32,7 @@
     bool stopped() const { return stopped_; }
     bool alive() const { return alive_; }
     const std::string& host() const { return host_; }
-    void files(int left) { descriptors_left_ = left; }  // how many it may still open
+    void files(int left) { descriptors_left_ = left; }  // sets how many descriptors it may still open
 
 private:
     friend class SimulatedNetwork;
@@ -42,7 +42,7 @@
     using StreamHandle = std::shared_ptr<SimulatedStream*>;
 
     void fail_dial(const StreamHandle&, Nanos at, net::CloseReason);
-    // The dial has reached the listener's host at that time.
+    // Called when the connection request reaches the listener's host, at time `at`.
     void on_dial_arrived(const StreamHandle&, const std::string& address, Nanos at);
     void on_dial_answered(const StreamHandle&);
 
@@ -51,7 +51,7 @@
     int zone_;
     bool stalled_ = false;
     Nanos stalled_at_ = 0, resumed_at_ = 0;
-    std::vector<std::function<void()>> stalled_events_;  // what came while it was stalled
+    std::vector<std::function<void()>> stalled_events_;  // events that became due while it was stalled
     bool stopped_ = false, alive_ = true;
     int descriptors_left_ = 1 << 20;
     std::vector<SimulatedStream*> streams_;
--- a/simulation/simulated_stream.cpp
+++ b/simulation/simulated_stream.cpp
@@ -6,8 +6,8 @@
 namespace whinpost::simulation {
 
 namespace {
-// What one direction of a connection holds in the kernels' buffers: about a socket's usual send and receive
-// buffers.
+// Bytes that the kernels' buffers hold for one direction of a connection: about the default sizes of a
+// socket's send and receive buffers together.
 constexpr std::size_t kWindow = 256 << 10;
 }  // namespace
 
@@ -77,9 +77,9 @@
 void SimulatedStream::deliver_close() {
     if (!pending_close_) return;
     const net::CloseReason reason = *pending_close_;
-    // An end is met once all before it was read.
+    // The end of the stream is reported after all bytes before it have been read.
     if (reason == net::CloseReason::by_peer && (!reading_ || !incoming_.empty())) return;
-    if (process_.network_.blocked_in(*this)) return;  // it comes when the cut has healed
+    if (process_.network_.blocked_in(*this)) return;  // it is delivered when the cut ends
     pending_close_.reset();
     broken_ = true;
     const bool other_still_open = other_end() && other_end()->end_sent_;
@@ -142,7 +142,7 @@
         input_.erase(0, consumed);
         if (!reading_ || broken_) break;
     }
-    if (other && other_end()) {  // there is room in the window again
+    if (other && other_end()) {  // the window has room again
         network.post(network.now() + network.delay(process_, other->process_), &other->process_,
                      [to = other_] {
                          if (*to) (*to)->hand_over();
--- a/simulation/simulated_stream.h
+++ b/simulation/simulated_stream.h
@@ -1,4 +1,4 @@
-// Private to simulated_network: the streams, listeners and timers of simulated processes.
+// The streams, listeners and timers of simulated processes. Internal to the simulated network.
 #pragma once
 #include <cstdint>
 #include <deque>
@@ -12,10 +12,11 @@
 
 namespace whinpost::simulation {
 
-// The part of an address before its port.
+// Returns the part of an address before its port.
 inline std::string host_of(const std::string& address) { return address.substr(0, address.rfind(':')); }
 
-// One end of a connection. Each end holds the other's handle, which is null once that is destroyed.
+// One end of a connection. Each end holds the other's handle, which is set to null when that end is
+// destroyed.
 class SimulatedStream final : public net::Stream {
 public:
     using Handle = std::shared_ptr<SimulatedStream*>;
@@ -40,17 +41,17 @@
     friend class SimulatedNetwork;
 
     SimulatedStream* other_end() const { return other_ ? *other_ : nullptr; }
-    // Sends the end of this direction once all that was written has been handed over.
+    // Closes this direction of the connection once all written bytes have been handed over.
     void send_end();
-    // Tells the other end that this one is closed, after all that was handed over has arrived.
+    // Schedules the close event of the other end, after the arrival of all bytes handed over to it.
     void close_other(net::CloseReason);
     void deliver_close();
-    // Moves what the other end's window takes from here on its way there.
+    // Sends as much of the output as the other end's window has room for.
     void hand_over();
     void send_chunk(SimulatedStream& other, std::size_t size);
     void notify_drained();
     void schedule_delivery();
-    // Gives the handler what has arrived.
+    // Passes the bytes that have arrived to the handler.
     void deliver();
 
     SimulatedProcess& process_;
@@ -63,7 +64,7 @@
     std::size_t incoming_bytes_ = 0;
     std::uint64_t written_ = 0;
     Nanos arrives_at_ = 0, closes_at_ = 0;
-    std::optional<net::CloseReason> pending_close_;  // on its way from the other end
+    std::optional<net::CloseReason> pending_close_;  // sent by the other end, not delivered yet
     bool reading_ = true, connecting_ = false, broken_ = false;
     bool drain_notice_pending_ = false;
     bool write_shut_down_ = false, end_sent_ = false;
@@ -77,7 +78,7 @@
     SimulatedListener& operator=(const SimulatedListener&) = delete;
 
     std::string address() const override { return address_; }
-    bool accept_pending() override { return true; }  // each connection is handed on as it arrives
+    bool accept_pending() override { return true; }  // connections are accepted when they arrive
 
 private:
     friend class SimulatedProcess;
@@ -97,10 +98,10 @@
     void disarm() override { ++state_->generation; }
 
 private:
-    // Outlives the timer in the events that it has posted.
+    // Shared with the events that the timer has posted, which may outlive it.
     struct State {
         std::function<void()> callback;
-        std::uint64_t generation = 0;  // an event of an earlier one does nothing
+        std::uint64_t generation = 0;  // an event of an earlier generation does nothing
     };
     SimulatedProcess& process_;
     std::shared_ptr<State> state_;
--- a/simulation/socket_environment.cpp
+++ b/simulation/socket_environment.cpp
@@ -16,7 +16,7 @@
 namespace {
 
 constexpr int kMaxDescriptors = 4096;
-constexpr int kExecFailed = 127;  // as a shell's
+constexpr int kExecFailed = 127;  // as a shell reports a command that it can't run
 
 std::runtime_error system_error(const char* call) {
     return std::runtime_error(std::string(call) + ": " + std::strerror(errno));
@@ -28,11 +28,12 @@
                                      std::size_t placers)
     : loop_(loop), program_(std::move(program)), dir_(std::move(dir)), addresses_(placers),
       children_(placers, 0) {
-    // A restarted placer must be found where it was: its port is chosen once. Each is reserved until its
-    // placer starts: let go before, it was given to a worker that asked for any port, and clients met that.
+    // Ports are chosen once, since a restarted placer must listen on the same one. Each port stays reserved
+    // until its placer starts: if it were free, the kernel could give it to a worker that listens on port 0,
+    // and clients would connect to that worker.
     for (std::string& address : addresses_) {
         auto listener = loop.listen("127.0.0.1:0", [](std::unique_ptr<net::Stream>) {});
-        if (!listener) throw std::runtime_error("no port can be had: " + to_string(listener.error()));
+        if (!listener) throw std::runtime_error("no free port on 127.0.0.1: " + to_string(listener.error()));
         reserved_ports_.push_back(std::move(*listener));
         address = reserved_ports_.back()->address();
     }
@@ -50,8 +51,8 @@
 }
 
 pid_t SocketEnvironment::fork_placer(const std::string& configuration_path, const std::string& log_path) {
-    // Until the child has started its program it holds copies of all ports that are still reserved: the next
-    // placer would find its own in use. The pipe closes when it has.
+    // Until its exec() the child holds copies of all sockets that reserve ports, and the next placer would
+    // find its port in use. The pipe closes at exec(), so reading from it waits for that.
     int started[2];
     if (pipe2(started, O_CLOEXEC) != 0) throw system_error("pipe");
     const pid_t child = fork();
@@ -73,7 +74,7 @@
         dup2(log, STDERR_FILENO);
     }
     for (int fd = STDERR_FILENO + 1; fd < kMaxDescriptors; ++fd)
-        if (fd != started_pipe) close(fd);  // the emulator's sockets are not the child's
+        if (fd != started_pipe) close(fd);  // the child must not hold the emulator's sockets
     execl(program_.c_str(), program_.c_str(), "run", configuration_path.c_str(), static_cast<char*>(nullptr));
     _exit(kExecFailed);
 }
--- a/simulation/socket_environment.h
+++ b/simulation/socket_environment.h
@@ -1,5 +1,5 @@
-// A scenario on loopback sockets: workers, clients and discovery service in this process, each placer a child
-// of it.
+// Runs a scenario on loopback sockets: workers, clients and discovery service in this process, each placer in
+// a child process.
 #pragma once
 #include <sys/types.h>
 
@@ -14,8 +14,8 @@
 
 class SocketEnvironment final : public emulator::TestEnvironment {
 public:
-    // `program`: the placer's. `dir`: where placers' files and logs go. The loop must outlive the
-    // environment. Throws std::runtime_error if no port can be had.
+    // `program`: path of the placer's program. `dir`: directory for the placers' configuration and log files.
+    // The loop must outlive the environment. Throws std::runtime_error if no free port is available.
     SocketEnvironment(net::LibeventLoop&, std::string program, std::string dir, std::size_t placers);
     ~SocketEnvironment() override;
 
@@ -28,20 +28,20 @@
     void start_placer(std::size_t placer, const std::string& configuration) override;
     void kill_placer(std::size_t placer) override;
     void stall_placer(std::size_t placer, bool stalled) override;
-    // Asks all to end, waits for them, and returns how many did so cleanly.
+    // Sends SIGTERM to all placers, waits for them, and returns how many exited with status 0.
     std::size_t end_all();
 
 private:
     pid_t fork_placer(const std::string& configuration_path, const std::string& log_path);
-    // Does not return.
+    // Runs in the child process: replaces it with the placer's program.
     [[noreturn]] void exec_placer(const std::string& configuration_path, const std::string& log_path,
                                   int started_pipe);
 
     net::LibeventLoop& loop_;
     std::string program_, dir_;
     std::vector<std::string> addresses_;
-    std::vector<std::unique_ptr<net::Listener>> reserved_ports_;  // until the placer of that address starts
-    std::vector<pid_t> children_;                                 // 0: not running
+    std::vector<std::unique_ptr<net::Listener>> reserved_ports_;  // by placer, each until that placer starts
+    std::vector<pid_t> children_;                                 // by placer; 0: not running
 };
 
 }  // namespace whinpost::simulation
