--- a/bench/load.cpp
+++ b/bench/load.cpp
@@ -1,6 +1,6 @@
-// Open-loop load on one real placer over loopback sockets, with nodes that cost next to nothing: what a
-// placing takes. Latency counts from when a container was due, not from when it was sent. Not a test: nothing
-// here has a verdict.
+// Measures the latency of placements with open-loop load on one real placer over loopback sockets. The
+// workers do almost no work. Latency counts from the time at which a task was due, not from when it was sent.
+// Prints figures only; it does not judge them.
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/wait.h>
@@ -30,7 +30,8 @@
 
 using namespace whinpost;
 
-// Microseconds, 1 to 10 s, a hundred buckets for each power of ten: 2.3% wide.
+// A histogram of durations in microseconds from 1 us to 10 s, with a hundred buckets of 2.3% width per
+// decade.
 class Latency {
 public:
     Latency()
@@ -107,15 +108,15 @@
     std::ranlux24_base chance{7};
     Nanos begun = 0, next_due = 0;
     std::uint64_t next_id = 1, offered = 0, placed = 0, deferred = 0, killed = 0, launches = 0;
-    std::unordered_map<std::uint64_t, Nanos> due;        // by id
-    std::unordered_map<std::string, std::uint64_t> ids;  // by container, until the first launch
-    std::unordered_map<std::uint64_t, Nanos> yes;        // by id: when the node said so
+    std::unordered_map<std::uint64_t, Nanos> due;        // when each task was due, by id
+    std::unordered_map<std::string, std::uint64_t> ids;  // request id by task name, until its first attempt
+    std::unordered_map<std::uint64_t, Nanos> yes;        // when the worker accepted it, by id
     struct Ending {
         Nanos at;
         LightNode* node;
         std::uint64_t launch;
     };
-    std::deque<Ending> ends;  // one life for all: in order
+    std::deque<Ending> ends;  // in order of time: all tasks run equally long
     Latency to_bind, to_answer, late_by;
     pid_t child = 0;
     double cpu_s = -1, cpu_begun = 0, memory_mib = 0;
@@ -225,7 +226,7 @@
 }
 void OwnerEnd::on_closed(net::CloseReason) {
     stream.reset();
-    if (!up) {  // the placer is not there yet
+    if (!up) {  // the placer does not listen yet
         rig.pulse = rig.loop.make_timer([this] { rig.pump(); });
         rig.pulse->arm(rig.loop.now() + 50 * kMillisecond);
     }
@@ -238,7 +239,7 @@
         if (m.has_hello()) {
             up = true;
             rig.pulse = rig.loop.make_timer([this] { rig.pump(); });
-            rig.pulse->arm(rig.loop.now() + kSecond);  // the nodes are dialled meanwhile
+            rig.pulse->arm(rig.loop.now() + kSecond);  // time for the placer to connect to the workers
         } else if (m.has_placed()) {
             ++rig.placed;
             if (const auto it = rig.yes.find(m.placed().id()); it != rig.yes.end()) {
@@ -319,11 +320,11 @@
     double seconds = 10, warm = 2;
     std::string program = (std::filesystem::path(argv[0]).parent_path() / "../apps/whinpost").string(),
                 log = "off";
-    app.add_option("--rate", rig.rate, "Containers a second")->capture_default_str();
+    app.add_option("--rate", rig.rate, "Tasks per second")->capture_default_str();
     app.add_option("--nodes", nodes)->capture_default_str();
     app.add_option("--seconds", seconds)->capture_default_str();
-    app.add_option("--warm", warm, "Seconds at the start that are not counted")->capture_default_str();
-    app.add_option("--life", rig.life_s, "Seconds that each container runs")->capture_default_str();
+    app.add_option("--warm", warm, "Seconds at the start that are not measured")->capture_default_str();
+    app.add_option("--life", rig.life_s, "Seconds that each task runs")->capture_default_str();
     app.add_option("--services", rig.services)->capture_default_str();
     app.add_option("--program", program, "The placer's program")->capture_default_str();
     app.add_option("--log", log, "The placer's log level")->capture_default_str();
@@ -339,7 +340,7 @@
             rig.loop.attach(*n.stream, n);
         });
         if (!listener) {
-            std::cerr << "no port can be had: " << to_string(listener.error()) << '\n';
+            std::cerr << "no free port on 127.0.0.1: " << to_string(listener.error()) << '\n';
             return 2;
         }
         n.listener = std::move(*listener);
@@ -379,19 +380,19 @@
     waitpid(rig.child, &status, 0);
     unlink(file);
     std::printf(
-        "%.0f containers a second on %zu nodes for %.0f s, the first %.0f not counted; life %.1f s, %d "
+        "%.0f tasks per second on %zu nodes for %.0f s, the first %.0f not measured; runtime %.1f s, %d "
         "services\n",
         rig.rate, nodes, seconds, warm, rig.life_s, rig.services);
-    std::printf("offered %llu, placed %llu, deferred %llu, killed %llu, launches %llu\n",
+    std::printf("submitted %llu, placed %llu, rejected %llu, failed %llu, attempts %llu\n",
                 static_cast<unsigned long long>(rig.offered), static_cast<unsigned long long>(rig.placed),
                 static_cast<unsigned long long>(rig.deferred), static_cast<unsigned long long>(rig.killed),
                 static_cast<unsigned long long>(rig.launches));
     std::printf("%-28s %9s %9s %9s\n", "", "median", "99%", "99.9%");
-    print("due to launch at the node", rig.to_bind);
-    print("yes to the owner's answer", rig.to_answer);
-    print("sent after it was due", rig.late_by);
+    print("due to attempt at the worker", rig.to_bind);
+    print("accepted to client's answer", rig.to_answer);
+    print("due to sent", rig.late_by);
     const double counted_s = seconds - warm;
-    std::printf("placer: %.1f us of CPU a container, %.0f%% of a core, %.0f MiB resident\n",
+    std::printf("placer: %.1f us of CPU per task, %.0f%% of a core, %.0f MiB resident\n",
                 rig.cpu_s / static_cast<double>(std::max<std::uint64_t>(1, rig.counted)) * 1e6,
                 rig.cpu_s / counted_s * 100, rig.memory_mib);
     return 0;
--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -1,5 +1,5 @@
-// Micro-benchmarks. The wheel beside an ordered map of deadlines and libevent's timers: arm, then take back,
-// as nearly every deadline of a placer is.
+// Micro-benchmarks. The timer wheel is compared with an ordered map of deadlines and with libevent's timers,
+// on timers that are rearmed before they expire, like nearly all deadlines of a placer.
 #include <benchmark/benchmark.h>
 #include <event2/event.h>
 
@@ -22,8 +22,8 @@
     int fired = 0;
 };
 
-// Standing timers, so many; each step moves one: taken back and armed anew, 1 ms to 10 s ahead, 1 us of time
-// passing.
+// Durations from 1 ms to 10 s. Each timer benchmark keeps state.range(0) timers armed; a step advances the
+// time by 1 us, where the clock is virtual, and rearms one timer with one of these durations.
 std::vector<Nanos> spans() {
     std::ranlux24_base chance(3);
     std::vector<Nanos> out(4096);
@@ -92,7 +92,7 @@
 }
 BENCHMARK(libevent_moves)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
 
-// One container's course through the ledger, with so many others open.
+// The life of one task in the ledger, with state.range(0) other tasks waiting.
 void ledger_course(benchmark::State& state) {
     ledger::Ledger led({QueueGroup{}}, {4, true}, {});
     ledger::WorkerRecord& n = led.add_worker("n");
--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -1,6 +1,6 @@
-// Plays random sessions with the platform's server in virtual time and prints a digest of each: of all bytes
-// delivered, and of how many tasks and connections it held at each step. For bench/same_behaviour.sh, which
-// compares the lines of two builds.
+// Runs random sessions with the platform's server in virtual time and prints a digest of each: of all bytes
+// delivered, and of the server's numbers of tasks and connections after each step. bench/same_behaviour.sh
+// compares the output of two builds.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
@@ -25,7 +25,7 @@
     return (digest ^ value) * 1099511628211u + 0x9e3779b97f4a7c15u;
 }
 
-// Says anything that a planner may say, of tasks that it was told of and of others.
+// Makes random planner decisions, for submitted tasks and, before the first one, for an unknown task.
 class RandomPlanner final : public QuietPlanner {
 public:
     RandomPlanner(platform::PlatformServer& server, std::size_t workers, std::uint64_t seed)
@@ -119,7 +119,7 @@
         client.send_bytes(place_task_bytes(id, groups[roll(3)], static_cast<int>(200 + roll(4000)), more));
     }
 
-    // Answers some of what a worker has read, ends some of what runs there, and sends notes on it.
+    // Replies to the messages that a worker has received, ends some of its tasks, and sends notes on others.
     void worker_sends(PlatformRig::FakeWorker& worker) {
         for (auto& connection : worker.connections) {
             if (connection->closed || !connection->stream) continue;
@@ -170,7 +170,7 @@
         running_[worker.name].push_back(message.task);
     }
 
-    // It has run to its end before its answer was written: both in one message.
+    // The task has ended before its answer was sent: one release message carries both.
     void send_answer_and_end(TestClient& connection, std::uint64_t task) {
         Message message;
         message.type = MessageType::release;
--- a/bench/same_behaviour.sh
+++ b/bench/same_behaviour.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Plays the same rehearsals in virtual time with two builds and compares the digests of all bytes delivered:
-# every scenario that comes with the program with seeds 1 to 3, DRAWN drawn ones, and random sessions with the
-# platform's server. A line for each that differs; exit status 1 if any does, 2 if one could not be played.
+# Runs the same rehearsals in virtual time with two builds and compares the digests of all bytes delivered: each
+# bundled scenario with seeds 1 to 3, DRAWN generated scenarios, and SESSIONS random sessions with the platform's
+# server. JOBS run in parallel. Prints each digest that differs; exit status 1 if there are any, 2 if a rehearsal
+# could not be run.
 #
 #     bench/same_behaviour.sh OLD_BUILD NEW_BUILD      (built with WHINPOST_PROGRAM and WHINPOST_BENCH)
 set -euo pipefail
@@ -17,13 +18,13 @@
 work=$(mktemp -d)
 trap 'rm -rf "$work"' EXIT
 
-# play BUILD NAME ARGUMENTS...: one line, the digest under that name.
+# play BUILD NAME ARGUMENTS...: runs a rehearsal and prints its name and digest on one line.
 play() {
     local build=$1 name=$2
     shift 2
     local out
     out=$(mktemp -d "$work/run-XXXXXX")
-    # The exit status says whether the scenario's expectations were met, which another seed need not do.
+    # The exit status is ignored: expectations need not be met with seeds other than the scenario's own.
     (cd "$out" && "$build/apps/whinpost" rehearse "$@" --quiet >said 2>&1) || true
     local digest
     digest=$(sed -n 's/^digest //p' "$out/said")
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -13,20 +13,21 @@
 namespace {
 
 constexpr Nanos kStep = 20 * kMillisecond;  // of virtual time
-constexpr int kWorkersPerUpdate = 3;        // told in one watch event
-constexpr double kMaxMemory = 12e9;         // bytes: half of the machine that the users name
+constexpr int kWorkersPerUpdate = 3;        // in one watch event
+constexpr double kMaxMemory = 12e9;         // bytes: half of the memory of the users' machine
 constexpr double kBytesPerWorkerGuess = 8'000;
 constexpr int kWorldsAtOnce = 3;
 constexpr unsigned kSeed = 7;
 constexpr int kDecisions = 200, kUpdateEvents = 50, kStateEvents = 20;
 
-// In use on the heap: what the process holds of earlier runs does not count.
+// Bytes in use on the heap, without freed memory that the allocator keeps from earlier runs.
 double heap_bytes() {
     const struct mallinfo2 heap = mallinfo2();
     return static_cast<double>(heap.uordblks + heap.hblkhd);
 }
 
-// Tells three random workers' free room anew, by amounts that decide nothing.
+// Delivers a watch event that changes the free cores of three random workers by too little to affect
+// decisions.
 void update_random_workers(ScaleWorld& world, const ScaleSizes& sizes, std::ranlux24_base& random) {
     std::vector<int> updated;
     for (int i = 0; i < kWorkersPerUpdate; ++i) {
@@ -37,7 +38,8 @@
     world.watch_event(updated);
 }
 
-// Submissions and updates at the stated rates for that long. Gives back the share of a core.
+// Submits tasks and updates workers at the rates in `sizes` for `duration` of virtual time. Returns the
+// processor time used, as a share of a core.
 double run_for(ScaleWorld& world, const ScaleSizes& sizes, Nanos duration, std::ranlux24_base& random) {
     const double before = processor_seconds();
     const Nanos start = world.now();
@@ -55,14 +57,14 @@
     return (processor_seconds() - before) / (static_cast<double>(duration) / 1e9);
 }
 
-// Processor seconds of one call, averaged.
+// Returns the average processor seconds of a call.
 double average_seconds(int times, const std::function<void(int)>& call) {
     const double before = processor_seconds();
     for (int i = 0; i < times; ++i) call(i);
     return (processor_seconds() - before) / times;
 }
 
-// Processor seconds to learn that a zone is lost.
+// Returns the processor seconds to process the loss of a zone, in one watch event or in one per worker.
 double zone_lost_seconds(const ScaleSizes& sizes, bool in_one_event) {
     ScaleWorld world(sizes);
     world.list_all_workers(false);
--- a/bench/scale.h
+++ b/bench/scale.h
@@ -1,5 +1,6 @@
-// What one scheduler's control work costs as the fleet grows: the real planner, scheduler and ledger among
-// emulated workers and clients in virtual time. Processor time is this machine's; all else repeats exactly.
+// Measures the cost of one scheduler's control work by fleet size, with the real planner, scheduler and
+// ledger among emulated workers and clients in virtual time. The processor times depend on the machine;
+// everything else is the same in each run.
 #pragma once
 #include <optional>
 #include <string>
@@ -9,16 +10,16 @@
 
 namespace whinpost::bench {
 
-// A size that can't be measured.
+// A size that is out of range.
 struct InvalidSize {
-    std::string option;  // of the program, as "--workers"
+    std::string option;  // of the program, such as "--workers"
     std::string problem;
 };
 std::string to_string(const InvalidSize&);
 
-// Nothing if the sizes can be measured.
+// Returns the first size that is out of range, or nothing.
 [[nodiscard]] std::optional<InvalidSize> check(const ScaleSizes&);
-// The sizes must have passed check().
+// Runs one measurement. The sizes must have passed check().
 ScaleFigures measure(const ScaleSizes&);
 
 }  // namespace whinpost::bench
--- a/bench/scale_program.cpp
+++ b/bench/scale_program.cpp
@@ -1,4 +1,5 @@
-// scale: measures one scheduler's control work at given sizes, and makes the tables of docs/CAPACITY.md.
+// whinpost_scale: measures one scheduler's control work at given sizes and prints the tables of
+// docs/CAPACITY.md.
 #include <CLI/CLI.hpp>
 #include <fstream>
 #include <iostream>
@@ -22,22 +23,22 @@
     std::string varied = "workers", tables, out, commit = "unknown", machine = "unknown";
     std::vector<int> values{400, 1400, 5000, 14'000, 28'000};
     int runs = 3;
-    CLI::App app("Measures one placer's control work among hollow workers and clients in virtual time");
+    CLI::App app("Measures one placer's control work among emulated workers and clients in virtual time");
     app.add_option("--workers", sizes.workers);
     app.add_option("--placers", sizes.placers);
     app.add_option("--services", sizes.services);
     app.add_option("--groups", sizes.queue_groups);
-    app.add_option("--asks", sizes.asks, "tasks to start a second, for this placer");
+    app.add_option("--asks", sizes.asks, "tasks submitted per second to this placer");
     app.add_option("--running", sizes.running, "tasks recovered at the start");
-    app.add_option("--updates", sizes.updates, "workers whose free room is told, a second");
+    app.add_option("--updates", sizes.updates, "workers per second whose free room changes");
     app.add_option("--zones", sizes.zones);
-    app.add_option("--vary", varied, "which of these to vary");
-    app.add_option("--values", values, "its values")->delimiter(',');
-    app.add_option("--runs", runs, "of each point");
+    app.add_option("--vary", varied, "which of these sizes to vary");
+    app.add_option("--values", values, "values of the varied size")->delimiter(',');
+    app.add_option("--runs", runs, "runs of each point");
     app.add_option("--out", out, "file for the raw points");
-    app.add_option("--commit", commit, "noted in the raw points");
-    app.add_option("--machine", machine, "noted in the raw points");
-    app.add_option("--table", tables, "prints the table of a file of raw points instead");
+    app.add_option("--commit", commit, "recorded in the raw points");
+    app.add_option("--machine", machine, "recorded in the raw points");
+    app.add_option("--table", tables, "print the table of this file of raw points and exit");
     CLI11_PARSE(app, argc, argv);
     try {
         if (!tables.empty()) {
@@ -50,7 +51,7 @@
             {"asks", &ScaleSizes::asks},         {"running", &ScaleSizes::running},
             {"updates", &ScaleSizes::updates}};
         const auto variable = variables.find(varied);
-        if (variable == variables.end()) return fail("--vary: nothing is called " + varied);
+        if (variable == variables.end()) return fail("--vary: unknown size " + varied);
         if (runs < 1) return fail("--runs: must be one or more");
         whinpost::bench::ScaleRecord record{commit, "scale", machine, {}};
         for (int i = 1; i < argc; ++i) record.command += std::string(" ") + argv[i];
--- a/bench/scale_record.cpp
+++ b/bench/scale_record.cpp
@@ -95,7 +95,7 @@
         for (const Json& json_point : root.at("points")) {
             record.points.push_back(read_point(json_point));
             if (record.points.back().runs.empty())
-                throw std::runtime_error(path + ": points: one without runs");
+                throw std::runtime_error(path + ": points: a point has no runs");
         }
     } catch (const Json::exception& error) {
         throw std::runtime_error(path + ": " + error.what());
--- a/bench/scale_record.h
+++ b/bench/scale_record.h
@@ -1,4 +1,4 @@
-// The raw points of a measurement, as written to docs/capacity/*.json, and their table.
+// The raw points of a measurement, as stored in docs/capacity/*.json, and their table.
 #pragma once
 #include <string>
 #include <vector>
@@ -7,9 +7,9 @@
 
 namespace whinpost::bench {
 
-// All runs at the same sizes.
+// All runs with the same sizes.
 struct ScalePoint {
-    std::string varied;  // which of the sizes, by its option without dashes
+    std::string varied;  // the varied size: its option without dashes
     ScaleSizes sizes;
     std::vector<ScaleFigures> runs;
 };
@@ -20,9 +20,9 @@
 };
 
 std::string to_json(const ScaleRecord&);
-// Throws std::runtime_error that names the file and what is wrong with it.
+// Throws std::runtime_error that names the file and the error in it.
 ScaleRecord read_record(const std::string& path);
-// A Markdown table of all points: medians over the runs, and the spread of the decision.
+// Returns a Markdown table of all points: medians over the runs, and the range of the decision time.
 std::string table(const ScaleRecord&);
 
 }  // namespace whinpost::bench
--- a/bench/scale_world.cpp
+++ b/bench/scale_world.cpp
@@ -13,7 +13,7 @@
 constexpr double kTaskCores = 1, kTaskMemory = 1;
 constexpr Nanos kTaskRuntime = 2 * kSecond;
 constexpr int kWorkersPerCell = 40;
-constexpr double kFullWorkerFreeCores = -1.5 * kWorkerKind.cores;  // past the overcommit below
+constexpr double kFullWorkerFreeCores = -1.5 * kWorkerKind.cores;  // uses up the overcommit of kAcceptance
 constexpr WorkerAcceptance kAcceptance{2.5, 1.5, false, false, true, false, true};
 constexpr RetrySettings kRetry{4, true};
 constexpr std::uint64_t kSeed = 5;
--- a/bench/scale_world.h
+++ b/bench/scale_world.h
@@ -1,4 +1,4 @@
-// One scheduler among emulated workers and clients in virtual time: what bench/scale.h measures.
+// One scheduler among emulated workers and clients in virtual time, as measured by bench/scale.h.
 #pragma once
 #include <algorithm>
 #include <cstdint>
@@ -15,29 +15,29 @@
 
 constexpr Nanos kQueueTimeout = 4 * kSecond;
 
-// Processor time of this process.
+// Processor time of this process in seconds.
 double processor_seconds();
 
-// The planner, the scheduler and the ledger are real; the workers accept and run whatever they get.
+// The planner, the scheduler and the ledger are real. The emulated workers accept and run every attempt.
 class ScaleWorld final : public planner::PlannerHandler {
 public:
     explicit ScaleWorld(const ScaleSizes& sizes);
 
-    // full: no worker has room.
+    // Lists all workers in one watch event and starts the planner. `full`: no worker has room.
     void list_all_workers(bool full);
-    // Tasks that ran before a restart, on the first workers.
+    // Adopts tasks that run on the first workers, as after a restart of the placer.
     void adopt_tasks(int count);
-    // One watch event that tells these workers as they are in endpoints(), and the round after it.
+    // Delivers a watch event with the endpoint() of each of these workers, and runs a round.
     void watch_event(const std::vector<int>& workers);
     void submit_tasks(int count);
     void run_round();
-    // Time goes on; tasks whose runtime is over end.
+    // Advances the time and completes the tasks whose runtime is over.
     void advance(Nanos duration);
 
     EndpointState& endpoint(int worker) { return endpoints_[static_cast<std::size_t>(worker)]; }
     int submitted() const { return submitted_; }
     int answered_in_time() const { return answered_in_time_; }
-    // Of all watch events and rounds since the last call of forget_longest().
+    // Longest processor time of a watch event or round since the last call of forget_longest().
     double longest_seconds() const { return longest_seconds_; }
     void forget_longest() { longest_seconds_ = 0; }
     Nanos now() const { return now_; }
--- a/bench/virtual_time.cpp
+++ b/bench/virtual_time.cpp
@@ -1,4 +1,4 @@
-// How fast virtual time runs: plays a scenario and says simulated seconds a second, steps, and memory.
+// Runs a scenario in virtual time and prints simulated seconds per second, steps, and peak memory.
 #include <sys/resource.h>
 #include <time.h>
 
@@ -12,15 +12,15 @@
 
 int main(int argc, char** argv) {
     using namespace whinpost;
-    CLI::App app{"whinpost_virtual_time: how fast virtual time runs"};
+    CLI::App app{"whinpost_virtual_time: measures the speed of virtual time"};
     std::string path;
     std::size_t nodes = 0, placers = 0;
     double seconds = 0, rate = 1;
     app.add_option("scenario", path, "A scenario's name or file (TOML)")->required();
-    app.add_option("--nodes", nodes, "Another number of nodes");
-    app.add_option("--placers", placers, "Another number of placers");
-    app.add_option("--seconds", seconds, "Another length");
-    app.add_option("--rate", rate, "So many times its load");
+    app.add_option("--nodes", nodes, "Number of nodes, instead of the scenario's");
+    app.add_option("--placers", placers, "Number of placers, instead of the scenario's");
+    app.add_option("--seconds", seconds, "Length, instead of the scenario's");
+    app.add_option("--rate", rate, "Factor on the scenario's load");
     CLI11_PARSE(app, argc, argv);
     const auto text = simulation::load_scenario(path);
     if (!text) {
@@ -46,8 +46,8 @@
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
     std::cout << plan.placers << " placers, " << plan.workers << " nodes: " << simulated << " s simulated in "
-              << took << " s: " << simulated / took << " a second; " << world.steps() << " steps; "
-              << used.ru_maxrss / 1024 << " MiB at most\n"
+              << took << " s: " << simulated / took << " per second; " << world.steps() << " steps; "
+              << used.ru_maxrss / 1024 << " MiB peak\n"
               << day.table(out) << out.verdict.summary() << '\n';
     return 0;
 }
--- a/simulation/report_table.cpp
+++ b/simulation/report_table.cpp
@@ -78,7 +78,8 @@
             << (drain.longest_lag < 0 ? "none" : format_number(seconds(drain.longest_lag)) + " s later")
             << '\n';
     }
-    if (by_worker.size() > kDrainRows) out << "... and " << by_worker.size() - kDrainRows << " more nodes\n";
+    if (by_worker.size() > kDrainRows)
+        out << "... and " << by_worker.size() - kDrainRows << " more nodes (all are in report.json)\n";
 }
 
 void add_expectations(std::ostream& out, const RunReport& report) {
