--- a/simulation/baseline_planner.h
+++ b/simulation/baseline_planner.h
@@ -17,7 +17,7 @@
 class BaselinePlanner final : public planner::Planner {
 public:
     BaselinePlanner(planner::PlannerHandler&, BaselinePolicy, std::uint64_t seed, std::vector<QueueGroup>,
-                    RetrySettings, Nanos cold_for);
+                    RetrySettings, Nanos slow_start_duration);
     void on_endpoint(Nanos, planner::WorkerNumber, std::uint64_t, const EndpointState&) override;
     void on_watch_event_done(Nanos, bool) override {}
     void on_watch_failed(Nanos) override {}
@@ -39,29 +39,29 @@
     void run_round(Nanos) override;
 
 private:
-    struct Waits {
-        ResourceRequest asked;
-        Nanos until = 0, not_before = 0;
-        int launches = 0;
-        bool out = false, may_have_run = false;
+    struct PendingTask {
+        ResourceRequest request;
+        Nanos deadline = 0, not_before = 0;
+        int attempts = 0;
+        bool in_flight = false, may_have_run = false;
     };
-    struct Known {
-        EndpointState listed;
-        int turns = -1;
+    struct WorkerState {
+        EndpointState endpoint;
+        int admission_tokens = -1;
         double own_cores = 0, own_memory = 0;  // requested by this placer's tasks on it
     };
-    Known* pick(Nanos now, const ResourceRequest&, planner::WorkerNumber& chosen);
-    void leave(planner::TaskNumber);
+    WorkerState* pick_worker(Nanos now, const ResourceRequest&, planner::WorkerNumber& chosen);
+    void release_resources(planner::TaskNumber);
 
-    planner::PlannerHandler& bindings_;
+    planner::PlannerHandler& handler_;
     BaselinePolicy policy_;
-    std::ranlux24_base chance_;
+    std::ranlux24_base random_;
     std::vector<QueueGroup> groups_;
-    RetrySettings launches_;
-    Nanos cold_for_;  // time after a worker's start in which it needs an admission token
-    std::map<planner::TaskNumber, Waits> waiting_;
-    std::map<planner::TaskNumber, std::pair<planner::WorkerNumber, ResourceRequest>> at_;
-    std::vector<Known> nodes_;
+    RetrySettings retry_;
+    Nanos slow_start_duration_;  // time after a worker's start in which it needs an admission token
+    std::map<planner::TaskNumber, PendingTask> pending_;
+    std::map<planner::TaskNumber, std::pair<planner::WorkerNumber, ResourceRequest>> placements_;
+    std::vector<WorkerState> workers_;
 };
 
 }  // namespace whinpost::simulation
