--- a/bench/micro.cpp
+++ b/bench/micro.cpp
@@ -24,115 +24,116 @@
 
 // Durations from 1 ms to 10 s. Each timer benchmark keeps state.range(0) timers armed; a step advances the
 // time by 1 us, where the clock is virtual, and rearms one timer with one of these durations.
-std::vector<Nanos> spans() {
-    std::ranlux24_base chance(3);
-    std::vector<Nanos> out(4096);
-    for (Nanos& s : out) s = kMillisecond + static_cast<Nanos>(chance() % 10'000) * kMillisecond;
-    return out;
+std::vector<Nanos> random_durations() {
+    std::ranlux24_base random(3);
+    std::vector<Nanos> durations(4096);
+    for (Nanos& duration : durations)
+        duration = kMillisecond + static_cast<Nanos>(random() % 10'000) * kMillisecond;
+    return durations;
 }
 
-void wheel_moves(benchmark::State& state) {
-    const auto n = static_cast<std::size_t>(state.range(0));
-    const auto span = spans();
-    timer_wheel::TimerWheel w(0);
-    std::vector<Deadline> all(n);
-    for (std::size_t i = 0; i < n; ++i) w.arm(all[i], span[i % 4096]);
+void rearm_timer_wheel(benchmark::State& state) {
+    const auto count = static_cast<std::size_t>(state.range(0));
+    const auto durations = random_durations();
+    timer_wheel::TimerWheel wheel(0);
+    std::vector<Deadline> all(count);
+    for (std::size_t i = 0; i < count; ++i) wheel.arm(all[i], durations[i % 4096]);
     std::size_t i = 0;
     Nanos now = 0;
     for (auto _ : state) {
         now += kMicrosecond;
-        w.arm(all[i % n], now + span[i * 7 % 4096]);
-        if (++i % 1000 == 0) w.run_timers(now);
+        wheel.arm(all[i % count], now + durations[i * 7 % 4096]);
+        if (++i % 1000 == 0) wheel.run_timers(now);
     }
 }
-BENCHMARK(wheel_moves)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
+BENCHMARK(rearm_timer_wheel)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
 
-void multimap_moves(benchmark::State& state) {
-    const auto n = static_cast<std::size_t>(state.range(0));
-    const auto span = spans();
+void rearm_multimap(benchmark::State& state) {
+    const auto count = static_cast<std::size_t>(state.range(0));
+    const auto durations = random_durations();
     std::multimap<Nanos, std::size_t> map;
-    std::vector<std::multimap<Nanos, std::size_t>::iterator> all(n);
-    for (std::size_t i = 0; i < n; ++i) all[i] = map.emplace(span[i % 4096], i);
+    std::vector<std::multimap<Nanos, std::size_t>::iterator> all(count);
+    for (std::size_t i = 0; i < count; ++i) all[i] = map.emplace(durations[i % 4096], i);
     std::size_t i = 0;
     Nanos now = 0;
     for (auto _ : state) {
         now += kMicrosecond;
-        map.erase(all[i % n]);
-        all[i % n] = map.emplace(now + span[i * 7 % 4096], i % n);
+        map.erase(all[i % count]);
+        all[i % count] = map.emplace(now + durations[i * 7 % 4096], i % count);
         if (++i % 1000 == 0)
             while (!map.empty() && map.begin()->first <= now) {
-                const std::size_t k = map.begin()->second;
+                const std::size_t index = map.begin()->second;
                 map.erase(map.begin());
-                all[k] = map.emplace(now + span[k % 4096], k);
+                all[index] = map.emplace(now + durations[index % 4096], index);
             }
     }
 }
-BENCHMARK(multimap_moves)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
+BENCHMARK(rearm_multimap)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
 
-void libevent_moves(benchmark::State& state) {
-    const auto n = static_cast<std::size_t>(state.range(0));
-    const auto span = spans();
+void rearm_libevent(benchmark::State& state) {
+    const auto count = static_cast<std::size_t>(state.range(0));
+    const auto durations = random_durations();
     event_base* base = event_base_new();
-    std::vector<event*> all(n);
-    for (std::size_t i = 0; i < n; ++i) {
+    std::vector<event*> all(count);
+    for (std::size_t i = 0; i < count; ++i) {
         all[i] = event_new(
             base, -1, EV_TIMEOUT, [](evutil_socket_t, short, void*) {}, nullptr);
-        const timeval t{span[i % 4096] / kSecond, span[i % 4096] % kSecond / kMicrosecond};
-        event_add(all[i], &t);
+        const timeval timeout{durations[i % 4096] / kSecond, durations[i % 4096] % kSecond / kMicrosecond};
+        event_add(all[i], &timeout);
     }
     std::size_t i = 0;
     for (auto _ : state) {
-        const Nanos s = span[i * 7 % 4096];
-        const timeval t{s / kSecond, s % kSecond / kMicrosecond};
-        event_add(all[i % n], &t);
+        const Nanos duration = durations[i * 7 % 4096];
+        const timeval timeout{duration / kSecond, duration % kSecond / kMicrosecond};
+        event_add(all[i % count], &timeout);
         if (++i % 1000 == 0) event_base_loop(base, EVLOOP_NONBLOCK);
     }
-    for (event* e : all) event_free(e);
+    for (event* timer : all) event_free(timer);
     event_base_free(base);
 }
-BENCHMARK(libevent_moves)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
+BENCHMARK(rearm_libevent)->Arg(1'000)->Arg(100'000)->Arg(1'000'000);
 
 // The life of one task in the ledger, with state.range(0) other tasks waiting.
-void ledger_course(benchmark::State& state) {
-    ledger::Ledger led({QueueGroup{}}, {4, true}, {});
-    ledger::WorkerRecord& n = led.add_worker("n");
-    led.on_endpoint(0, n, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
-    ResourceRequest a;
-    a.time_left = 5 * kSecond;
-    for (std::int64_t i = 0; i < state.range(0); ++i) led.create_task(0, "waiting", 1, a);
+void ledger_task_life(benchmark::State& state) {
+    ledger::Ledger ledger({QueueGroup{}}, {4, true}, {});
+    ledger::WorkerRecord& worker = ledger.add_worker("n");
+    ledger.on_endpoint(0, worker, {0, 0, 0, 8, 16, EndpointPhase::serving, 0});
+    ResourceRequest request;
+    request.time_left = 5 * kSecond;
+    for (std::int64_t i = 0; i < state.range(0); ++i) ledger.create_task(0, "waiting", 1, request);
     for (auto _ : state) {
-        ledger::TaskRecord& r = led.create_task(0, "c", 1, a);
-        ledger::Attempt& l = **led.start_attempt(0, r, n, kSecond);
-        led.on_accepted(0, l);
-        led.on_running(0, l);
-        led.on_ended(0, l, AttemptOutcome::completed);
-        led.erase_task(r);
+        ledger::TaskRecord& task = ledger.create_task(0, "c", 1, request);
+        ledger::Attempt& attempt = **ledger.start_attempt(0, task, worker, kSecond);
+        ledger.on_accepted(0, attempt);
+        ledger.on_running(0, attempt);
+        ledger.on_ended(0, attempt, AttemptOutcome::completed);
+        ledger.erase_task(task);
     }
 }
-BENCHMARK(ledger_course)->Arg(10)->Arg(10'000)->Arg(200'000);
+BENCHMARK(ledger_task_life)->Arg(10)->Arg(10'000)->Arg(200'000);
 
-void launch_message(benchmark::State& state) {
+void start_attempt_message(benchmark::State& state) {
     std::string frame;
     for (auto _ : state) {
-        v1::ToWorker m;
-        v1::StartAttempt& l = *m.mutable_start_attempt();
-        l.set_attempt(123456);
-        l.set_task("c123456");
-        l.set_service("ingest-12");
-        l.set_cores(0.5);
-        l.set_memory(1);
-        l.set_request(123456);
+        v1::ToWorker message;
+        v1::StartAttempt& attempt = *message.mutable_start_attempt();
+        attempt.set_attempt(123456);
+        attempt.set_task("c123456");
+        attempt.set_service("ingest-12");
+        attempt.set_cores(0.5);
+        attempt.set_memory(1);
+        attempt.set_request(123456);
         frame.clear();
-        net::encode_frame(frame, m);
-        v1::ToWorker back;
+        net::encode_frame(frame, message);
+        v1::ToWorker parsed;
         bool too_long = false;
-        net::decode_frames(frame, 1 << 20, too_long, [&back](std::string_view f) {
-            return back.ParseFromArray(f.data(), static_cast<int>(f.size()));
+        net::decode_frames(frame, 1 << 20, too_long, [&parsed](std::string_view bytes) {
+            return parsed.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()));
         });
-        benchmark::DoNotOptimize(back);
+        benchmark::DoNotOptimize(parsed);
     }
 }
-BENCHMARK(launch_message);
+BENCHMARK(start_attempt_message);
 
 }  // namespace
 
--- a/bench/scale.cpp
+++ b/bench/scale.cpp
@@ -90,7 +90,7 @@
                                   world.watch_event({event % sizes.workers, (event + 7) % sizes.workers,
                                                      (event + 11) % sizes.workers});
                               });
-    world.forget_longest();
+    world.reset_longest();
     figures.state_event_ms = 1e3 * average_seconds(kStateEvents, [&](int event) {
                                  const int worker = event / 2 % sizes.workers;
                                  world.endpoint(worker).phase =
--- a/bench/scale_world.cpp
+++ b/bench/scale_world.cpp
@@ -51,7 +51,7 @@
         if (full) state.free_cores = kFullWorkerFreeCores;
         endpoints_.push_back(state);
         workers_.push_back(&ledger_.add_worker("worker-" + std::to_string(i)));
-        tell_endpoint(i);
+        deliver_endpoint(i);
     }
     planner_.on_watch_event_done(now_, true);
     planner_.start(now_);
@@ -70,7 +70,7 @@
 
 void ScaleWorld::watch_event(const std::vector<int>& workers) {
     timed([&] {
-        for (const int worker : workers) tell_endpoint(worker);
+        for (const int worker : workers) deliver_endpoint(worker);
         planner_.on_watch_event_done(now_, false);
         planner_.run_round(now_);
     });
@@ -112,7 +112,7 @@
     return request;
 }
 
-void ScaleWorld::tell_endpoint(int worker) {
+void ScaleWorld::deliver_endpoint(int worker) {
     const auto index = static_cast<std::size_t>(worker);
     ledger_.on_endpoint(now_, *workers_[index], endpoints_[index]);
     planner_.on_endpoint(now_, static_cast<planner::WorkerNumber>(worker), workers_[index]->name_hash,
--- a/bench/scale_world.h
+++ b/bench/scale_world.h
@@ -37,9 +37,9 @@
     EndpointState& endpoint(int worker) { return endpoints_[static_cast<std::size_t>(worker)]; }
     int submitted() const { return submitted_; }
     int answered_in_time() const { return answered_in_time_; }
-    // Longest processor time of a watch event or round since the last call of forget_longest().
+    // Longest processor time of a watch event or round since the last call of reset_longest().
     double longest_seconds() const { return longest_seconds_; }
-    void forget_longest() { longest_seconds_ = 0; }
+    void reset_longest() { longest_seconds_ = 0; }
     Nanos now() const { return now_; }
 
 private:
@@ -67,7 +67,7 @@
 
     std::uint64_t service_of(int task) const;
     ResourceRequest request_of(int task) const;
-    void tell_endpoint(int worker);
+    void deliver_endpoint(int worker);
     template <class Call>
     void timed(Call call) {
         const double before = processor_seconds();
--- a/bench/virtual_time.cpp
+++ b/bench/virtual_time.cpp
@@ -32,22 +32,23 @@
         for (const config::ConfigError& error : parsed.error()) std::cerr << to_string(error) << '\n';
         return 2;
     }
-    emulator::Scenario& plan = *parsed;
-    if (seconds > 0) plan.length = static_cast<Nanos>(seconds * 1e9);
-    for (emulator::LoadProfile& l : plan.loads) l.per_second *= rate;
-    simulation::SimulatedNetwork world(plan.seed, simulation::network_delays(plan));
-    simulation::SimulatedEnvironment ground(world, plan.placers, plan.zones);
-    emulator::ScenarioRun day(plan, ground, [](const std::string&) {});
-    const Nanos from = world.now();
-    const auto began = std::chrono::steady_clock::now();
-    const emulator::RunResult out = simulation::run_to_end(world, day);
-    const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-    const double simulated = static_cast<double>(world.now() - from) / 1e9;
+    emulator::Scenario& scenario = *parsed;
+    if (seconds > 0) scenario.length = static_cast<Nanos>(seconds * 1e9);
+    for (emulator::LoadProfile& load : scenario.loads) load.per_second *= rate;
+    simulation::SimulatedNetwork network(scenario.seed, simulation::network_delays(scenario));
+    simulation::SimulatedEnvironment environment(network, scenario.placers, scenario.zones);
+    emulator::ScenarioRun run(scenario, environment, [](const std::string&) {});
+    const Nanos from = network.now();
+    const auto started = std::chrono::steady_clock::now();
+    const emulator::RunResult result = simulation::run_to_end(network, run);
+    const double elapsed_s =
+        std::chrono::duration<double>(std::chrono::steady_clock::now() - started).count();
+    const double simulated_s = static_cast<double>(network.now() - from) / 1e9;
     rusage used{};
     getrusage(RUSAGE_SELF, &used);
-    std::cout << plan.placers << " placers, " << plan.workers << " nodes: " << simulated << " s simulated in "
-              << took << " s: " << simulated / took << " per second; " << world.steps() << " steps; "
-              << used.ru_maxrss / 1024 << " MiB peak\n"
-              << day.table(out) << out.verdict.summary() << '\n';
+    std::cout << scenario.placers << " placers, " << scenario.workers << " nodes: " << simulated_s
+              << " s simulated in " << elapsed_s << " s: " << simulated_s / elapsed_s << " per second; "
+              << network.steps() << " steps; " << used.ru_maxrss / 1024 << " MiB peak\n"
+              << run.table(result) << result.verdict.summary() << '\n';
     return 0;
 }
