--- a/simulation/rehearsal.cpp
+++ b/simulation/rehearsal.cpp
@@ -104,13 +104,13 @@
     // Directory for the placers' logs: that of the options, or else a new temporary one.
     std::optional<std::string> log_directory() {
         if (!options_.out.empty()) return options_.out;
-        char made[] = "/tmp/whinpost-rehearsal-XXXXXX";
-        if (!mkdtemp(made)) {
-            err_ << made << ": can't create a directory for the placers' logs\n";
+        char path[] = "/tmp/whinpost-rehearsal-XXXXXX";
+        if (!mkdtemp(path)) {
+            err_ << path << ": can't create a directory for the placers' logs\n";
             return std::nullopt;
         }
-        out_ << "  logs are in " << made << std::endl;
-        return made;
+        out_ << "  logs are in " << path << std::endl;
+        return path;
     }
 
     // Prints and writes the report and returns the exit status. `clean_exits`: number of placers that exited
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -50,10 +50,10 @@
     config::Document document = config::Document::parse(placer_file(configuration, discovery_address()),
                                                         "placer-" + std::to_string(number));
     ++incarnations_;
-    auto made = apps::EmbeddedPlacer::make(*placer_processes_[number], document,
-                                           {number * 1000 + incarnations_, incarnations_, make_ledger});
-    if (!made) throw std::runtime_error(to_string(made.error().at(0)));
-    placers_[number] = std::move(*made);
+    auto created = apps::EmbeddedPlacer::make(*placer_processes_[number], document,
+                                              {number * 1000 + incarnations_, incarnations_, make_ledger});
+    if (!created) throw std::runtime_error(to_string(created.error().at(0)));
+    placers_[number] = std::move(*created);
     apps::EmbeddedPlacer& placer = *placers_[number];
     placer.discovery_address = discovery_address();
     if (on_placer_made) on_placer_made(number, placer);
