--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -13,14 +13,14 @@
 
 namespace {
 
-int number = 0;
+int file_number = 0;
 
 template <class... Messages>
-void put(const std::string& dir, const Messages&... messages) {
+void write_input(const std::string& dir, const Messages&... messages) {
     std::filesystem::create_directories(dir);
     std::string bytes;
     (net::encode_frame(bytes, messages), ...);
-    std::ofstream(dir + "/" + std::to_string(number++), std::ios::binary) << bytes;
+    std::ofstream(dir + "/" + std::to_string(file_number++), std::ios::binary) << bytes;
 }
 
 }  // namespace
@@ -28,89 +28,89 @@
 int main(int argc, char** argv) {
     if (argc != 2) return 2;
     const std::string to = argv[1];
-    v1::FromClient hello, offer, over, withdraw;
+    v1::FromClient hello, submit, hand_over, cancel;
     hello.mutable_hello()->set_version(1);
     hello.mutable_hello()->set_name("o");
-    v1::SubmitTask& o = *offer.mutable_submit();
-    o.set_id(1);
-    o.set_task("c");
-    o.set_service("s");
-    o.set_queue_group("once");
-    o.set_cores(1);
-    o.set_memory(1);
-    o.set_time_left(kSecond);
-    *over.mutable_hand_over()->mutable_submit() = o;
-    over.mutable_hand_over()->mutable_submit()->set_id(2);
-    over.mutable_hand_over()->set_worker("n");
-    withdraw.mutable_cancel()->set_id(1);
-    put(to + "/client_endpoint", hello);
-    put(to + "/client_endpoint", hello, offer);
-    put(to + "/client_endpoint", hello, offer, withdraw);
-    put(to + "/client_endpoint", hello, over, withdraw);
+    v1::SubmitTask& task = *submit.mutable_submit();
+    task.set_id(1);
+    task.set_task("c");
+    task.set_service("s");
+    task.set_queue_group("once");
+    task.set_cores(1);
+    task.set_memory(1);
+    task.set_time_left(kSecond);
+    *hand_over.mutable_hand_over()->mutable_submit() = task;
+    hand_over.mutable_hand_over()->mutable_submit()->set_id(2);
+    hand_over.mutable_hand_over()->set_worker("n");
+    cancel.mutable_cancel()->set_id(1);
+    write_input(to + "/client_endpoint", hello);
+    write_input(to + "/client_endpoint", hello, submit);
+    write_input(to + "/client_endpoint", hello, submit, cancel);
+    write_input(to + "/client_endpoint", hello, hand_over, cancel);
 
-    v1::FromWorker yes, runs, ended, note, probe, drains, received;
-    yes.mutable_accepted()->set_attempt(1);
-    runs.mutable_running()->set_attempt(1);
+    v1::FromWorker accepted, running, ended, usage, health_check_reply, draining, attempts_read;
+    accepted.mutable_accepted()->set_attempt(1);
+    running.mutable_running()->set_attempt(1);
     ended.mutable_ended()->set_attempt(1);
     ended.mutable_ended()->set_outcome(v1::AttemptEnded::REJECTED);
     ended.mutable_ended()->set_reason(v1::NO_CORES);
     ended.mutable_ended()->mutable_report()->set_utilization(0.5);
-    note.mutable_usage()->set_attempt(1);
-    note.mutable_usage()->set_kind(v1::UsageReport::SERVICE_SHARE);
-    note.mutable_usage()->set_value(0.5);
-    probe.mutable_health_check_reply()->set_id(1);
-    drains.mutable_draining();
-    received.mutable_attempts_read()->set_attempts(1);
-    put(to + "/worker_endpoint", received, yes, runs, note);
-    put(to + "/worker_endpoint", ended);
-    put(to + "/worker_endpoint", yes, runs, ended);
-    put(to + "/worker_endpoint", probe, drains);
+    usage.mutable_usage()->set_attempt(1);
+    usage.mutable_usage()->set_kind(v1::UsageReport::SERVICE_SHARE);
+    usage.mutable_usage()->set_value(0.5);
+    health_check_reply.mutable_health_check_reply()->set_id(1);
+    draining.mutable_draining();
+    attempts_read.mutable_attempts_read()->set_attempts(1);
+    write_input(to + "/worker_endpoint", attempts_read, accepted, running, usage);
+    write_input(to + "/worker_endpoint", ended);
+    write_input(to + "/worker_endpoint", accepted, running, ended);
+    write_input(to + "/worker_endpoint", health_check_reply, draining);
 
-    v1::FromDiscovery entries, failed;
-    entries.mutable_update()->set_sequence(9);
-    v1::Endpoint& e = *entries.mutable_update()->add_endpoints();
-    e.set_worker("m");
-    e.set_address("m:1");
-    e.set_free_cores(3);
-    put(to + "/discovery_endpoint", entries);
-    entries.mutable_update()->set_is_snapshot(true);
-    e.set_phase(v1::Endpoint::DRAINING);
-    put(to + "/discovery_endpoint", entries);
+    v1::FromDiscovery update, failed;
+    update.mutable_update()->set_sequence(9);
+    v1::Endpoint& endpoint = *update.mutable_update()->add_endpoints();
+    endpoint.set_worker("m");
+    endpoint.set_address("m:1");
+    endpoint.set_free_cores(3);
+    write_input(to + "/discovery_endpoint", update);
+    update.mutable_update()->set_is_snapshot(true);
+    endpoint.set_phase(v1::Endpoint::DRAINING);
+    write_input(to + "/discovery_endpoint", update);
     failed.mutable_failed()->set_text("busy");
-    put(to + "/discovery_endpoint", failed, entries);
+    write_input(to + "/discovery_endpoint", failed, update);
 
     // Input of platform_endpoint.cpp: its first byte selects the sender of the rest.
-    const auto platform = [&to](char from, const std::string& bytes) {
+    const auto platform = [&to](char sender, const std::string& bytes) {
         std::filesystem::create_directories(to + "/platform_endpoint");
-        std::ofstream(to + "/platform_endpoint/" + std::to_string(number++), std::ios::binary)
-            << from << bytes;
+        std::ofstream(to + "/platform_endpoint/" + std::to_string(file_number++), std::ios::binary)
+            << sender << bytes;
     };
-    platform_codec::Message ask, answer, end, note_on;
-    ask.type = platform_codec::MessageType::place_task;
-    ask.task = 3;
-    ask.queue_group = "free";
-    ask.time_left_ms = "5000";
-    ask.task_name = "00000000000000aa";
-    ask.requirements = "cores:1;memory:2;service:00000000b4d65521;at:h";
-    ask.description = "d";
+    platform_codec::Message place_task, answer, release, task_note;
+    place_task.type = platform_codec::MessageType::place_task;
+    place_task.task = 3;
+    place_task.queue_group = "free";
+    place_task.time_left_ms = "5000";
+    place_task.task_name = "00000000000000aa";
+    place_task.requirements = "cores:1;memory:2;service:00000000b4d65521;at:h";
+    place_task.description = "d";
     answer.type = platform_codec::MessageType::answer;
     answer.task = 1;
     answer.description = "d";
-    end.type = platform_codec::MessageType::release;
-    end.task = 1;
-    end.cause = platform_codec::Cause::reset;
-    end.detail = "sent_away";
-    end.load_report = "x0:1;x1:2.5;queue:3";
-    note_on.type = platform_codec::MessageType::note;
-    note_on.task = 1;
-    note_on.detail = "served";
-    note_on.metric_value = "0.5";
-    std::string owner_bytes, host_bytes;
-    platform_codec::encode(owner_bytes, ask);
-    platform_codec::encode(owner_bytes, end);
-    for (const auto& m : {answer, note_on, end}) platform_codec::encode(host_bytes, m);
-    platform(0, owner_bytes);
-    platform(1, host_bytes);
+    release.type = platform_codec::MessageType::release;
+    release.task = 1;
+    release.cause = platform_codec::Cause::reset;
+    release.detail = "sent_away";
+    release.load_report = "x0:1;x1:2.5;queue:3";
+    task_note.type = platform_codec::MessageType::note;
+    task_note.task = 1;
+    task_note.detail = "served";
+    task_note.metric_value = "0.5";
+    std::string client_bytes, worker_bytes;
+    platform_codec::encode(client_bytes, place_task);
+    platform_codec::encode(client_bytes, release);
+    for (const auto& message : {answer, task_note, release}) platform_codec::encode(worker_bytes, message);
+    platform(0, client_bytes);
+    platform(1, worker_bytes);
     platform(2,
              "id: 9\ndata: {\"offset\":9,\"topology\":{\"seq\":1,\"whole\":true,\"hosts\":[{\"host\":\"h\","
              "\"health\":\"leaving\",\"free\":[1,2]}]}}\n\n");
