--- a/src/ledger/release_delivery.cpp
+++ b/src/ledger/release_delivery.cpp
@@ -52,7 +52,7 @@
     if (by_age.step != Step::wait || is_open_to_others() || written_to_own_at_ == 0) return by_age;
     const Nanos waiting_for = now - written_to_own_at_;
     if (waiting_for < (own.acknowledges ? kAcknowledgeTimeout : kTransferTime)) return {Step::wait, {}};
-    if (!own.acknowledges && own.heard_at > written_to_own_at_)
+    if (!own.acknowledges && own.last_data_at > written_to_own_at_)
         return {Step::settle, DeliveryOutcome::not_acknowledging};
     own_is_unresponsive_ = true;
     return {Step::write_to_others, {}};
--- a/src/ledger/release_delivery.h
+++ b/src/ledger/release_delivery.h
@@ -76,7 +76,7 @@
     // The state of the release's own connection.
     struct OwnConnection {
         bool acknowledges = false;  // a client at its address has acknowledged releases before
-        Nanos heard_at = 0;         // when data last arrived on it
+        Nanos last_data_at = 0;     // when data last arrived on it
     };
     // Must be called periodically. Clients do not acknowledge migrations.
     [[nodiscard]] Verdict check(Nanos now, const OwnConnection&);
--- a/src/ledger/worker_reachability.h
+++ b/src/ledger/worker_reachability.h
@@ -29,13 +29,13 @@
 
     void on_connected(Nanos now) {
         connected_at_ = now;
-        word_may_be_lost_ = false;
+        message_may_be_lost_ = false;
     }
     // A connection was reset, or a dial timed out, while tasks ran: a message from the worker may be lost.
-    void on_word_may_be_lost() { word_may_be_lost_ = true; }
+    void on_message_may_be_lost() { message_may_be_lost_ = true; }
     // `waits_on_silent_connection`: the worker would report the end of a task on a silent connection.
     bool needs_connection(Nanos now, bool waits_on_silent_connection) const {
-        return word_may_be_lost_ || (waits_on_silent_connection && now - connected_at_ > kSilentAfter);
+        return message_may_be_lost_ || (waits_on_silent_connection && now - connected_at_ > kSilentAfter);
     }
     static bool is_silent(Nanos now, Nanos last_received_at) { return now - last_received_at > kSilentAfter; }
     static bool is_mute(Nanos now, Nanos last_received_at, Nanos written_at) {
@@ -44,7 +44,8 @@
 
     // The state of one connection to a worker.
     struct ConnectionState {
-        Nanos up_since = 0, heard_at = 0;  // heard_at: when the last byte arrived; up_since if none has
+        Nanos up_since = 0;
+        Nanos last_data_at = 0;  // when the last byte arrived; up_since if none has
         bool is_mute = false;
         Nanos health_check_sent_at = 0;    // when the unanswered health check was sent; 0: none is pending
         Nanos answered_check_sent_at = 0;  // when the last answered health check was sent; 0: none
@@ -53,11 +54,11 @@
         return !connection.is_mute && now - connection.up_since >= kHealthCheckAfter;
     }
     // There are old connections, and no data has arrived on any of them for kHealthCheckAfter.
-    static bool is_process_in_question(Nanos now, const std::vector<ConnectionState>& connections) {
+    static bool needs_health_check(Nanos now, const std::vector<ConnectionState>& connections) {
         bool any_old = false;
         for (const ConnectionState& connection : connections) {
             if (!is_old(now, connection)) continue;
-            if (now - connection.heard_at < kHealthCheckAfter) return false;
+            if (now - connection.last_data_at < kHealthCheckAfter) return false;
             any_old = true;
         }
         return any_old;
@@ -71,7 +72,7 @@
 
 private:
     Nanos connected_at_ = 0;
-    bool word_may_be_lost_ = false;
+    bool message_may_be_lost_ = false;
 };
 
 }  // namespace whinpost::ledger
--- a/src/platform/pooled_worker.cpp
+++ b/src/platform/pooled_worker.cpp
@@ -242,7 +242,7 @@
         ++refused_dials_;
         for (const auto& [id, task] : running_) task->liveness.on_dial_refused();
     }
-    if (!was_up && !refused && !running_.empty()) reachability_.on_word_may_be_lost();
+    if (!was_up && !refused && !running_.empty()) reachability_.on_message_may_be_lost();
     const Nanos backoff =
         std::min(kMaxDialBackoff, kDialBackoff << std::min(refused_dials_, kMaxDialBackoffShift));
     next_dial_at_ = loop_.now() + (was_up ? kRedialDelay : backoff);
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -104,8 +104,7 @@
 // since only a reply there shows that the machine can be reached.
 void PooledWorker::check_connections(Nanos now) {
     if (!health_checks_ || running_.empty()) return;
-    if (ledger::WorkerReachability::is_process_in_question(now, connection_states()))
-        probe_old_connections(now);
+    if (ledger::WorkerReachability::needs_health_check(now, connection_states())) probe_old_connections(now);
     Nanos unanswered_since = 0;
     for (const auto& connection : connections_) {
         connection->check_mute();
--- a/src/platform/release_controller.cpp
+++ b/src/platform/release_controller.cpp
@@ -163,7 +163,7 @@
         delivery.is_open_to_others() ? nullptr : clients_.find(delivery.own_connection());
     ReleaseDelivery::OwnConnection known;
     known.acknowledges = own && !release.is_migration && clients_.acknowledges(*own);
-    if (own) known.heard_at = own->last_received_at();
+    if (own) known.last_data_at = own->last_received_at();
     const ReleaseDelivery::Verdict verdict = delivery.check(now, known);
     if (verdict.step == Step::settle) log_settled(release, verdict.outcome);
     if (verdict.step == Step::write_to_others) {
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -157,7 +157,7 @@
     const Nanos now = worker_.loop_.now();
     if (state_ != State::up || !ledger::WorkerReachability::is_mute(now, last_received_, written_at)) return;
     retire();
-    worker_.reachability_.on_word_may_be_lost();
+    worker_.reachability_.on_message_may_be_lost();
 }
 
 void WorkerConnection::check_mute() {
@@ -173,7 +173,7 @@
     retire();
     // If nothing was ever received on the connection, no message of the worker is held up there: the worker
     // hangs, and its next message will arrive on this connection.
-    if (last_received_ > up_since_) worker_.reachability_.on_word_may_be_lost();
+    if (last_received_ > up_since_) worker_.reachability_.on_message_may_be_lost();
 }
 
 void WorkerConnection::probe() {
@@ -372,7 +372,7 @@
 void WorkerConnection::on_malformed(std::string_view reason) {
     worker_.log_(log::Level::info, "worker_message_malformed",
                  {{"worker", worker_.name_}, {"reason", reason}, {"attempts", in_flight_.size()}});
-    worker_.reachability_.on_word_may_be_lost();
+    worker_.reachability_.on_message_may_be_lost();
     abort();
 }
 
@@ -422,7 +422,7 @@
     const bool was_up = is_up();
     const bool closed_as_idle = reason == net::CloseReason::by_peer && !has_work() && is_long_idle();
     on_connection_lost(!was_up && reason == net::CloseReason::refused);
-    if (was_up && reason != net::CloseReason::by_peer) worker_.reachability_.on_word_may_be_lost();
+    if (was_up && reason != net::CloseReason::by_peer) worker_.reachability_.on_message_may_be_lost();
     if (was_up && !closed_as_idle) worker_.on_interrupted();
 }
 
