--- a/src/ledger/task_liveness.cpp
+++ b/src/ledger/task_liveness.cpp
@@ -39,7 +39,7 @@
     since_ = now;
 }
 
-void TaskLiveness::on_silenced(Nanos since) {
+void TaskLiveness::on_may_be_replaced(Nanos since) {
     if (doubt_ == Doubt::unconfirmed) return;
     on_interrupted(since);
     may_be_replaced_ = true;
--- a/src/ledger/task_liveness.h
+++ b/src/ledger/task_liveness.h
@@ -42,7 +42,7 @@
     // No data has arrived since `since` on the connection that carried the worker's messages about the task,
     // while the worker answers on a newer one: another process may have replaced the one that ran the task.
     // The endpoint list may report the restart too late.
-    void on_silenced(Nanos since);
+    void on_may_be_replaced(Nanos since);
     // A dial to the worker's address was refused since. The process that ran the task is gone, unless
     // something other than the worker's host refused the dial.
     void on_dial_refused();
--- a/src/platform/pooled_worker_sweep.cpp
+++ b/src/platform/pooled_worker_sweep.cpp
@@ -142,7 +142,7 @@
     const std::vector<InFlightTask*> tasks = running_tasks_sent_before(*since);
     log_(log::Level::info, "worker_may_be_replaced",
          {{"worker", name_}, {"tasks", tasks.size()}, {"silent_ms", (loop_.now() - *since) / kMillisecond}});
-    for (InFlightTask* task : tasks) task->liveness.on_silenced(*since);
+    for (InFlightTask* task : tasks) task->liveness.on_may_be_replaced(*since);
 }
 
 // A mute connection has received data again, so the process at its other end still runs.
--- a/tests/task_liveness_test.cpp
+++ b/tests/task_liveness_test.cpp
@@ -98,7 +98,7 @@
 
 TEST_CASE("a current list does not keep a task whose worker answers only on newer connections") {
     TaskLiveness liveness;
-    liveness.on_silenced(kStart);
+    liveness.on_may_be_replaced(kStart);
     CHECK(liveness.check(kEnd - 1, {.list_is_current = true}) == Verdict::keep);
     SECTION("data arrives on the silent connection, or the worker sends a message about the task") {
         if (GENERATE(true, false)) liveness.on_process_confirmed(0);
@@ -111,7 +111,7 @@
     SECTION("a task that was only reported stays unconfirmed") {
         TaskLiveness reported;
         reported.on_reported(kStart);
-        reported.on_silenced(kStart);
+        reported.on_may_be_replaced(kStart);
         CHECK_FALSE(reported.is_confirmed());
     }
 }
