--- a/src/ledger/release_delivery.cpp
+++ b/src/ledger/release_delivery.cpp
@@ -43,7 +43,7 @@
     if (lost_after_transfer_) return {Step::settle, DeliveryOutcome::not_acknowledging};
     if (acknowledged_at_ != 0 && now - acknowledged_at_ >= kKeptAfterAcknowledgement)
         return {Step::settle, DeliveryOutcome::taken_elsewhere};
-    if (now - owed_at_ > kKeptFor) return {Step::settle, DeliveryOutcome::expired};
+    if (now - created_at_ > kKeptFor) return {Step::settle, DeliveryOutcome::expired};
     return {Step::wait, {}};
 }
 
--- a/src/ledger/release_delivery.h
+++ b/src/ledger/release_delivery.h
@@ -44,9 +44,9 @@
     static constexpr Nanos kKeptFor = 60 * kSecond;
 
     // `own`: the connection on which the task was placed or last reported; kNoConnection if it is closed.
-    ReleaseDelivery(Nanos owed_at, ConnectionNumber own) : owed_at_(owed_at), own_(own) {}
+    ReleaseDelivery(Nanos created_at, ConnectionNumber own) : created_at_(created_at), own_(own) {}
 
-    Nanos owed_at() const { return owed_at_; }
+    Nanos created_at() const { return created_at_; }
     ConnectionNumber own_connection() const { return own_; }
     // Whether any connection from the client's address, including later ones, may carry the release, and not
     // only its own connection.
@@ -85,7 +85,7 @@
     // Settles a release by its age or by the loss of its connection; otherwise returns Step::wait.
     Verdict check_age(Nanos now) const;
 
-    const Nanos owed_at_;
+    const Nanos created_at_;
     ConnectionNumber own_;
     bool own_is_unresponsive_ = false;
     Nanos written_to_own_at_ = 0;
--- a/src/platform/owed_releases.h
+++ b/src/platform/pending_releases.h
@@ -13,7 +13,7 @@
 
 namespace whinpost::platform {
 
-struct OwedRelease {
+struct PendingRelease {
     std::uint64_t id = 0;  // of the task, chosen by the client
     platform_codec::Cause cause{};
     std::string client_address;
@@ -23,21 +23,21 @@
 };
 
 // Kept in the order of add(). take_surplus() bounds their number, and their ReleaseDelivery bounds their age.
-class OwedReleases {
+class PendingReleases {
 public:
-    static constexpr std::size_t kMaxOwed = 4096;
+    static constexpr std::size_t kMaxPending = 4096;
 
     std::size_t size() const { return releases_.size(); }
     // The reference stays valid until the entry is erased.
-    OwedRelease& add(OwedRelease);
-    // Removes and returns the oldest entry if there are more than kMaxOwed.
-    std::optional<OwedRelease> take_surplus();
+    PendingRelease& add(PendingRelease);
+    // Removes and returns the oldest entry if there are more than kMaxPending.
+    std::optional<PendingRelease> take_surplus();
     // Calls `is_settled` with each entry and erases those for which it returns true. It must not add entries.
-    void erase_if(const std::function<bool(OwedRelease&)>& is_settled);
-    void for_each(const std::function<void(OwedRelease&)>& call);
+    void erase_if(const std::function<bool(PendingRelease&)>& is_settled);
+    void for_each(const std::function<void(PendingRelease&)>& call);
 
 private:
-    std::list<OwedRelease> releases_;
+    std::list<PendingRelease> releases_;
 };
 
 }  // namespace whinpost::platform
--- a/src/platform/release_controller.cpp
+++ b/src/platform/release_controller.cpp
@@ -14,7 +14,7 @@
     return {now, recipient.own ? recipient.own->number() : ledger::kNoConnection};
 }
 
-std::string_view log_event(const OwedRelease& release, DeliveryOutcome outcome) {
+std::string_view log_event(const PendingRelease& release, DeliveryOutcome outcome) {
     const bool may_be_lost = outcome == DeliveryOutcome::superseded ||
                              (outcome == DeliveryOutcome::expired && !release.delivery.was_written());
     return may_be_lost ? "release_dropped" : "release_settled";
@@ -40,8 +40,8 @@
         recipient);
 }
 
-void ReleaseController::add(OwedRelease owed, const ReleaseRecipient& recipient) {
-    OwedRelease& release = owed_.add(std::move(owed));
+void ReleaseController::add(PendingRelease pending, const ReleaseRecipient& recipient) {
+    PendingRelease& release = pending_.add(std::move(pending));
     context_.log(log::Level::debug, "release_owed",
                  {{"id", release.id},
                   {"task", release.task_name},
@@ -54,12 +54,12 @@
         context_.log(log::Level::info, "release_pending",
                      {{"id", release.id}, {"client", release.client_address}});
     }
-    if (const auto surplus = owed_.take_surplus()) log_settled(*surplus, DeliveryOutcome::superseded);
+    if (const auto surplus = pending_.take_surplus()) log_settled(*surplus, DeliveryOutcome::superseded);
 }
 
 // ---------------------------------------------------------------- writing to connections
 
-void ReleaseController::write_where_allowed(OwedRelease& release, MessageKind kind) {
+void ReleaseController::write_where_allowed(PendingRelease& release, MessageKind kind) {
     const ReleaseDelivery& delivery = release.delivery;
     ClientConnection* own = clients_.find(delivery.own_connection());
     if (own && delivery.may_write_to(own->number())) write(release, *own, kind);
@@ -70,7 +70,7 @@
 
 // A migration message is written once, when the task is migrated. Later writes are releases, which the client
 // acknowledges.
-void ReleaseController::write(OwedRelease& release, ClientConnection& client, MessageKind kind) {
+void ReleaseController::write(PendingRelease& release, ClientConnection& client, MessageKind kind) {
     ReleaseDelivery& delivery = release.delivery;
     const Nanos now = context_.now();
     const bool is_own = client.number() == delivery.own_connection();
@@ -81,7 +81,7 @@
                   {"client", client.peer()},
                   {"own_connection", is_own},
                   {"repeated", is_repeated},
-                  {"age_ms", (now - delivery.owed_at()) / kMillisecond}});
+                  {"age_ms", (now - delivery.created_at()) / kMillisecond}});
     ++(is_repeated ? context_.statistics.releases_repeated : context_.statistics.releases_sent);
     delivery.on_written(client.number(), now);
     if (kind == MessageKind::migration) client.send_migration(release.id);
@@ -91,17 +91,17 @@
 
 bool ReleaseController::on_task_reported(std::uint64_t id, const std::string& task_name,
                                          ClientConnection& client) {
-    bool is_owed = false;
-    owed_.for_each([&](OwedRelease& release) {
+    bool is_pending = false;
+    pending_.for_each([&](PendingRelease& release) {
         if (release.id != id || release.task_name != task_name) return;
-        is_owed = true;
+        is_pending = true;
         if (!release.delivery.was_written_to(client.number())) write(release, client, MessageKind::release);
     });
-    return is_owed;
+    return is_pending;
 }
 
 void ReleaseController::on_client_identified(ClientConnection& client) {
-    owed_.for_each([this, &client](OwedRelease& release) {
+    pending_.for_each([this, &client](PendingRelease& release) {
         if (release.client_address != client.client_address()) return;
         if (release.delivery.may_write_to(client.number())) write(release, client, MessageKind::release);
     });
@@ -110,7 +110,7 @@
 // ---------------------------------------------------------------- settling and sweeping
 
 void ReleaseController::on_task_placed(const std::string& task_name, const ClientConnection& client) {
-    owed_.erase_if([&](const OwedRelease& release) {
+    pending_.erase_if([&](const PendingRelease& release) {
         if (!release.is_migration || release.task_name != task_name) return false;
         if (release.client_address != client.client_address()) return false;
         log_settled(release, DeliveryOutcome::resumed);
@@ -121,7 +121,7 @@
 void ReleaseController::on_release_ack(const ClientConnection& client, std::uint64_t id) {
     const Nanos now = context_.now();
     bool is_known = false;
-    owed_.erase_if([&](OwedRelease& release) {
+    pending_.erase_if([&](PendingRelease& release) {
         if (release.id != id) return false;
         is_known = true;
         const bool is_own = client.number() == release.delivery.own_connection();
@@ -129,7 +129,7 @@
                      {{"id", id},
                       {"client", client.peer()},
                       {"own_connection", is_own},
-                      {"after_ms", (now - release.delivery.owed_at()) / kMillisecond}});
+                      {"after_ms", (now - release.delivery.created_at()) / kMillisecond}});
         if (!release.delivery.on_acknowledged(client.number(), now)) return false;
         ++context_.statistics.releases_acknowledged;
         log_settled(release, DeliveryOutcome::acknowledged);
@@ -141,23 +141,23 @@
 
 void ReleaseController::on_client_left(const ClientConnection& client) {
     const Nanos now = context_.now();
-    owed_.for_each([&](OwedRelease& release) {
+    pending_.for_each([&](PendingRelease& release) {
         if (release.delivery.own_connection() != client.number()) return;
         context_.log(log::Level::info, "release_unacknowledged",
                      {{"id", release.id},
                       {"client", client.peer()},
                       {"reason", "connection_lost"},
-                      {"age_ms", (now - release.delivery.owed_at()) / kMillisecond}});
+                      {"age_ms", (now - release.delivery.created_at()) / kMillisecond}});
         release.delivery.on_connection_lost(client.number(), now, clients_.acknowledges(client));
         write_where_allowed(release, MessageKind::release);
     });
 }
 
 void ReleaseController::sweep(Nanos now) {
-    owed_.erase_if([this, now](OwedRelease& release) { return sweep_one(release, now); });
+    pending_.erase_if([this, now](PendingRelease& release) { return sweep_one(release, now); });
 }
 
-bool ReleaseController::sweep_one(OwedRelease& release, Nanos now) {
+bool ReleaseController::sweep_one(PendingRelease& release, Nanos now) {
     ReleaseDelivery& delivery = release.delivery;
     const ClientConnection* own =
         delivery.is_open_to_others() ? nullptr : clients_.find(delivery.own_connection());
@@ -171,13 +171,13 @@
                      {{"id", release.id},
                       {"client", own ? own->peer() : release.client_address},
                       {"reason", "no acknowledgement"},
-                      {"age_ms", (now - delivery.owed_at()) / kMillisecond}});
+                      {"age_ms", (now - delivery.created_at()) / kMillisecond}});
         write_where_allowed(release, MessageKind::release);
     }
     return verdict.step == Step::settle;
 }
 
-void ReleaseController::log_settled(const OwedRelease& release, DeliveryOutcome outcome) const {
+void ReleaseController::log_settled(const PendingRelease& release, DeliveryOutcome outcome) const {
     const std::string_view event = log_event(release, outcome);
     const bool is_dropped = event == "release_dropped";
     const bool is_usual = outcome == DeliveryOutcome::acknowledged || outcome == DeliveryOutcome::resumed ||
@@ -190,7 +190,7 @@
                  {{"id", release.id},
                   {"client", release.client_address},
                   {"outcome", ledger::to_string(outcome)},
-                  {"waited_ms", (context_.now() - release.delivery.owed_at()) / kMillisecond}});
+                  {"waited_ms", (context_.now() - release.delivery.created_at()) / kMillisecond}});
 }
 
 }  // namespace whinpost::platform
--- a/src/platform/release_controller.h
+++ b/src/platform/release_controller.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "platform/client_server.h"
-#include "platform/owed_releases.h"
+#include "platform/pending_releases.h"
 #include "platform/server_context.h"
 
 namespace whinpost::platform {
@@ -22,7 +22,7 @@
 public:
     ReleaseController(const ServerContext&, ClientServer&);
 
-    std::size_t size() const { return owed_.size(); }
+    std::size_t size() const { return pending_.size(); }
     // Sends the end of the task to its client, now or as soon as the client is connected.
     void send_release(std::uint64_t id, const std::string& task_name, platform_codec::Cause,
                       const ReleaseRecipient&);
@@ -41,17 +41,17 @@
     void sweep(Nanos now);  // to be called periodically
 
 private:
-    void add(OwedRelease, const ReleaseRecipient&);
+    void add(PendingRelease, const ReleaseRecipient&);
     enum class MessageKind { release, migration };
     // Writes to the recipient's own connection, or to all connections at its address.
-    void write_where_allowed(OwedRelease&, MessageKind);
-    void write(OwedRelease&, ClientConnection&, MessageKind);
-    bool sweep_one(OwedRelease&, Nanos now);
-    void log_settled(const OwedRelease&, ledger::DeliveryOutcome) const;
+    void write_where_allowed(PendingRelease&, MessageKind);
+    void write(PendingRelease&, ClientConnection&, MessageKind);
+    bool sweep_one(PendingRelease&, Nanos now);
+    void log_settled(const PendingRelease&, ledger::DeliveryOutcome) const;
 
     const ServerContext& context_;
     ClientServer& clients_;
-    OwedReleases owed_;
+    PendingReleases pending_;
 };
 
 }  // namespace whinpost::platform
--- a/tests/release_delivery_test.cpp
+++ b/tests/release_delivery_test.cpp
@@ -3,7 +3,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "platform/owed_releases.h"
+#include "platform/pending_releases.h"
 
 using namespace whinpost;
 using ledger::DeliveryOutcome;
@@ -95,11 +95,11 @@
 }
 
 TEST_CASE("kept releases stay in order, and the oldest is removed above the limit") {
-    platform::OwedReleases releases;
+    platform::PendingReleases releases;
     const auto add = [&releases](std::uint64_t id) {
         releases.add({id, Cause::ok, "10.0.0.1", "name", false, {kStart, kNoConnection}});
     };
-    for (std::uint64_t id = 1; id <= platform::OwedReleases::kMaxOwed; ++id) add(id);
+    for (std::uint64_t id = 1; id <= platform::PendingReleases::kMaxPending; ++id) add(id);
     CHECK_FALSE(releases.take_surplus());
     add(5000);
     const auto surplus = releases.take_surplus();
@@ -107,12 +107,12 @@
     CHECK(surplus->id == 1);
     std::uint64_t last = 0;
     bool in_order = true;
-    releases.for_each([&](const platform::OwedRelease& release) {
+    releases.for_each([&](const platform::PendingRelease& release) {
         in_order = in_order && release.id > last;
         last = release.id;
     });
     CHECK(in_order);
     CHECK(last == 5000);
-    releases.erase_if([](const platform::OwedRelease& release) { return release.id != 4000; });
+    releases.erase_if([](const platform::PendingRelease& release) { return release.id != 4000; });
     CHECK(releases.size() == 1);
 }
