--- a/apps/embedded_placer.cpp
+++ b/apps/embedded_placer.cpp
@@ -41,7 +41,7 @@
               .queue_groups = group_names,
               .worker_kinds = file.worker_kinds.size(),
               .workers = {file.connection, file.dial_limits.concurrent, file.dial_limits.per_second},
-              .report_is_free = !file.worker_acceptance.reports_use,
+              .load_report_replaces_listed = !file.worker_acceptance.reports_use,
               .slow_start_time = file.slow_start.warm_up_time + file.slow_start.window}),
       planner(server, seed_of(file, options), file.placer.zone, settings_of(file.queue_groups),
               file.worker_kinds, file.worker_acceptance, file.slow_start, file.discovery.settings, file.retry,
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -80,9 +80,10 @@
 
 void WorkerEntry::HoldTimer::on_deadline(Nanos now) { entry.membership_.update_worker(now, entry); }
 
-Membership::Membership(MembershipHandler& handler, Nanos now, Nanos drain_grace, bool report_is_free)
-    : handler_(handler), drain_grace_(drain_grace), report_is_free_(report_is_free), wheel_(now),
-      count_by_state_(8, 0), doubt_timer_(*this) {}
+Membership::Membership(MembershipHandler& handler, Nanos now, Nanos drain_grace,
+                       bool load_report_replaces_listed)
+    : handler_(handler), drain_grace_(drain_grace), load_report_replaces_listed_(load_report_replaces_listed),
+      wheel_(now), count_by_state_(8, 0), doubt_timer_(*this) {}
 
 WorkerEntry& Membership::find_or_add(std::string_view name) {
     if (WorkerEntry* worker = find(name)) return *worker;
@@ -144,7 +145,7 @@
             break;
     }
     endpoint.started_at = later_start(endpoint.started_at, worker.reported.started_at);
-    if (report_is_free_ && worker.reported.load_reported_at > worker.listed.as_of &&
+    if (load_report_replaces_listed_ && worker.reported.load_reported_at > worker.listed.as_of &&
         now - worker.listed.as_of > kStaleAfter) {
         if (worker.reported.load.has_free_cores) endpoint.free_cores = worker.reported.load.free_cores;
         if (worker.reported.load.has_free_memory) endpoint.free_memory = worker.reported.load.free_memory;
@@ -343,7 +344,7 @@
     if (!report.has_free_cores && !report.has_free_memory) return;
     worker.reported.load = report;
     worker.reported.load_reported_at = now;
-    if (!report_is_free_ || now - worker.listed.as_of <= kStaleAfter ||
+    if (!load_report_replaces_listed_ || now - worker.listed.as_of <= kStaleAfter ||
         now - worker.corrected_at_ < kCorrectionInterval)
         return;
     worker.corrected_at_ = now;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -130,9 +130,9 @@
 
 class Membership {
 public:
-    // `drain_grace`: above 0; a snapshot may be doubted for a part of it. `report_is_free`: the free amounts
-    // in load reports have the same meaning as those in the endpoint list.
-    Membership(MembershipHandler&, Nanos now, Nanos drain_grace, bool report_is_free);
+    // `drain_grace`: above 0; a snapshot may be doubted for a part of it. `load_report_replaces_listed`: the
+    // free amounts in load reports have the same meaning as those in the endpoint list.
+    Membership(MembershipHandler&, Nanos now, Nanos drain_grace, bool load_report_replaces_listed);
     Membership(const Membership&) = delete;
     Membership& operator=(const Membership&) = delete;
 
@@ -198,7 +198,7 @@
 
     MembershipHandler& handler_;
     Nanos drain_grace_;
-    bool report_is_free_;
+    bool load_report_replaces_listed_;
     timer_wheel::TimerWheel wheel_;
     std::vector<std::unique_ptr<WorkerEntry>> workers_;  // by number
     std::map<std::string, WorkerEntry*, std::less<>> by_name_;
--- a/src/server/membership_controller.cpp
+++ b/src/server/membership_controller.cpp
@@ -26,9 +26,9 @@
 
 MembershipController::MembershipController(ServerContext& context, WorkerEndpoint& workers,
                                            SlowStartController& slow_start, TaskRecovery& recovery,
-                                           Nanos drain_grace, bool report_is_free)
+                                           Nanos drain_grace, bool load_report_replaces_listed)
     : context_(context), workers_(workers), slow_start_(slow_start), recovery_(recovery),
-      membership_(*this, context.now(), drain_grace, report_is_free), membership_timer_(*this),
+      membership_(*this, context.now(), drain_grace, load_report_replaces_listed), membership_timer_(*this),
       planner_view_timer_(*this) {}
 
 void MembershipController::on_update(const v1::EndpointUpdate& update) {
--- a/src/server/membership_controller.h
+++ b/src/server/membership_controller.h
@@ -21,9 +21,9 @@
 
 class MembershipController final : private membership::MembershipHandler {
 public:
-    // `drain_grace`, `report_is_free`: see membership::Membership.
+    // `drain_grace`, `load_report_replaces_listed`: see membership::Membership.
     MembershipController(ServerContext&, WorkerEndpoint&, SlowStartController&, TaskRecovery&,
-                         Nanos drain_grace, bool report_is_free);
+                         Nanos drain_grace, bool load_report_replaces_listed);
 
     // Not owned. Set before the first update.
     void set_discovery(DiscoveryClient* discovery) { discovery_ = discovery; }
--- a/src/server/placer_server.cpp
+++ b/src/server/placer_server.cpp
@@ -13,7 +13,7 @@
     : context_(loop, log, options.identity, ledger, admission, *this), worker_kinds_(options.worker_kinds),
       slow_start_(context_, options.slow_start_time),
       membership_(context_, workers_, slow_start_, recovery_, options.workers.connection.drain_grace,
-                  options.report_is_free),
+                  options.load_report_replaces_listed),
       workers_(context_, tasks_, attempts_, membership_.membership(), slow_start_.tokens(), options.workers),
       answers_(context_, tasks_),
       attempts_(context_, tasks_, answers_, workers_, membership_.membership(), slow_start_.tokens()),
--- a/src/server/placer_server.h
+++ b/src/server/placer_server.h
@@ -41,7 +41,7 @@
     WorkerEndpointOptions workers;
     // Workers' load reports give free amounts in the same sense as the endpoint list, so they can replace
     // them.
-    bool report_is_free = false;
+    bool load_report_replaces_listed = false;
     Nanos slow_start_time = 0;  // how long after its start a worker is in slow start
 };
 
