--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -23,7 +23,7 @@
         peer.stream = client_process.dial("node:1", peer);
         run(10 * kMillisecond);
         v1::ToWorker message;
-        introduce(*message.mutable_hello(), "p", 1);
+        fill_hello(*message.mutable_hello(), "p", 1);
         peer.send(message);
         run(10 * kMillisecond);
     }
--- a/tests/server_protocol_test.cpp
+++ b/tests/server_protocol_test.cpp
@@ -16,7 +16,7 @@
         std::string bytes, error;
     };
     v1::FromClient version, twice, field, unknown_group;
-    introduce(*version.mutable_hello(), "x", 1);
+    fill_hello(*version.mutable_hello(), "x", 1);
     version.mutable_hello()->set_version(9);
     const auto framed = [](const v1::FromClient& message) {
         std::string out;
@@ -24,7 +24,7 @@
         return out;
     };
     v1::FromClient hello;
-    introduce(*hello.mutable_hello(), "x", 1);
+    fill_hello(*hello.mutable_hello(), "x", 1);
     *field.mutable_submit() = rig.request(1);
     field.mutable_submit()->set_cores(-1);
     *unknown_group.mutable_submit() = rig.request(1, "nosuch");
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -56,7 +56,7 @@
 using WorkerStream = TestPeer<v1::ToWorker, v1::FromWorker>;
 using FakeDiscovery = TestPeer<v1::ToDiscovery, v1::FromDiscovery>;
 
-inline void introduce(v1::Hello& hello, const std::string& name, std::uint64_t incarnation) {
+inline void fill_hello(v1::Hello& hello, const std::string& name, std::uint64_t incarnation) {
     hello.set_version(1);
     hello.set_name(name);
     hello.set_incarnation(incarnation);
@@ -84,7 +84,7 @@
     // Sends the worker's greeting: Hello, and WorkerState with the attempts that it holds.
     void greet() {
         v1::FromWorker message;
-        introduce(*message.mutable_hello(), name, incarnation);
+        fill_hello(*message.mutable_hello(), name, incarnation);
         connection().send(message);
         message.mutable_state()->set_remembers_for(60 * kSecond);
         message.mutable_state()->set_uptime(uptime);
@@ -121,7 +121,7 @@
             discovery_streams.back()->stream = std::move(accepted);
             discovery_process->attach(stream, *discovery_streams.back());
             v1::FromDiscovery hello;
-            introduce(*hello.mutable_hello(), "list", 1);
+            fill_hello(*hello.mutable_hello(), "list", 1);
             discovery_streams.back()->send(hello);
         };
         listeners.push_back(discovery_process->listen("list:1", on_connection).value());
@@ -236,7 +236,7 @@
         run(5 * kMillisecond);
         if (hello) {
             v1::FromClient message;
-            introduce(*message.mutable_hello(), name, 1);
+            fill_hello(*message.mutable_hello(), name, 1);
             client.send(message);
         }
         return client;
