--- a/src/platform/connection_allocator.cpp
+++ b/src/platform/connection_allocator.cpp
@@ -39,15 +39,15 @@
 bool ConnectionAllocator::close_least_useful() {
     const Nanos now = loop_.now();
     WorkerConnection* chosen = nullptr;
-    std::pair<bool, Nanos> least;
+    std::pair<bool, Nanos> chosen_order;
     for (const auto& worker : pool_.workers()) {
         WorkerConnection* connection = worker->longest_idle_connection();
         if (!connection) continue;
-        const std::pair usefulness(worker->has_running_tasks(), connection->idle_since());
-        const bool in_its_turn = usefulness.first && now - usefulness.second < kTurn;
-        if (in_its_turn || (chosen && least <= usefulness)) continue;
+        const std::pair closing_order(worker->has_running_tasks(), connection->idle_since());
+        const bool is_within_turn = closing_order.first && now - closing_order.second < kTurn;
+        if (is_within_turn || (chosen && chosen_order <= closing_order)) continue;
         chosen = connection;
-        least = usefulness;
+        chosen_order = closing_order;
     }
     if (chosen) chosen->close();
     return chosen != nullptr;
--- a/src/platform/worker_connection.cpp
+++ b/src/platform/worker_connection.cpp
@@ -32,8 +32,8 @@
 
 OutcomeReason reason_of(const Message& message) {
     if (message.detail)
-        for (const auto& [word, reason] : kReasons)
-            if (*message.detail == word) return reason;
+        for (const auto& [name, reason] : kReasons)
+            if (*message.detail == name) return reason;
     return OutcomeReason::unspecified;
 }
 
