--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -21,20 +21,20 @@
 // Why an attempt may not be sent.
 enum class Refusal {
     none,
-    answered,                      // the client has its final answer
-    accepted,                      // a worker has accepted the task
-    attempt_in_flight,             // an earlier attempt has not ended yet
-    too_many_attempts,             // the task has used its maximum number of attempts
-    too_late,                      // the client's deadline has passed
-    unknown_worker,                // no endpoint list has named the worker, or it is gone
-    draining,                      // the worker is known to drain, whether or not its grace period has passed
-    wrong_kind,                    // the queue group requires workers of another kind
-    may_have_run,                  // side-effecting task: an earlier attempt may have run
-    outside_deduplication_domain,  // keyed task: the worker is not one of those that drop a repeat of the
-                                   // first attempt that may have run
-    past_deduplication_window,     // keyed task: those workers no longer remember that attempt
-    spread,                        // the failure domain holds the maximum number of the service's tasks
-    no_admission_token,            // the worker is in slow start and this placer has no token left for it
+    answered,           // the client has its final answer
+    accepted,           // a worker has accepted the task
+    attempt_in_flight,  // an earlier attempt has not ended yet
+    too_many_attempts,  // the task has used its maximum number of attempts
+    too_late,           // the client's deadline has passed
+    unknown_worker,     // no endpoint list has named the worker, or it is gone
+    draining,           // the worker is known to drain, whether or not its grace period has passed
+    wrong_kind,         // the queue group requires workers of another kind
+    may_have_run,       // side-effecting task: an earlier attempt may have run
+    // Keyed task: the worker is not one of those that drop a repeat of the first attempt that may have run.
+    outside_deduplication_domain,
+    past_deduplication_window,  // keyed task: those workers no longer remember that attempt
+    spread,                     // the failure domain holds the maximum number of the service's tasks
+    no_admission_token,         // the worker is in slow start and this placer has no token left for it
 };
 std::string_view to_string(Refusal);
 
--- a/src/net/libevent_listener.cpp
+++ b/src/net/libevent_listener.cpp
@@ -46,8 +46,8 @@
         evconnlistener_new_bind(loop_.base(), &on_accept, this, LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE,
                                 kBacklog, local->get(), static_cast<int>(local->length));
     if (!listener_) {
-        const bool is_in_use =
-            errno == EADDRINUSE || errno == EADDRNOTAVAIL;  // wrong listen address, not a shortage
+        // These errors come from a wrong listen address, not from a shortage.
+        const bool is_in_use = errno == EADDRINUSE || errno == EADDRNOTAVAIL;
         return ListenError{address, std::strerror(errno), is_resource_shortage(errno) && !is_in_use};
     }
     resume_event_ = event_new(loop_.base(), -1, EV_TIMEOUT, &on_resume, this);
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -49,8 +49,8 @@
     virtual ~Stream() = default;
     virtual void write(std::string_view) = 0;
     virtual std::size_t unsent() const = 0;  // bytes written and not yet passed to the kernel
-    virtual std::uint64_t handed_over()
-        const = 0;  // bytes passed to the kernel since the start; never decreases
+    // Bytes passed to the kernel since the start; never decreases.
+    virtual std::uint64_t handed_over() const = 0;
     // Off: no bytes are read, and TCP flow control stops the peer.
     virtual void set_reading(bool on) = 0;
     // True while the kernel holds bytes from the peer that were not read. Closing now would make the kernel
--- a/src/scheduler/candidate_selection.h
+++ b/src/scheduler/candidate_selection.h
@@ -74,8 +74,8 @@
     const SchedulerConfig& config_;
     const SelectionModules modules_;
     std::vector<const QueueGroup*> most_sensitive_group_;  // by worker kind
-    double others_only_probability_;  // that none of kTasksPerWarmWorker tasks of a service was placed by
-                                      // this scheduler
+    // The probability that none of kTasksPerWarmWorker tasks of a service was placed by this scheduler.
+    double others_only_probability_;
     std::uint64_t selections_ = 0;
     std::vector<FullFleet> full_fleet_;  // by queue group
 };
--- a/src/scheduler/capacity.h
+++ b/src/scheduler/capacity.h
@@ -36,9 +36,8 @@
     // Mean ratio of use to requests in recent reports.
     double core_use_ratio() const { return use_ratio(used_cores_, requested_cores_); }
     double memory_use_ratio() const { return use_ratio(used_memory_, requested_memory_); }
-    double mean_answer_time_s() const {
-        return mean_answer_time_s_;
-    }  // mean time from an attempt to its acceptance
+    // Mean time from an attempt to its acceptance.
+    double mean_answer_time_s() const { return mean_answer_time_s_; }
 
     void on_attempt_sent(Nanos now, const Task&, Worker&) const;
     void on_accepted(Nanos now, Worker&) const;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -204,8 +204,8 @@
     CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 1.5);
     test.membership.on_dial_failed(test.now, test.membership.find_or_add("b"));
     CHECK(test.state_of("b") == WorkerState::unreachable);
-    test.publish({{"a", test.at(EndpointPhase::serving, 0, 4)}},
-                 false);  // a fresh list counts again
+    // The amounts of a fresh list count again.
+    test.publish({{"a", test.at(EndpointPhase::serving, 0, 4)}}, false);
     CHECK(test.membership.find_or_add("a").effective_endpoint.free_cores == 4);
 }
 
--- a/tests/platform_sockets_drain_test.cpp
+++ b/tests/platform_sockets_drain_test.cpp
@@ -8,8 +8,8 @@
 
 namespace {
 
-constexpr Nanos kPastRequestAcceptance =
-    800 * kMillisecond;  // after drain(): new requests are rejected by then
+// This long after drain(), new requests are rejected.
+constexpr Nanos kPastRequestAcceptance = 800 * kMillisecond;
 
 // Runs the loop until the drain is done; each client closes its side once the server has closed.
 void run_until_drained(SocketRig& rig, std::vector<SocketPeer*> clients, bool& done) {
--- a/tests/server_connections_test.cpp
+++ b/tests/server_connections_test.cpp
@@ -110,8 +110,8 @@
     FakeWorker& good = rig.add_worker("good");
     rig.publish({rig.endpoint("mute"), rig.endpoint("good")});
     rig.run(3 * kSecond);
-    REQUIRE(good.attempts().size() ==
-            1);  // allowed for a side-effecting task, since the first attempt was provably never sent
+    // A side-effecting task may be sent again, since its first attempt was provably never sent.
+    REQUIRE(good.attempts().size() == 1);
     good.accept(good.attempts()[0].attempt());
     rig.run(kSecond);
     CHECK(client.count(&v1::ToClient::has_placed) == 1);
--- a/tests/server_recovery_test.cpp
+++ b/tests/server_recovery_test.cpp
@@ -30,8 +30,8 @@
     again.send(message);
     rig.run(kSecond);
     REQUIRE(worker.connection().count(&v1::ToWorker::has_adopt_attempt) == 1);
-    CHECK(again.count(&v1::ToClient::has_ended) ==
-          0);  // no endpoint list that is newer than the handover omits the worker yet
+    // No endpoint list that is newer than the handover omits the worker yet.
+    CHECK(again.count(&v1::ToClient::has_ended) == 0);
     rig.publish({rig.endpoint("n")});
     CHECK(again.count(&v1::ToClient::has_ended) == 1);  // the task on the worker that no list names
     worker.end_attempt(
--- a/tests/task_liveness_test.cpp
+++ b/tests/task_liveness_test.cpp
@@ -61,8 +61,8 @@
     liveness.on_interrupted(kStart + 5 * kSecond);  // the timeout runs from the first
     SECTION("the list is not current") {}
     SECTION("only a process that started later is confirmed") { liveness.on_process_confirmed(kStart + 1); }
-    CHECK(liveness.check(kStart + TaskLiveness::kListDelay - 1, {.list_is_current = true}) ==
-          Verdict::keep);  // the list may not report a restart yet
+    // Before kListDelay the list may not report a restart yet.
+    CHECK(liveness.check(kStart + TaskLiveness::kListDelay - 1, {.list_is_current = true}) == Verdict::keep);
     CHECK(liveness.check(kEnd - 1, {.list_is_current = false}) == Verdict::keep);
     CHECK(liveness.check(kEnd, {.list_is_current = false}) == Verdict::interrupted);
 }
