--- a/bench/scale_world.cpp
+++ b/bench/scale_world.cpp
@@ -123,7 +123,7 @@
     ledger::TaskRecord* task = ledger_.find_task(number);
     if (!task) return;
     answered_in_time_ += now_ <= task->deadline;
-    ledger_.record_answer(now_, *task, ledger_.honest_answer(*task));
+    ledger_.record_answer(now_, *task, ledger_.rejected_or_failed(*task));
     if (task->closed) ledger_.erase_task(*task);
 }
 
--- a/src/ledger/ledger.h
+++ b/src/ledger/ledger.h
@@ -147,7 +147,7 @@
     // ---- answers
     bool may_reject(const TaskRecord&) const;
     // `rejected` if may_reject(), else `failed`.
-    Answer honest_answer(const TaskRecord& task) const {
+    Answer rejected_or_failed(const TaskRecord& task) const {
         return may_reject(task) ? Answer::rejected : Answer::failed;
     }
     // Records a final answer. Returns false, and records nothing, if the task already has an answer, or if
--- a/src/platform/task_answerer.cpp
+++ b/src/platform/task_answerer.cpp
@@ -21,7 +21,8 @@
     if (task.record->answer != Answer::none) return;
     // A task that may have run must not be rejected, even if the planner rejects it.
     const bool check = wanted == Answer::rejected;
-    lifecycle_.send_answer(task, check ? context_.ledger.honest_answer(*task.record) : wanted, retry_after);
+    lifecycle_.send_answer(task, check ? context_.ledger.rejected_or_failed(*task.record) : wanted,
+                           retry_after);
     if (!task.record->in_flight) return lifecycle_.discard(task);
     task.worker->abandon_attempt(task);
     if (!context_.rounds.in_round()) return end_cancelled(task);
@@ -37,7 +38,7 @@
 
 void TaskAnswerer::answer_without_planner(InFlightTask& task) {
     const planner::TaskNumber number = task.record->number;
-    answer(task, context_.ledger.honest_answer(*task.record), 0);
+    answer(task, context_.ledger.rejected_or_failed(*task.record), 0);
     context_.planner().cancel(context_.now(), number);
 }
 
--- a/src/server/task_controller.cpp
+++ b/src/server/task_controller.cpp
@@ -148,7 +148,7 @@
     if (!still_held || still_held->record->answer != ledger::Answer::none) return;
     ++context_.ledger.statistics().answered_by_deadline;
     context_.planner->cancel(context_.now(), number);
-    answers_.send_answer(*still_held, context_.ledger.honest_answer(*still_held->record), 0,
+    answers_.send_answer(*still_held, context_.ledger.rejected_or_failed(*still_held->record), 0,
                          last_failure_or(*still_held, "no node in time"));
     context_.rounds.schedule_round();
 }
