--- a/simulation/simulated_process.cpp
+++ b/simulation/simulated_process.cpp
@@ -12,7 +12,7 @@
 
 Nanos SimulatedProcess::now() const { return network_.now_; }
 
-Nanos SimulatedProcess::unseen_since() const {
+Nanos SimulatedProcess::earliest_arrival() const {
     return network_.now_ == resumed_at_ ? stalled_at_ : network_.now_;
 }
 
--- a/simulation/simulated_process.h
+++ b/simulation/simulated_process.h
@@ -21,8 +21,8 @@
 
     Nanos now() const override;
     Nanos from_unix_time(Nanos unix_time) const override { return std::min(unix_time, now()); }
-    Nanos polled_at() const override { return unseen_since(); }
-    Nanos unseen_since() const override;
+    Nanos polled_at() const override { return earliest_arrival(); }
+    Nanos earliest_arrival() const override;
     [[nodiscard]] net::ListenResult listen(const std::string& address, net::AcceptHandler) override;
     std::unique_ptr<net::Stream> dial(const std::string& address, net::StreamHandler&) override;
     void attach(net::Stream&, net::StreamHandler&) override;
--- a/simulation/simulated_stream.h
+++ b/simulation/simulated_stream.h
@@ -28,7 +28,7 @@
 
     void write(std::string_view) override;
     std::size_t unsent() const override { return output_.size(); }
-    std::uint64_t handed_over() const override { return written_ - output_.size(); }
+    std::uint64_t bytes_passed_to_kernel() const override { return written_ - output_.size(); }
     void set_reading(bool on) override;
     bool has_unread() const override;
     bool peer_closed() const override;
--- a/src/net/libevent_loop.cpp
+++ b/src/net/libevent_loop.cpp
@@ -80,7 +80,7 @@
     unix_clock_.update(read_clock(CLOCK_MONOTONIC), read_clock_offset());
 }
 
-Nanos LibeventLoop::unseen_since() const {
+Nanos LibeventLoop::earliest_arrival() const {
     return polled_at_ - poll_began_at_ >= kMinBlockingPoll ? polled_at_ : previous_poll_at_;
 }
 
--- a/src/net/libevent_loop.h
+++ b/src/net/libevent_loop.h
@@ -27,7 +27,7 @@
     Nanos now() const override;
     Nanos from_unix_time(Nanos unix_time) const override;
     Nanos polled_at() const override { return polled_at_; }
-    Nanos unseen_since() const override;
+    Nanos earliest_arrival() const override;
     [[nodiscard]] ListenResult listen(const std::string& address, AcceptHandler) override;
     std::unique_ptr<Stream> dial(const std::string& address, StreamHandler&) override;
     void attach(Stream&, StreamHandler&) override;
--- a/src/net/stream.h
+++ b/src/net/stream.h
@@ -50,7 +50,7 @@
     virtual void write(std::string_view) = 0;
     virtual std::size_t unsent() const = 0;  // bytes written and not yet passed to the kernel
     // Bytes passed to the kernel since the start; never decreases.
-    virtual std::uint64_t handed_over() const = 0;
+    virtual std::uint64_t bytes_passed_to_kernel() const = 0;
     // Off: no bytes are read, and TCP flow control stops the peer.
     virtual void set_reading(bool on) = 0;
     // True while the kernel holds bytes from the peer that were not read. Closing now would make the kernel
@@ -107,7 +107,7 @@
     virtual Nanos polled_at() const = 0;
     // A lower bound for the arrival time of the bytes read in this pass: the time of this pass's poll if that
     // blocked, else of the previous poll, since bytes may have waited in the kernel while the loop was busy.
-    virtual Nanos unseen_since() const = 0;
+    virtual Nanos earliest_arrival() const = 0;
     // `address` is host:port, the host an IP address; port 0 selects any free port. The handler is
     // called for each accepted connection until the listener is destroyed.
     [[nodiscard]] virtual ListenResult listen(const std::string& address, AcceptHandler) = 0;
--- a/src/platform/client_connection.cpp
+++ b/src/platform/client_connection.cpp
@@ -34,7 +34,7 @@
       client_address_(without_port(peer_)), admission_(admission),
       state_(is_rejected() ? State::ending : State::open), connected_at_(server.loop_.now()),
       last_used_(connected_at_), last_received_at_(connected_at_),
-      unseen_since_at_accept_(server.loop_.unseen_since()) {
+      earliest_arrival_at_accept_(server.loop_.earliest_arrival()) {
     if (is_rejected()) ++server_.rejected_count_;
     ++server_.statistics_.accepted;
     if (is_rejected()) close_reason_ = ClientCloseReason::server_full;
@@ -118,8 +118,8 @@
 // that was read is answered, if only with a rejection.
 std::size_t ClientConnection::on_received(std::string_view in) {
     if (state_ == State::ended) return in.size();
-    Nanos since = server_.loop_.unseen_since();
-    if (!has_sent_ && since <= connected_at_) since = std::min(since, unseen_since_at_accept_);
+    Nanos since = server_.loop_.earliest_arrival();
+    if (!has_sent_ && since <= connected_at_) since = std::min(since, earliest_arrival_at_accept_);
     if (backlog_since_) since = std::min(since, backlog_since_);
     reading_ = true;
     const auto decoded = platform_codec::decode_all(in, [this, since](const Message& message) {
--- a/src/platform/client_connection.h
+++ b/src/platform/client_connection.h
@@ -97,7 +97,7 @@
     ClientCloseReason close_reason_ = ClientCloseReason::closed_by_client;  // valid in State::ending
     Nanos connected_at_, last_used_, last_received_at_;
     Nanos partial_since_ = 0;  // since when an incomplete message has been buffered; 0: none
-    const Nanos unseen_since_at_accept_;
+    const Nanos earliest_arrival_at_accept_;
     Nanos backlog_since_ = 0;  // since when more data than one read takes has been unread; 0: none
     bool has_sent_ = false;    // a complete message was received
     bool is_client_ = false, acknowledges_ = false;
--- a/src/server/client_endpoint.h
+++ b/src/server/client_endpoint.h
@@ -17,7 +17,7 @@
     [[nodiscard]] tl::expected<void, net::ListenError> listen(const std::string& address);
     void stop_listening() { listener_.reset(); }
     std::string address() const { return listener_ ? listener_->address() : ""; }
-    // True if everything written to clients has been handed over to the kernel.
+    // True if everything written to clients has been passed to the kernel.
     bool is_flushed() const;
     // Ends a connection. It is destroyed in the next pass of the event loop, since its own code may be
     // calling.
--- a/src/server/worker_endpoint.cpp
+++ b/src/server/worker_endpoint.cpp
@@ -81,13 +81,13 @@
     return peer.stream ? peer.stream->unsent() : 0;
 }
 
-std::uint64_t WorkerEndpoint::handed_over_bytes(const WorkerConnection& connection) const {
+std::uint64_t WorkerEndpoint::bytes_passed_to_kernel(const WorkerConnection& connection) const {
     const WorkerPeer& peer = peer_of(connection);
-    return peer.stream ? peer.stream->handed_over() : 0;
+    return peer.stream ? peer.stream->bytes_passed_to_kernel() : 0;
 }
 
 std::uint64_t WorkerEndpoint::written_bytes(const WorkerConnection& connection) const {
-    return handed_over_bytes(connection) + unsent_bytes(connection);
+    return bytes_passed_to_kernel(connection) + unsent_bytes(connection);
 }
 
 bool WorkerEndpoint::may_still_send(Nanos now, const ledger::Attempt& attempt) const {
--- a/src/server/worker_endpoint.h
+++ b/src/server/worker_endpoint.h
@@ -35,7 +35,7 @@
     void send_keepalive(worker_connection::WorkerConnection&) override;
     void send_adoption(worker_connection::WorkerConnection&, ledger::Attempt&) override;
     std::size_t unsent_bytes(const worker_connection::WorkerConnection&) const override;
-    std::uint64_t handed_over_bytes(const worker_connection::WorkerConnection&) const override;
+    std::uint64_t bytes_passed_to_kernel(const worker_connection::WorkerConnection&) const override;
     std::uint64_t written_bytes(const worker_connection::WorkerConnection&) const override;
     bool may_still_send(Nanos now, const ledger::Attempt&) const override;
     void on_attempt_ended(Nanos now, ledger::Attempt&, AttemptOutcome) override;
--- a/src/server/worker_peer.cpp
+++ b/src/server/worker_peer.cpp
@@ -44,12 +44,12 @@
 void WorkerPeer::on_closed(net::CloseReason reason) {
     ServerContext& context = endpoint.context;
     const Nanos now = context.now();
-    const std::uint64_t handed_over = stream ? stream->handed_over() : 0;
+    const std::uint64_t bytes_passed_to_kernel = stream ? stream->bytes_passed_to_kernel() : 0;
     stream.reset();
     context.log(Level::debug, "worker_connection_closed",
                 {{"worker", record.name}, {"reason", net::to_string(reason)}});
     if (connection.state() == ConnectionState::dialling) connection.on_dial_failed(now);
-    else connection.on_disconnected(now, handed_over);
+    else connection.on_disconnected(now, bytes_passed_to_kernel);
     context.rounds.schedule_round();
 }
 
@@ -60,9 +60,9 @@
     v1::ToWorker message;
     message.mutable_error()->set_text(reason);
     writer_.send(stream.get(), message);
-    const std::uint64_t handed_over = stream->handed_over();
+    const std::uint64_t bytes_passed_to_kernel = stream->bytes_passed_to_kernel();
     stream.reset();
-    connection.on_disconnected(context.now(), handed_over);
+    connection.on_disconnected(context.now(), bytes_passed_to_kernel);
     context.rounds.schedule_round();
     return false;
 }
--- a/src/worker_connection/worker_connection.cpp
+++ b/src/worker_connection/worker_connection.cpp
@@ -203,9 +203,9 @@
     handler_.on_disconnected(now, *this, false);
 }
 
-// `handed_over`: the number of bytes that were handed to the kernel. The worker cannot have acted on an
-// attempt that was handed over only in part; one that was handed over completely stays in doubt.
-void WorkerConnection::on_disconnected(Nanos now, std::uint64_t handed_over) {
+// The worker cannot have acted on an attempt that was passed to the kernel only in part. One that was passed
+// completely stays in doubt.
+void WorkerConnection::on_disconnected(Nanos now, std::uint64_t bytes_passed_to_kernel) {
     if (state_ != ConnectionState::greeting && state_ != ConnectionState::up) return;
     ++statistics_.disconnects;
     const bool was_up = state_ == ConnectionState::up;
@@ -219,7 +219,7 @@
     back_off(now);
     for (const WrittenAttempt& entry : written) {
         if (!entry.attempt || entry.attempt->ended) continue;
-        if (entry.end_offset <= handed_over) {
+        if (entry.end_offset <= bytes_passed_to_kernel) {
             ++statistics_.in_doubt;
             continue;
         }
@@ -330,9 +330,9 @@
 }
 
 void WorkerConnection::disconnect(Nanos now, bool at_once) {
-    const std::uint64_t handed_over = handler_.handed_over_bytes(*this);
+    const std::uint64_t bytes_passed_to_kernel = handler_.bytes_passed_to_kernel(*this);
     handler_.close(*this, at_once);
-    on_disconnected(now, handed_over);
+    on_disconnected(now, bytes_passed_to_kernel);
 }
 
 void WorkerConnection::run_timers(Nanos now) {
--- a/src/worker_connection/worker_connection.h
+++ b/src/worker_connection/worker_connection.h
@@ -4,7 +4,7 @@
 //
 // How an attempt ends:
 //
-// - not_sent: its last byte was never handed to the kernel (a worker acts on complete messages only), or the
+// - not_sent: its last byte was never passed to the kernel (a worker acts on complete messages only), or the
 //   worker greeted with the same incarnation and did not name the attempt among those that it holds or that
 //   have ended.
 // - connect_failed: there was no connection to send it on.
@@ -55,10 +55,10 @@
     virtual void send_keepalive(WorkerConnection&) = 0;
     // Sends AdoptAttempt, which the worker answers if it holds the attempt's task.
     virtual void send_adoption(WorkerConnection&, ledger::Attempt&) = 0;
-    // Bytes on the current connection: written but not handed to the kernel; handed to the kernel; written in
+    // Bytes on the current connection: written but not passed to the kernel; passed to the kernel; written in
     // all.
     virtual std::size_t unsent_bytes(const WorkerConnection&) const = 0;
-    virtual std::uint64_t handed_over_bytes(const WorkerConnection&) const = 0;
+    virtual std::uint64_t bytes_passed_to_kernel(const WorkerConnection&) const = 0;
     virtual std::uint64_t written_bytes(const WorkerConnection&) const = 0;
     virtual bool may_still_send(Nanos now, const ledger::Attempt&) const = 0;
     // The attempt has ended: it was proven unsent, or it was lost with the worker.
@@ -103,7 +103,7 @@
     // ---- events of the stream
     void on_connected(Nanos now);
     void on_dial_failed(Nanos now);
-    void on_disconnected(Nanos now, std::uint64_t handed_over);
+    void on_disconnected(Nanos now, std::uint64_t bytes_passed_to_kernel);
     void on_data(Nanos now);  // any data
     // The worker has read the first `count` attempts that were written on this connection.
     void on_attempts_read(Nanos now, std::uint64_t count);
@@ -115,7 +115,7 @@
     Nanos to_worker_time(Nanos ours) const {
         return worker_clock_ ? worker_clock_ + (ours - worker_clock_read_at_) : 0;
     }
-    // The stream has handed all written data to the kernel.
+    // The stream has passed all written data to the kernel.
     void on_drained(Nanos now) { write_queued(now); }
     // The worker's greeting is complete. `held_attempts`: the attempts of this placer that it holds.
     // `remembers_for`: how long the worker keeps the ends of attempts that it could not report; all that it
--- a/tests/dial_limiter_test.cpp
+++ b/tests/dial_limiter_test.cpp
@@ -21,7 +21,7 @@
     void send_keepalive(WorkerConnection&) override {}
     void send_adoption(WorkerConnection&, ledger::Attempt&) override {}
     std::size_t unsent_bytes(const WorkerConnection&) const override { return 0; }
-    std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return 0; }
+    std::uint64_t bytes_passed_to_kernel(const WorkerConnection&) const override { return 0; }
     std::uint64_t written_bytes(const WorkerConnection&) const override { return 0; }
     bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
     void on_attempt_ended(Nanos, ledger::Attempt&, AttemptOutcome) override {}
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -95,7 +95,7 @@
     loops.run_until([&] { return server.received.size() == payload.size() && client.received == "back"; });
     CHECK(server.received == payload);
     loops.run_until([&] { return client.stream->unsent() == 0; });
-    CHECK(client.stream->handed_over() == payload.size());
+    CHECK(client.stream->bytes_passed_to_kernel() == payload.size());
 
     SECTION("after a close the peer reads all bytes, then the end of the stream") {
         client.stream->write("last");
@@ -113,7 +113,8 @@
         timer->arm(loops.client_loop().now() + 50 * kMillisecond);
         loops.run_until([&] { return waited; });
         CHECK(client.stream->unsent() > 0);
-        CHECK(client.stream->handed_over() + client.stream->unsent() == payload.size() + (200u << 16));
+        CHECK(client.stream->bytes_passed_to_kernel() + client.stream->unsent() ==
+              payload.size() + (200u << 16));
         client.stream->abort();
         server.stream->set_reading(true);
         loops.run_until([&] { return server.closed; });
--- a/tests/worker_connection_test.cpp
+++ b/tests/worker_connection_test.cpp
@@ -18,7 +18,7 @@
     AttemptOutcome outcome;
 };
 
-// The server's side, with a socket whose kernel has taken the first `handed_over` bytes.
+// The server's side, with a socket whose kernel has taken the first `passed_to_kernel` bytes.
 struct TestHandler : worker_connection::ConnectionHandler {
     explicit TestHandler(int max_concurrent = 100, int max_per_second = 1000)
         : dial_limiter(max_concurrent, max_per_second) {
@@ -26,7 +26,7 @@
     }
     void dial(WorkerConnection&) override {
         ++dials;
-        written = handed_over = 0;
+        written = passed_to_kernel = 0;
     }
     void close(WorkerConnection&, bool at_once) override {
         ++closes;
@@ -39,9 +39,9 @@
     void send_keepalive(WorkerConnection&) override { ++keepalives_sent; }
     void send_adoption(WorkerConnection&, ledger::Attempt&) override { ++adoptions_sent; }
     std::size_t unsent_bytes(const WorkerConnection&) const override {
-        return static_cast<std::size_t>(written - handed_over);
+        return static_cast<std::size_t>(written - passed_to_kernel);
     }
-    std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return handed_over; }
+    std::uint64_t bytes_passed_to_kernel(const WorkerConnection&) const override { return passed_to_kernel; }
     std::uint64_t written_bytes(const WorkerConnection&) const override { return written; }
     bool may_still_send(Nanos now, const ledger::Attempt& attempt) const override {
         return ledger.may_still_send(now, attempt);
@@ -74,7 +74,7 @@
     ledger::Ledger ledger{{QueueGroup{}}, {4, true}, {}};
     ledger::WorkerRecord& worker = ledger.add_worker("n");
     Nanos now = 1000 * kSecond, next_wakeup = 0;
-    std::uint64_t written = 0, handed_over = 0;
+    std::uint64_t written = 0, passed_to_kernel = 0;
     int dials = 0, closes = 0, keepalives_sent = 0, adoptions_sent = 0;
     bool aborted = false;
     std::vector<ledger::Attempt*> sent;
@@ -96,8 +96,8 @@
         connection.send(handler.now, *all.back());
     }
     CHECK(handler.sent.size() == 41);  // the others stay queued: 4 KiB are unsent
-    handler.handed_over = 1050;        // ten complete attempts and half of one
-    connection.on_disconnected(handler.now, handler.handed_over);
+    handler.passed_to_kernel = 1050;   // ten complete attempts and half of one
+    connection.on_disconnected(handler.now, handler.passed_to_kernel);
     REQUIRE(handler.ended.size() == 50);
     for (const EndedAttempt& each : handler.ended) CHECK(each.outcome == AttemptOutcome::not_sent);
     for (int i = 0; i < 10; ++i) CHECK_FALSE(all[static_cast<std::size_t>(i)]->ended);
@@ -114,8 +114,8 @@
                     &accepted = handler.start_attempt();
     for (ledger::Attempt* each : {&held, &never_accepted, &accepted}) connection.send(handler.now, *each);
     handler.ledger.on_accepted(handler.now, accepted);
-    handler.handed_over = handler.written;
-    connection.on_disconnected(handler.now, handler.handed_over);
+    handler.passed_to_kernel = handler.written;
+    connection.on_disconnected(handler.now, handler.passed_to_kernel);
     CHECK(handler.ended.empty());
     SECTION("the same incarnation") {
         handler.up(connection, 7, {held.number, accepted.number});
@@ -189,7 +189,7 @@
     WorkerConnection connection(handler, handler.dial_limiter, handler.worker, {}, 1);
     handler.up(connection);
     for (int i = 0; i < 60; ++i) connection.send(handler.now, handler.start_attempt());
-    handler.handed_over = 400;
+    handler.passed_to_kernel = 400;
     connection.on_attempts_read(handler.now, 3);
     CHECK(handler.sent.size() == 45);
     handler.ledger.on_drain_announced(handler.now, handler.worker, true);
@@ -216,7 +216,7 @@
         CHECK(handler.closes == 0);
     }
     SECTION("the worker confirms reading all: the connection stays") {
-        handler.handed_over = handler.written;
+        handler.passed_to_kernel = handler.written;
         connection.on_attempts_read(handler.now + 600 * kMillisecond, 45);
         connection.run_timers(handler.now + 750 * kMillisecond);
         CHECK(handler.closes == 0);
@@ -244,7 +244,7 @@
         void send_keepalive(WorkerConnection&) override {}
         void send_adoption(WorkerConnection&, ledger::Attempt&) override {}
         std::size_t unsent_bytes(const WorkerConnection&) const override { return 0; }
-        std::uint64_t handed_over_bytes(const WorkerConnection&) const override { return 0; }
+        std::uint64_t bytes_passed_to_kernel(const WorkerConnection&) const override { return 0; }
         std::uint64_t written_bytes(const WorkerConnection&) const override { return 0; }
         bool may_still_send(Nanos, const ledger::Attempt&) const override { return true; }
         void on_attempt_ended(Nanos, ledger::Attempt&, AttemptOutcome) override {}
@@ -305,7 +305,7 @@
     for (int i = 0; i < 100; ++i) {
         all.push_back(&handler.start_attempt());
         connection.send(handler.now, *all.back());
-        handler.handed_over = handler.written;  // the kernel takes all bytes
+        handler.passed_to_kernel = handler.written;  // the kernel takes all bytes
     }
     CHECK(handler.sent.size() == 64);
     connection.on_attempts_read(handler.now, 10);
