--- a/emulator/emulated_client.cpp
+++ b/emulator/emulated_client.cpp
@@ -127,7 +127,7 @@
     event.task = task.request.task;
     event.service = task.request.service;
     event.group = task.request.group;
-    event.until = task.deadline;
+    event.deadline = task.deadline;
     event.request = task.id;
     event.text = text;
     if (kind == EventKind::handed_over) event.worker = task.worker;
--- a/emulator/event_log.h
+++ b/emulator/event_log.h
@@ -61,7 +61,7 @@
     std::string service;
     int group = -1;
     std::uint64_t request = 0, attempt = 0;  // numbers of the request and the attempt; 0: none
-    Nanos until = 0;                         // of submitted: the client's deadline
+    Nanos deadline = 0;                      // of submitted: the client's deadline
     std::string text;
 };
 
--- a/emulator/invariant_checker.cpp
+++ b/emulator/invariant_checker.cpp
@@ -24,7 +24,7 @@
 
 // A request as its client observed it.
 struct ObservedRequest {
-    Nanos at, until;
+    Nanos at, deadline;
     std::string task;
     std::uint64_t id;
     std::optional<EventKind> answer;  // first final answer
@@ -121,7 +121,7 @@
         switch (event.kind) {
             case EventKind::submitted:
                 requests_[{event.placer, event.task}].push_back(
-                    {event.at, event.until, event.task, event.request, std::nullopt});
+                    {event.at, event.deadline, event.task, event.request, std::nullopt});
                 return;
             case EventKind::placed:
             case EventKind::rejected:
@@ -249,7 +249,7 @@
         const auto requests = requests_.find({placer, attempt.task});
         if (requests == requests_.end()) return false;
         for (const ObservedRequest& request : requests->second) {
-            if (attempt.at < request.at || attempt.at > request.until) continue;
+            if (attempt.at < request.at || attempt.at > request.deadline) continue;
             if ((request.answer && *request.answer != EventKind::placed) || request.released) return true;
         }
         return false;
@@ -379,12 +379,12 @@
 
     void check_answered_in_time(const std::string& placer, const ObservedRequest& request) {
         RecordedEvent event;
-        event.at = request.until;
+        event.at = request.deadline;
         event.kind = EventKind::submitted;
         event.placer = placer;
         event.task = request.task;
         event.request = request.id;
-        const Nanos due = request.until + settings_.slack;
+        const Nanos due = request.deadline + settings_.slack;
         if (request.released && (!request.answer || request.released < request.answered)) return;
         if (stalled(placer, request.at, due)) return;
         if (request.answer && request.answered > due)
--- a/emulator/scenario.h
+++ b/emulator/scenario.h
@@ -116,7 +116,7 @@
     } stale_discovery;
     // One-way delays of the simulated network. `late` is the upper bound of an extra delay for `late_share`.
     struct NetworkSettings {
-        Nanos least = 200 * kMicrosecond, spread = 300 * kMicrosecond, late = 0;
+        Nanos min_delay = 200 * kMicrosecond, spread = 300 * kMicrosecond, late = 0;
         double late_share = 0;
     } network;
     Nanos drain_grace = kSecond;
--- a/emulator/scenario_parser.cpp
+++ b/emulator/scenario_parser.cpp
@@ -338,13 +338,13 @@
     void read_network() {
         Table table = root_.table("network");
         Scenario::NetworkSettings& network = scenario_.network;
-        network.least = table.duration("least_ms", 0, 10 * kSecond, network.least);
+        network.min_delay = table.duration("least_ms", 0, 10 * kSecond, network.min_delay);
         network.spread = table.duration("spread_ms", 0, 10 * kSecond, network.spread);
         network.late_share = table.number("late_share", 0, 1, 0);
         network.late = table.duration("late_ms", 0, 10 * kSecond, 0);
         // A request and its answer take up to this long each, so a client may observe an event this much
         // later than the placer.
-        scenario_.slack += 2 * (network.least + network.spread + network.late);
+        scenario_.slack += 2 * (network.min_delay + network.spread + network.late);
     }
 
     void read_stale_discovery() {
--- a/simulation/run_report.cpp
+++ b/simulation/run_report.cpp
@@ -23,7 +23,7 @@
 }
 
 bool concerns(const Expectation& expectation, const TaskHistory& task) {
-    return task.until && (expectation.group < 0 || expectation.group == task.group) &&
+    return task.deadline && (expectation.group < 0 || expectation.group == task.group) &&
            within(expectation, task.submitted);
 }
 
@@ -68,13 +68,13 @@
 void RunReport::observe_client(const RecordedEvent& event, Nanos at) {
     if (event.kind == EventKind::submitted) {
         TaskHistory& task = tasks_[event.task];
-        if (task.until) return;  // only the first submission counts
+        if (task.deadline) return;  // only the first submission counts
         task.group = event.group;
         task.submitted = at;
-        task.until = event.until - run_.started_at();
+        task.deadline = event.deadline - run_.started_at();
     } else if (event.kind == EventKind::placed) {
         TaskHistory& task = tasks_[event.task];
-        if (!task.placed && at <= task.until) task.placed = std::max<Nanos>(at, 1);
+        if (!task.placed && at <= task.deadline) task.placed = std::max<Nanos>(at, 1);
     } else if (event.kind == EventKind::ended) {
         if (event.text == "LOST" && !running_[event.task].empty()) wrongly_lost_.push_back(at);
     }
--- a/simulation/run_report.h
+++ b/simulation/run_report.h
@@ -20,8 +20,9 @@
 // One task as its client saw it.
 struct TaskHistory {
     int group = 0;
-    Nanos submitted = 0, until = 0;  // until: the client's deadline; 0: never submitted by a client
-    Nanos placed = 0;                // 0: never placed, or only after the client's deadline
+    Nanos submitted = 0;
+    Nanos deadline = 0;  // the client's; 0: never submitted by a client
+    Nanos placed = 0;    // 0: never placed, or only after the client's deadline
     int attempts = 0;
 };
 
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -83,7 +83,7 @@
 
 NetworkDelays network_delays(const emulator::Scenario& scenario) {
     const emulator::Scenario::NetworkSettings& network = scenario.network;
-    return {network.least, network.spread, network.late_share, network.late};
+    return {network.min_delay, network.spread, network.late_share, network.late};
 }
 
 emulator::RunResult run_to_end(SimulatedNetwork& network, emulator::ScenarioRun& run) {
--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -90,7 +90,7 @@
 }
 
 Nanos SimulatedNetwork::delay(const SimulatedProcess& from, const SimulatedProcess& to) {
-    Nanos total = delays_.least;
+    Nanos total = delays_.min_delay;
     if (delays_.spread > 0) total += draw_up_to(delays_.spread);
     if (delays_.late_share > 0 &&
         static_cast<double>(random_() % kDrawSteps) < delays_.late_share * kDrawSteps)
@@ -105,7 +105,7 @@
 void SimulatedNetwork::continue_after_cut() {
     for (const auto& process : processes_)
         for (const SimulatedStream* stream : process->streams_)
-            post(now_ + delays_.least, process.get(), [self = stream->self_] {
+            post(now_ + delays_.min_delay, process.get(), [self = stream->self_] {
                 if (!*self) return;
                 (*self)->deliver();
                 if (*self) (*self)->deliver_close();
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -22,9 +22,9 @@
 namespace whinpost::simulation {
 
 struct NetworkDelays {
-    Nanos least = 200 * kMicrosecond;   // minimum one-way delay
-    Nanos spread = 300 * kMicrosecond;  // maximum random delay added to each chunk of bytes
-    double late_share = 0;              // share of the chunks that are delayed by up to `late` more
+    Nanos min_delay = 200 * kMicrosecond;  // minimum one-way delay
+    Nanos spread = 300 * kMicrosecond;     // maximum random delay added to each chunk of bytes
+    double late_share = 0;                 // share of the chunks that are delayed by up to `late` more
     Nanos late = 0;
 };
 
--- a/simulation/simulated_process.cpp
+++ b/simulation/simulated_process.cpp
@@ -38,7 +38,7 @@
         // Refused after a round trip. If the way to the host is cut, the dial hangs until the caller's
         // timeout.
         if (!network_.cuts_.contains({host_, host_of(address)}))
-            fail_dial(near, network_.now_ + network_.delays_.least * 2, net::CloseReason::refused);
+            fail_dial(near, network_.now_ + network_.delays_.min_delay * 2, net::CloseReason::refused);
         return stream;
     }
     const SimulatedProcess& server = listener->process_;
@@ -60,7 +60,7 @@
 void SimulatedProcess::on_dial_arrived(const StreamHandle& near, const std::string& address, Nanos at) {
     if (!*near) return;
     SimulatedListener* listener = network_.find_listener(address);
-    if (!listener) return fail_dial(near, at + network_.delays_.least, net::CloseReason::refused);
+    if (!listener) return fail_dial(near, at + network_.delays_.min_delay, net::CloseReason::refused);
     SimulatedProcess& server = listener->process_;
     auto accepted =
         std::make_unique<SimulatedStream>(server, host_ + ":" + std::to_string(network_.next_port_++));
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -398,7 +398,7 @@
     values.add("late", plan.discovery_delay).add("lean", plan.first_placer_share).add("slack", plan.slack);
     values.add("drain grace", plan.drain_grace).add("list age", plan.stale_discovery.age);
     values.add("list lasts", plan.stale_discovery.lasts).add("ghosts", plan.stale_discovery.ghosts);
-    values.add("missing", plan.stale_discovery.missing).add("least", plan.network.least);
+    values.add("missing", plan.stale_discovery.missing).add("least", plan.network.min_delay);
     values.add("spread", plan.network.spread).add("late", plan.network.late);
     values.add("late share", plan.network.late_share).add("launches", plan.retry.max_attempts);
     const emulator::EmulatedWorkerSettings& node = plan.worker;
