--- a/bench/platform_sessions.cpp
+++ b/bench/platform_sessions.cpp
@@ -240,7 +240,7 @@
         else if (action == 1) connection.stream->abort();
         else if (action == 2) rig_.world.stall(*worker.process);
         else if (action == 3)
-            rig_.world.slow(worker.process->host(), static_cast<Nanos>(roll(200)) * kMillisecond);
+            rig_.world.set_added_delay(worker.process->host(), static_cast<Nanos>(roll(200)) * kMillisecond);
         else rig_.world.cut_host(worker.process->host(), chance(50), chance(50));
         if (action != 2) rig_.world.resume(*worker.process);
     }
--- a/simulation/simulated_environment.cpp
+++ b/simulation/simulated_environment.cpp
@@ -25,14 +25,14 @@
 
 SimulatedEnvironment::SimulatedEnvironment(SimulatedNetwork& network, std::size_t placers,
                                            std::vector<std::string> zones)
-    : network_(network), scenario_process_(&network.process("script")), zones_(std::move(zones)),
+    : network_(network), scenario_process_(&network.add_process("script")), zones_(std::move(zones)),
       placer_processes_(placers), placers_(placers) {}
 
 SimulatedEnvironment::~SimulatedEnvironment() = default;
 
 net::EventLoop& SimulatedEnvironment::worker_loop(const std::string& worker, int zone) {
     SimulatedProcess*& process = worker_processes_[worker];
-    if (!process || !process->alive()) process = &network_.process(worker, zone);
+    if (!process || !process->alive()) process = &network_.add_process(worker, zone);
     return *process;
 }
 
@@ -46,7 +46,7 @@
 void SimulatedEnvironment::start_placer(std::size_t number, const std::string& configuration) {
     const std::string address = placer_address(number);
     const std::string host = address.substr(0, address.find(':'));
-    placer_processes_[number] = &network_.process(host, static_cast<int>(number % zones_.size()));
+    placer_processes_[number] = &network_.add_process(host, static_cast<int>(number % zones_.size()));
     config::Document document = config::Document::parse(placer_file(configuration, discovery_address()),
                                                         "placer-" + std::to_string(number));
     ++incarnations_;
--- a/simulation/simulated_network.cpp
+++ b/simulation/simulated_network.cpp
@@ -22,7 +22,7 @@
     while (!queue_.empty()) queue_.pop();
 }
 
-SimulatedProcess& SimulatedNetwork::process(std::string host, int zone) {
+SimulatedProcess& SimulatedNetwork::add_process(std::string host, int zone) {
     processes_.push_back(std::make_unique<SimulatedProcess>(*this, std::move(host), zone));
     return *processes_.back();
 }
@@ -129,7 +129,7 @@
     continue_after_cut();  // delivers the bytes that the new setting lets through
 }
 
-void SimulatedNetwork::slow(const std::string& host, Nanos more) { added_delays_[host] = more; }
+void SimulatedNetwork::set_added_delay(const std::string& host, Nanos more) { added_delays_[host] = more; }
 
 void SimulatedNetwork::stall(SimulatedProcess& process) {
     process.stalled_ = true;
--- a/simulation/simulated_network.h
+++ b/simulation/simulated_network.h
@@ -37,7 +37,7 @@
 
     // Creates a process, which lives as long as the network. The host is the part of an address before the
     // colon; several processes may run on one host.
-    SimulatedProcess& process(std::string host, int zone = 0);
+    SimulatedProcess& add_process(std::string host, int zone = 0);
 
     // ---- faults
     // Like SIGKILL: the peers' connections are reset. The caller destroys the objects that use the process.
@@ -56,7 +56,7 @@
     // Holds back all bytes to the host (`in`) and from it (`out`). Both false ends the cut.
     void cut_host(const std::string& host, bool in, bool out);
     // Adds a delay to all bytes to and from the host.
-    void slow(const std::string& host, Nanos more);
+    void set_added_delay(const std::string& host, Nanos more);
 
     Nanos now() const { return now_; }
     // Schedules a callback that belongs to no process, so that no stall or kill affects it.
--- a/simulation/simulated_process.h
+++ b/simulation/simulated_process.h
@@ -16,7 +16,7 @@
 
 class SimulatedProcess final : public net::EventLoop {
 public:
-    // Called by SimulatedNetwork::process().
+    // Called by SimulatedNetwork::add_process().
     SimulatedProcess(SimulatedNetwork&, std::string host, int zone);
 
     Nanos now() const override;
@@ -32,7 +32,8 @@
     bool stopped() const { return stopped_; }
     bool alive() const { return alive_; }
     const std::string& host() const { return host_; }
-    void files(int left) { descriptors_left_ = left; }  // sets how many descriptors it may still open
+    // Sets how many descriptors it may still open.
+    void set_free_descriptors(int left) { descriptors_left_ = left; }
 
 private:
     friend class SimulatedNetwork;
--- a/tests/client_server_test.cpp
+++ b/tests/client_server_test.cpp
@@ -16,7 +16,7 @@
     TestClient& connect(int number = 1) {
         clients.push_back(std::make_unique<TestClient>());
         clients.back()->stream =
-            world.process("10.0.2." + std::to_string(number)).dial("10.0.0.1:1", *clients.back());
+            world.add_process("10.0.2." + std::to_string(number)).dial("10.0.0.1:1", *clients.back());
         run();
         return *clients.back();
     }
@@ -33,7 +33,7 @@
     }
 
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     log::Logger log;
     RecordingClientHandler handler;
     platform::ClientServer server{process, log, handler};
--- a/tests/connection_allocator_test.cpp
+++ b/tests/connection_allocator_test.cpp
@@ -27,7 +27,7 @@
     AllocatorFixture() {
         for (std::size_t i = 0; i < kWorkers; ++i) {
             const std::string ip = "10.0.1." + std::to_string(i + 1);
-            simulation::SimulatedProcess& host = world.process(ip);
+            simulation::SimulatedProcess& host = world.add_process(ip);
             auto listener = host.listen(ip + ":1", [this, &host](std::unique_ptr<net::Stream> stream) {
                 sinks.push_back(std::make_unique<Sink>());
                 sinks.back()->stream = std::move(stream);
@@ -39,7 +39,7 @@
     }
 
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     std::vector<std::unique_ptr<Sink>> sinks;
     std::vector<std::unique_ptr<net::Listener>> listeners;
     log::Logger log;
--- a/tests/emulated_worker_test.cpp
+++ b/tests/emulated_worker_test.cpp
@@ -14,7 +14,8 @@
 struct WorkerFixture {
     explicit WorkerFixture(emulator::EmulatedWorkerSettings settings, std::uint64_t seed = 1,
                            int priorities = 1)
-        : network(seed), worker_process(network.process("node")), client_process(network.process("client")),
+        : network(seed), worker_process(network.add_process("node")),
+          client_process(network.add_process("client")),
           fleet(worker_process, event_log, groups(priorities), seed),
           random(static_cast<unsigned>(seed) + 77) {
         worker = std::make_unique<emulator::EmulatedWorker>(
--- a/tests/endpoint_list_test.cpp
+++ b/tests/endpoint_list_test.cpp
@@ -41,7 +41,7 @@
     }
 
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     log::Logger log;
     ledger::Ledger ledger{{}, {4, true}, {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}};
     std::vector<std::pair<planner::WorkerNumber, EndpointState>> reported;
--- a/tests/event_loop_test.cpp
+++ b/tests/event_loop_test.cpp
@@ -46,8 +46,8 @@
         if (real) real_loop = std::make_unique<net::LibeventLoop>();
         else {
             network = std::make_unique<simulation::SimulatedNetwork>(1);
-            a = &network->process("a");
-            b = &network->process("b");
+            a = &network->add_process("a");
+            b = &network->add_process("b");
         }
     }
     net::EventLoop& client_loop() { return real_loop ? static_cast<net::EventLoop&>(*real_loop) : *a; }
--- a/tests/planner_rounds_test.cpp
+++ b/tests/planner_rounds_test.cpp
@@ -24,7 +24,7 @@
     void on_round_done() override { order += "done "; }
 
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     std::string order;
     platform::PlannerRounds rounds{process, *this};
     RecordingPlanner planner{*this};
--- a/tests/platform_worker_connections_test.cpp
+++ b/tests/platform_worker_connections_test.cpp
@@ -162,7 +162,7 @@
     PlatformRig::FakeWorker& successor = rig.workers["successor"];
     successor.name = "successor";
     successor.address = rig.worker.address;
-    successor.process = &rig.world.process("10.0.1.1");
+    successor.process = &rig.world.add_process("10.0.1.1");
     rig.publish({PlatformRig::entry(rig.worker, "left")});
     rig.listen(successor);
     rig.publish({PlatformRig::entry(successor)});
--- a/tests/pooled_worker_test.cpp
+++ b/tests/pooled_worker_test.cpp
@@ -46,7 +46,7 @@
 
     QueueGroup group;
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     FakeListener peer{world, "10.0.1.1"};
     log::Logger log;
     RecordingWorkerHandler handler;
--- a/tests/server_connections_test.cpp
+++ b/tests/server_connections_test.cpp
@@ -136,13 +136,13 @@
     rig.publish({rig.endpoint("n")});
     TestClient& client = rig.connect_client();
     rig.run(100 * kMillisecond);
-    rig.placer_process->files(-1);
+    rig.placer_process->set_free_descriptors(-1);
     worker.connection().stream->abort();
     worker.connection().stream.reset();
     rig.run(2 * kSecond);
     rig.submit(client, rig.request(1));
     CHECK(client.count(&v1::ToClient::has_received) == 1);
-    rig.placer_process->files(100);
+    rig.placer_process->set_free_descriptors(100);
     rig.run(8 * kSecond);
     CHECK(rig.placer->server.connection("n")->state() == worker_connection::ConnectionState::up);
 }
--- a/tests/server_discovery_test.cpp
+++ b/tests/server_discovery_test.cpp
@@ -45,7 +45,7 @@
     rig.publish({rig.endpoint("n")});
     TestClient& client = rig.connect_client();
     rig.run(100 * kMillisecond);
-    rig.network.slow("n", 300 * kMillisecond);
+    rig.network.set_added_delay("n", 300 * kMillisecond);
     rig.network.cut("10.0.0.1", "n", true);  // sent bytes are held in transit
     for (std::uint64_t i = 1; i <= 5; ++i) rig.submit(client, rig.request(i, "free", 8 * kSecond));
     CHECK(worker.attempts().empty());
--- a/tests/server_planner_rounds_test.cpp
+++ b/tests/server_planner_rounds_test.cpp
@@ -24,7 +24,7 @@
     void run_for(Nanos duration) { network.run_until(network.now() + duration); }
 
     simulation::SimulatedNetwork network{1};
-    simulation::SimulatedProcess& process = network.process("placer");
+    simulation::SimulatedProcess& process = network.add_process("placer");
     RecordedRounds handler;
     server::PlannerRounds rounds{process, handler};
 };
--- a/tests/support/platform_fakes.h
+++ b/tests/support/platform_fakes.h
@@ -80,7 +80,7 @@
 // A peer that accepts connections and keeps the messages received on them.
 struct FakeListener {
     FakeListener(simulation::SimulatedNetwork& world, const std::string& ip)
-        : process(world.process(ip)), address(ip + ":1") {
+        : process(world.add_process(ip)), address(ip + ":1") {
         auto made = process.listen(address, [this](std::unique_ptr<net::Stream> accepted) {
             connections.push_back(std::make_unique<TestClient>());
             connections.back()->stream = std::move(accepted);
--- a/tests/support/platform_rig.h
+++ b/tests/support/platform_rig.h
@@ -61,7 +61,7 @@
     };
 
     explicit PlatformRig(std::size_t descriptors = 256)
-        : placer(world.process("10.0.0.1")), discovery_process(world.process("10.0.9.1")),
+        : placer(world.add_process("10.0.0.1")), discovery_process(world.add_process("10.0.9.1")),
           ledger(groups(), {4, true}, slow_start()), server(placer, log, ledger,
                                                             {{"free", "marked", "once"},
                                                              kinds(),
@@ -141,7 +141,7 @@
         worker.name = name;
         const std::string at = "10.0.1." + std::to_string(workers.size());
         worker.address = at + ":3868";
-        worker.process = &world.process(at);
+        worker.process = &world.add_process(at);
         listen(worker);
         return worker;
     }
@@ -158,7 +158,7 @@
     }
     TestClient& connect_client(int number = 1) {
         simulation::SimulatedProcess*& process = client_processes[number];
-        if (!process) process = &world.process("10.0.2." + std::to_string(number));
+        if (!process) process = &world.add_process("10.0.2." + std::to_string(number));
         clients.push_back(std::make_unique<TestClient>());
         TestClient& client = *clients.back();
         client.stream = process->dial("10.0.0.1:3868", client);
--- a/tests/support/server_rig.h
+++ b/tests/support/server_rig.h
@@ -114,7 +114,7 @@
 // One placer as it is embedded in the program, with its peers, in one simulated network.
 struct ServerRig {
     explicit ServerRig(const std::string& more_config = "", std::uint64_t seed = 1) : network(seed) {
-        discovery_process = &network.process("list");
+        discovery_process = &network.add_process("list");
         const auto on_connection = [this](std::unique_ptr<net::Stream> accepted) {
             discovery_streams.push_back(std::make_unique<FakeDiscovery>());
             net::Stream& stream = *accepted;
@@ -159,7 +159,7 @@
     }
     void start_placer() {
         config::Document document = config::Document::parse(config, "stage");
-        placer_process = &network.process("10.0.0.1");
+        placer_process = &network.add_process("10.0.0.1");
         ++incarnation;
         auto made = apps::EmbeddedPlacer::make(*placer_process, document, {7, incarnation, {}});
         if (!made) throw std::runtime_error(to_string(made.error().at(0)));
@@ -209,7 +209,7 @@
         return worker;
     }
     void start_worker(FakeWorker& worker) {
-        worker.process = &network.process(worker.name);
+        worker.process = &network.add_process(worker.name);
         const auto on_connection = [&worker](std::unique_ptr<net::Stream> accepted) {
             worker.connections.push_back(std::make_unique<WorkerStream>());
             net::Stream& stream = *accepted;
@@ -231,7 +231,8 @@
     TestClient& connect_client(const std::string& name = "o", bool hello = true) {
         clients.push_back(std::make_unique<TestClient>());
         TestClient& client = *clients.back();
-        simulation::SimulatedProcess& process = network.process("owner-" + std::to_string(clients.size()));
+        simulation::SimulatedProcess& process =
+            network.add_process("owner-" + std::to_string(clients.size()));
         client.stream = process.dial("10.0.0.1:7400", client);
         run(5 * kMillisecond);
         if (hello) {
--- a/tests/task_answerer_test.cpp
+++ b/tests/task_answerer_test.cpp
@@ -22,7 +22,7 @@
     AnswererFixture() {
         rounds.set_planner(planner);
         REQUIRE(clients.listen("10.0.0.1:1").has_value());
-        client.stream = world.process("10.0.2.1").dial("10.0.0.1:1", client);
+        client.stream = world.add_process("10.0.2.1").dial("10.0.0.1:1", client);
         client_message();
     }
     void on_round_done() override { tasks.free_removed(); }
@@ -47,7 +47,7 @@
     }
 
     simulation::SimulatedNetwork world{1};
-    simulation::SimulatedProcess& process = world.process("10.0.0.1");
+    simulation::SimulatedProcess& process = world.add_process("10.0.0.1");
     log::Logger log;
     ledger::Ledger ledger{
         std::vector<QueueGroup>(1), {4, true}, {0.25, 10 * kSecond, 3, 2 * kSecond, 40, 3, 0}};
