--- a/demo.sh
+++ b/demo.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The main job: three placers, each its own process, a list service, 40 nodes and four owners on loopback sockets, through
-# a bad day of a minute. Closes with a table and whether the five rules held; exit status 1 if one broke.
+# Builds the program and runs a one-minute scenario with faults on loopback sockets: three placers, each a separate process,
+# a discovery service, 40 workers and four clients. Prints a table and whether the five rules held; exit status 1 if one was
+# violated.
 set -euo pipefail
 cd "$(dirname "$0")"
 ./setup.sh
--- a/deploy/sites/play.sh
+++ b/deploy/sites/play.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Plays a deployment of this folder on the platform's bench: play.sh NAME KIT [ARGUMENTS OF THE SCORE ...]. KIT is the folder that
-# holds bin/lbreal and other/ (names, wire and unlocks that have to lie beside a site file; laid here for the play, not kept in git).
+# Runs a deployment of this folder on the platform's test bench: play.sh NAME KIT [ARGUMENTS ...]. KIT is the folder with
+# bin/lbreal and other/; ARGUMENTS are passed to `lbreal score`. The files real.json, wire.json and unlock.txt must be next to
+# the deployment's file: they are copied here from KIT/other for the run and are not in git.
 set -euo pipefail
 [ $# -ge 2 ] || { echo "usage: play.sh NAME KIT [ARGUMENTS ...]" >&2; exit 2; }
 name=$1 kit=$(cd "$2" && pwd)
--- a/fuzz/client_endpoint.cpp
+++ b/fuzz/client_endpoint.cpp
@@ -1,4 +1,5 @@
-// Any bytes from a client: the placer lives on, another client is served, and what was admitted is answered.
+// Fuzzes the placer with arbitrary bytes from a client. The placer must not crash, must still serve another
+// client, and must answer every admitted task.
 #include "own_protocol.h"
 
 using namespace whinpost;
--- a/fuzz/configuration_files.cpp
+++ b/fuzz/configuration_files.cpp
@@ -1,5 +1,5 @@
-// Any text as a placer's file, as a shape to migrate one to, or as a scenario: values in range, or errors
-// that name the file; never a crash.
+// Fuzzes the parsers of configuration files: arbitrary text as a placer's file, as the input of a migration,
+// and as a scenario. Each must give valid values, or errors that name the file, and must not crash.
 #include "config/placer_file.h"
 #include "emulator/scenario_parser.h"
 #include "migrate/migrate.h"
@@ -43,7 +43,7 @@
     if (found.empty() && (kinds.empty() || groups.empty())) __builtin_trap();
     const auto scenario = emulator::parse_scenario(text, "f");
     if (scenario && (scenario->loads.empty() || scenario->workers == 0)) __builtin_trap();
-    // What stands as an old file or as a shape gives a file that passes, or problems.
+    // A migration returns either a file or errors, with this text as the new shape and also as the old file.
     for (const auto& result : {migrate::migrate_configuration({"f", kOld}, {"f", text}, "n"),
                                migrate::migrate_configuration({"f", text}, {"f", text}, "n")})
         if (result.errors.empty() == result.text.empty()) __builtin_trap();
--- a/fuzz/corpus.cpp
+++ b/fuzz/corpus.cpp
@@ -1,4 +1,4 @@
-// Writes a corpus of well-formed messages, one file each, into the folders that the fuzz targets start from.
+// Writes the initial corpus of the fuzz targets: files of well-formed messages, one folder per target.
 #include <filesystem>
 #include <fstream>
 #include <string>
@@ -79,7 +79,7 @@
     failed.mutable_failed()->set_text("busy");
     put(to + "/discovery_endpoint", failed, entries);
 
-    // The platform: the first byte says from whom the rest comes (fuzz/platform_endpoint.cpp).
+    // Input of platform_endpoint.cpp: its first byte selects the sender of the rest.
     const auto platform = [&to](char from, const std::string& bytes) {
         std::filesystem::create_directories(to + "/platform_endpoint");
         std::ofstream(to + "/platform_endpoint/" + std::to_string(number++), std::ios::binary)
--- a/fuzz/discovery_endpoint.cpp
+++ b/fuzz/discovery_endpoint.cpp
@@ -1,4 +1,5 @@
-// Any bytes from the discovery service: the placer lives on, keeps the last good view, and connects again.
+// Fuzzes the placer with arbitrary bytes from the discovery service. The placer must not crash, and must
+// still answer a task, from the last valid endpoint list and after it has reconnected.
 #include "own_protocol.h"
 
 using namespace whinpost;
--- a/fuzz/own_protocol.h
+++ b/fuzz/own_protocol.h
@@ -1,4 +1,4 @@
-// What the fuzz targets of the placer's own protocol share.
+// Shared by the fuzz targets of the placer's own protocol.
 #pragma once
 #include <google/protobuf/stubs/logging.h>
 
@@ -11,8 +11,8 @@
 
 namespace whinpost {
 
-// Sends the input in two parts, so that frames are cut anywhere; the placer may close the stream between
-// them.
+// Sends the input in two parts, so that a frame may be split at any byte. The placer may close the stream
+// after the first part.
 template <class AnyPeer>
 void send_bytes(ServerRig& rig, AnyPeer& peer, const std::uint8_t* data, std::size_t size) {
     const std::size_t half = size / 2;
--- a/fuzz/platform_endpoint.cpp
+++ b/fuzz/platform_endpoint.cpp
@@ -1,5 +1,6 @@
-// Any bytes from a client, a worker or discovery on the platform, or as its file: the placer lives on,
-// and every task that it took gets its answer. The first byte says from whom the rest comes.
+// Fuzzes the platform's server with arbitrary bytes from a client, a worker or the discovery service, and the
+// parser of its bootstrap file. The server must not crash and must answer every task that other clients
+// submit. The first byte of the input selects the sender of the rest.
 #include "platform/bootstrap_config.h"
 #include "settings/settings.h"
 #include "support/platform_rig.h"
--- a/fuzz/run.sh
+++ b/fuzz/run.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the fuzz targets with clang and runs each from a corpus made anew: without an argument a fixed number of inputs
-# from a fixed seed, the same each time; with one, for so many seconds from another seed each time.
+# Builds the fuzz targets with clang and runs each on a newly written corpus. Without an argument: a fixed number of
+# inputs from a fixed seed, so that every run is the same. With an argument: for that many seconds, with random seeds.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 bound=(-runs=1500 -seed=7)
@@ -13,7 +13,7 @@
 rm -rf "$corpus"
 build-fuzz/fuzz/fuzz_corpus "$corpus"
 cp emulator/days/*.toml "$corpus/configuration_files/"
-# A shape is what a day says of the deployment, less the tables that only days have.
+# A shape for a migration has the tables of a scenario that describe the deployment, and no others.
 printf '[[machine_kind]]\nname = "std"\ncores = 8\nmemory = 16\n[[queue_group]]\nname = "g"\neffect = "idempotent"\nstart_target_ms = 5\n[links]\ndrain_grace_ms = 50\n' \
     >"$corpus/configuration_files/shape.toml"
 pids=()
@@ -28,7 +28,7 @@
         echo "fuzz ${p#*:}: $(grep -o 'number_of_executed_units: *[0-9]*' "build-fuzz/${p#*:}.log" || true)"
     else
         failed=1
-        echo "fuzz ${p#*:} FAILED; the input lies beside build-fuzz/${p#*:}-*"
+        echo "fuzz ${p#*:} FAILED; its input is in build-fuzz/${p#*:}-*"
         tail -n 60 "build-fuzz/${p#*:}.log"
     fi
 done
--- a/fuzz/worker_endpoint.cpp
+++ b/fuzz/worker_endpoint.cpp
@@ -1,4 +1,5 @@
-// Any bytes from a worker with an attempt in flight: the placer lives on and answers the task once.
+// Fuzzes the placer with arbitrary bytes from a worker that has an attempt in flight. The placer must not
+// crash and must answer the task exactly once.
 #include "own_protocol.h"
 
 using namespace whinpost;
--- a/setup.sh
+++ b/setup.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Installs what packages.txt names and this machine lacks. Called by the other scripts; says nothing where all is there.
+# Installs the packages of packages.txt that are missing on this machine. Called by the other scripts; prints nothing if none
+# is missing.
 set -euo pipefail
 cd "$(dirname "$0")"
 missing=()
--- a/test.sh
+++ b/test.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Installs what is missing, builds with warnings as errors and the sanitizers, runs all tests and each fuzz target for
-# a few seconds; checks the operators' plain build, which needs no library.
+# Installs missing packages, checks the operators' plain build, which needs no libraries, builds with sanitizers and warnings
+# as errors, and runs the linter, all tests and each fuzz target (for a few seconds).
 set -euo pipefail
 cd "$(dirname "$0")"
 ./setup.sh
